--- a/src/api/operator.rs
+++ b/src/api/operator.rs
@@ -10,8 +10,8 @@
 use serde_json::json;
 
 use super::{App, Body, bearer, whole};
-use crate::budget::keeper::seen;
-use crate::budget::ledger::{BudgetRow, GrantRow, HolderState, Seen, budget_key, grant_key};
+use crate::budget::actor::versioned;
+use crate::budget::ledger::{BudgetRow, GrantRow, HolderState, Versioned, budget_key, grant_key};
 use crate::config::store::{Submission, read_revisions, submit};
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
@@ -84,7 +84,7 @@
         "requests": { "received": get(&c.requests), "answered": get(&c.answered), "refused": get(&c.refused),
                       "retries": get(&c.retries), "joined": get(&c.joined), "in_flight": in_flight,
                       "waiting": waiting },
-        "ledger": { "pockets": totals.pockets, "holds": totals.holds, "pending_bills": totals.pending_bills,
+        "ledger": { "pockets": totals.budgets, "holds": totals.holds, "pending_bills": totals.pending_bills,
                     "queued_writes": node.session().committer.queued(), "copies_out": node.session().copies() },
     }))
     .into_response()
@@ -160,11 +160,11 @@
         keys.push(budget_key(&id));
         let rows = node.platform.read(keys).await?;
         let find = |key: RowKey| rows.iter().find(|r| r.key == key);
-        let row: Seen<BudgetRow> = seen(find(budget_key(&id)))?;
+        let row: Versioned<BudgetRow> = versioned(find(budget_key(&id)))?;
         let now = node.now();
         let mut parts = Vec::new();
         for (holder, h) in &holders {
-            let grant: Seen<GrantRow> = seen(find(grant_key(holder, &id)))?;
+            let grant: Versioned<GrantRow> = versioned(find(grant_key(holder, &id)))?;
             if grant.version.is_some() {
                 let alive = node.lock_view().alive(now, holder);
                 let (granted, settled) = (grant.row.granted, grant.row.settled);
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -4,8 +4,8 @@
 
 use serde::Serialize;
 
-use crate::budget::keeper::seen;
-use crate::budget::ledger::{Bill, BudgetRow, Seen, budget_key};
+use crate::budget::actor::versioned;
+use crate::budget::ledger::{Bill, BudgetRow, Versioned, budget_key};
 use crate::config::Config;
 use crate::error::Result;
 use crate::ids::Tokens;
@@ -93,7 +93,8 @@
         let own = bills.iter().filter(|b| b.budget == budget.id);
         let spent = own.fold(Tokens::ZERO, |sum, b| sum.plus(b.cost));
         a.overspend += spent.minus(budget.prepaid).0;
-        let row: Seen<BudgetRow> = seen(read_one(table, budget_key(&budget.id)).await?.as_ref())?;
+        let row: Versioned<BudgetRow> =
+            versioned(read_one(table, budget_key(&budget.id)).await?.as_ref())?;
         a.overcommitted += row.row.committed.minus(budget.prepaid).0;
     }
     Ok(a)
--- a/src/budget/keeper.rs
+++ b/src/budget/actor.rs
@@ -8,10 +8,10 @@
     Actor, ActorRef, Context, DelegatedReply, Message, ReplySender, WeakActorRef,
 };
 
-use super::holder::{Admit, Cover, Effect, HoldId, Holder, Limit, Loaded, Usage};
+use super::holder::{Admission, Effect, HoldId, Holder, Limit, LoadedRows, Protection, Usage};
 use super::ledger::{
-    Bill, BudgetRow, Change, GrantRow, HolderRow, HolderState, Seen, bill_key, budget_key,
-    grant_key, holder_key,
+    Bill, BudgetRow, GrantChange, GrantRow, HolderRow, HolderState, Versioned, bill_key,
+    budget_key, grant_key, holder_key,
 };
 use super::sizing::Sizing;
 use crate::clock::Clock;
@@ -22,12 +22,12 @@
 use crate::table::{Row, RowKey, Table, Version};
 
 /// Pause between looks at idle grants.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// Longest pause between attempts to read the ledger.
-const MAX_READ_PAUSE: Duration = Duration::from_secs(2);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// What the keeper tells the rest of the router.
-pub trait Outbox: Clone + Send + Sync + 'static {
+pub trait GrantListener: Clone + Send + Sync + 'static {
     /// The table has these holds' bills.
     fn recorded(&self, holds: Vec<HoldId>);
     /// This incarnation was sealed by its witness: it holds nothing any more.
@@ -35,9 +35,9 @@
 }
 
 /// The keeper of one incarnation's grants.
-pub struct Keeper<T: Table, O: Outbox> {
-    me: ActorRef<Keeper<T, O>>,
-    parts: Parts<T, O>,
+pub struct GrantActor<T: Table, L: GrantListener> {
+    me: ActorRef<GrantActor<T, L>>,
+    deps: GrantActorArgs<T, L>,
     holder: Holder,
     version: Version,
     fenced: bool,
@@ -46,7 +46,7 @@
 
 /// What a keeper is made of.
 #[derive(Clone)]
-pub struct Parts<T: Table, O: Outbox> {
+pub struct GrantActorArgs<T: Table, L: GrantListener> {
     /// Reads the ledger.
     pub table: T,
     /// Writes the ledger.
@@ -60,27 +60,27 @@
     /// Time.
     pub clock: Clock,
     /// Where news go.
-    pub out: O,
+    pub grant_listener: L,
     /// Overrides the sizing policy, for experiments.
     pub sizing: Option<Sizing>,
     /// Routers that may hold parts of one budget.
     pub holders: u64,
 }
 
-impl<T: Table, O: Outbox> Actor for Keeper<T, O> {
-    type Args = Parts<T, O>;
+impl<T: Table, L: GrantListener> Actor for GrantActor<T, L> {
+    type Args = GrantActorArgs<T, L>;
     type Error = Infallible;
 
     async fn on_start(
-        parts: Parts<T, O>,
+        deps: GrantActorArgs<T, L>,
         me: ActorRef<Self>,
     ) -> std::result::Result<Self, Infallible> {
         tokio::spawn(tick(me.downgrade()));
-        let sizing = parts.sizing.unwrap_or(Sizing::ByRate { horizon: Millis(5_000) });
-        let version = parts.version;
-        Ok(Keeper {
+        let sizing = deps.sizing.unwrap_or(Sizing::ByRate { horizon: Millis(5_000) });
+        let version = deps.version;
+        Ok(GrantActor {
             me,
-            parts,
+            deps,
             holder: Holder::new(sizing),
             version,
             fenced: false,
@@ -89,9 +89,9 @@
     }
 }
 
-async fn tick<T: Table, O: Outbox>(me: WeakActorRef<Keeper<T, O>>) {
+async fn tick<T: Table, L: GrantListener>(me: WeakActorRef<GrantActor<T, L>>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let Some(me) = me.upgrade() else { return };
         if me.tell(Tick).await.is_err() {
             return;
@@ -101,22 +101,22 @@
 
 /// Holds tokens for a request.
 #[derive(Clone, Debug)]
-pub struct Hold {
+pub struct RequestHold {
     /// Whose tokens.
     pub budget: BudgetId,
     /// The largest cost.
     pub amount: Tokens,
     /// Whether to wait for a grant.
-    pub patient: bool,
+    pub wait_for_grant: bool,
 }
 
 /// A held request turned out not to run, or nobody waits for the hold any more.
 #[derive(Clone, Copy, Debug)]
-pub struct Cancel(pub HoldId);
+pub struct CancelHold(pub HoldId);
 
 /// A request ended with this bill.
 #[derive(Clone, Debug)]
-pub struct Settle {
+pub struct SettleHold {
     /// Its hold.
     pub hold: HoldId,
     /// Its cost, and who pays.
@@ -125,7 +125,7 @@
 
 /// No witness keeps a copy of this hold; may it go on the solo part?
 #[derive(Clone, Copy, Debug)]
-pub struct GoSolo(pub HoldId);
+pub struct MoveToSolo(pub HoldId);
 
 /// Gives back everything that is free.
 #[derive(Clone, Copy, Debug)]
@@ -137,11 +137,11 @@
 
 /// The holder row was written again.
 #[derive(Clone, Copy, Debug)]
-pub struct HolderVersion(pub Version);
+pub struct HolderRowVersion(pub Version);
 
 /// How many routers there are.
 #[derive(Clone, Copy, Debug)]
-pub struct Holders {
+pub struct SetRouterCounts {
     /// All that write to the ledger.
     pub routers: u64,
     /// Those that hold parts of one budget.
@@ -150,18 +150,18 @@
 
 /// What is held of a budget.
 #[derive(Clone, Debug)]
-pub struct UsageOf(pub BudgetId);
+pub struct GetUsage(pub BudgetId);
 
 /// State of the whole keeper.
 #[derive(Clone, Copy, Debug)]
-pub struct Totals;
+pub struct GetTotals;
 
 /// Counts for reports and for a graceful stop.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(kameo::Reply)]
-pub struct KeeperTotals {
+pub struct GrantTotals {
     /// Budgets with state here.
-    pub pockets: usize,
+    pub budgets: usize,
     /// Requests that hold tokens.
     pub holds: usize,
     /// Bills the table does not have yet.
@@ -173,42 +173,42 @@
 pub struct Fence;
 
 struct Tick;
-struct RowsRead(BudgetId, Result<Loaded>, Option<Version>);
+struct RowsRead(BudgetId, Result<LoadedRows>, Option<Version>);
 struct Written(BudgetId, Option<Version>);
 
-impl<T: Table, O: Outbox> Keeper<T, O> {
+impl<T: Table, L: GrantListener> GrantActor<T, L> {
     fn now(&self) -> Millis {
-        self.parts.clock.now()
+        self.deps.clock.now()
     }
 
     fn limit(&mut self, id: &BudgetId) -> Limit {
-        let cfg = self.parts.cfg.read().expect("the configuration lock is never poisoned");
+        let cfg = self.deps.cfg.read().expect("the configuration lock is never poisoned");
         let sizing =
-            self.parts.sizing.unwrap_or(Sizing::ByRate { horizon: cfg.fleet.grant_horizon });
-        self.holder.set_policy(sizing, cfg.fleet.solo_share.0, self.parts.holders);
+            self.deps.sizing.unwrap_or(Sizing::ByRate { horizon: cfg.fleet.grant_horizon });
+        self.holder.set_policy(sizing, cfg.fleet.solo_share.0, self.deps.holders);
         Limit {
             prepaid: cfg.budget(id).map_or(Tokens::ZERO, |b| b.prepaid),
             revision: cfg.revision,
         }
     }
 
-    fn run(&mut self, effects: Vec<Effect>) {
+    fn run_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Load(id) => self.load(id),
                 Effect::Write(id, change, budget, grant) => self.write(id, &change, budget, grant),
-                Effect::Tell(v) => self.tell_waiting(v.ticket, v.refused),
-                Effect::Recorded(holds) => self.parts.out.recorded(holds),
+                Effect::Notify(v) => self.reply_to_waiter(v.ticket, v.refused),
+                Effect::Recorded(holds) => self.deps.grant_listener.recorded(holds),
             }
         }
     }
 
-    fn tell_waiting(&mut self, ticket: HoldId, refused: Option<Kind>) {
-        let Ok(place) = self.waiting.binary_search_by(|(t, _)| t.cmp(&ticket)) else {
+    fn reply_to_waiter(&mut self, ticket: HoldId, refused: Option<Kind>) {
+        let Ok(index) = self.waiting.binary_search_by(|(t, _)| t.cmp(&ticket)) else {
             // Who waited is gone: the tokens must not stay held for nobody.
             return self.holder.cancel(ticket);
         };
-        let (_, tx) = self.waiting.remove(place);
+        let (_, tx) = self.waiting.remove(index);
         tx.send(match refused {
             None => Ok(ticket),
             Some(kind) => Err(refusal(kind)),
@@ -216,16 +216,22 @@
     }
 
     fn load(&self, id: BudgetId) {
-        let (me, parts) = (self.me.clone(), self.parts.clone());
-        let bills = self.holder.pending_of(&id);
+        let (me, deps) = (self.me.clone(), self.deps.clone());
+        let bills = self.holder.pending_bills_of(&id);
         tokio::spawn(async move {
-            let (rows, version) = read_until_known(&parts, &id, &bills).await;
+            let (rows, version) = read_rows_with_retry(&deps, &id, &bills).await;
             // A keeper that is gone needs no rows.
             let _ = me.tell(RowsRead(id, rows, version)).await;
         });
     }
 
-    fn write(&self, id: BudgetId, change: &Change, budget: Seen<BudgetRow>, grant: Seen<GrantRow>) {
+    fn write(
+        &self,
+        id: BudgetId,
+        change: &GrantChange,
+        budget: Versioned<BudgetRow>,
+        grant: Versioned<GrantRow>,
+    ) {
         log::debug!(
             "ledger=write budget={id} extend={} release={} bills={} close={}",
             change.extend,
@@ -234,13 +240,13 @@
             change.close
         );
         let mutation =
-            change.mutation(&self.parts.incarnation, Some(self.version), &id, budget, grant);
-        let (me, committer) = (self.me.clone(), self.parts.committer.clone());
+            change.mutation(&self.deps.incarnation, Some(self.version), &id, budget, grant);
+        let (me, committer) = (self.me.clone(), self.deps.committer.clone());
         tokio::spawn(async move {
             let version = loop {
                 match committer.write(mutation.clone()).await {
                     Ok(version) => break version,
-                    Err(_) => tokio::time::sleep(MAX_READ_PAUSE).await,
+                    Err(_) => tokio::time::sleep(MAX_RETRY_DELAY).await,
                 }
             };
             let _ = me.tell(Written(id, version)).await;
@@ -252,9 +258,9 @@
             return;
         }
         self.fenced = true;
-        log::warn!("holder=fenced incarnation={}", self.parts.incarnation);
+        log::warn!("holder=fenced incarnation={}", self.deps.incarnation);
         self.waiting.drain(..).for_each(|(_, tx)| tx.send(Err(refusal(Kind::Fenced))));
-        self.parts.out.fenced();
+        self.deps.grant_listener.fenced();
     }
 }
 
@@ -271,55 +277,62 @@
 
 /// Reads a budget's rows, again and again while the table is away: a pocket whose rows are
 /// unknown can do nothing else. Pauses carry jitter against a stampede on return.
-async fn read_until_known<T: Table, O: Outbox>(
-    parts: &Parts<T, O>,
+async fn read_rows_with_retry<T: Table, L: GrantListener>(
+    deps: &GrantActorArgs<T, L>,
     id: &BudgetId,
     bills: &[Bill],
-) -> (Result<Loaded>, Option<Version>) {
-    let mut pause = Duration::from_millis(50);
+) -> (Result<LoadedRows>, Option<Version>) {
+    let mut delay = Duration::from_millis(50);
     loop {
-        match read_rows(parts, id, bills).await {
+        match read_rows(deps, id, bills).await {
             Ok((loaded, version)) => return (Ok(loaded), version),
             Err(e) if e.kind == Kind::Fenced => return (Err(e), None),
             Err(e) => log::warn!("ledger=read_failed budget={id} error={:?}", e.message),
         }
-        tokio::time::sleep(pause.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
-        pause = (pause * 2).min(MAX_READ_PAUSE);
+        tokio::time::sleep(delay.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-async fn read_rows<T: Table, O: Outbox>(
-    parts: &Parts<T, O>,
+async fn read_rows<T: Table, L: GrantListener>(
+    deps: &GrantActorArgs<T, L>,
     id: &BudgetId,
     bills: &[Bill],
-) -> Result<(Loaded, Option<Version>)> {
-    let holder = holder_key(&parts.incarnation);
-    let (budget, grant) = (budget_key(id), grant_key(&parts.incarnation, id));
+) -> Result<(LoadedRows, Option<Version>)> {
+    let holder = holder_key(&deps.incarnation);
+    let (budget, grant) = (budget_key(id), grant_key(&deps.incarnation, id));
     let mut keys: Vec<RowKey> = vec![holder.clone(), budget.clone(), grant.clone()];
     keys.extend(bills.iter().map(bill_key));
-    let rows = parts.table.read(keys).await?;
+    let rows = deps.table.read(keys).await?;
     let find = |key: &RowKey| rows.iter().find(|r| r.key == *key);
     let version = match find(&holder) {
         Some(row) if row.decode::<HolderRow>()?.state == HolderState::Live => row.version,
         _ => return Err(refusal(Kind::Fenced)),
     };
     let billed = bills.iter().filter(|b| find(&bill_key(b)).is_some()).cloned().collect();
-    let loaded = Loaded { budget: seen(find(&budget))?, grant: seen(find(&grant))?, billed };
+    let loaded =
+        LoadedRows { budget: versioned(find(&budget))?, grant: versioned(find(&grant))?, billed };
     Ok((loaded, Some(version)))
 }
 
 /// A row with its version, or the default for none.
-pub fn seen<'a, R: Default + serde::Deserialize<'a>>(row: Option<&'a Row>) -> Result<Seen<R>> {
+pub fn versioned<'a, R: Default + serde::Deserialize<'a>>(
+    row: Option<&'a Row>,
+) -> Result<Versioned<R>> {
     match row {
-        Some(r) => Ok(Seen { version: Some(r.version), row: r.decode()? }),
-        None => Ok(Seen::default()),
+        Some(r) => Ok(Versioned { version: Some(r.version), row: r.decode()? }),
+        None => Ok(Versioned::default()),
     }
 }
 
-impl<T: Table, O: Outbox> Message<Hold> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<RequestHold> for GrantActor<T, L> {
     type Reply = DelegatedReply<Result<HoldId>>;
 
-    async fn handle(&mut self, msg: Hold, cx: &mut Context<Self, Self::Reply>) -> Self::Reply {
+    async fn handle(
+        &mut self,
+        msg: RequestHold,
+        cx: &mut Context<Self, Self::Reply>,
+    ) -> Self::Reply {
         let (reply, tx) = cx.reply_sender();
         let Some(tx) = tx else { return reply };
         if self.fenced {
@@ -328,106 +341,114 @@
         }
         let limit = self.limit(&msg.budget);
         let now = self.now();
-        let stuck = self.parts.committer.is_stuck();
-        let patient = msg.patient && !stuck;
-        let (admit, effects) =
-            self.holder.admit(now, &msg.budget, limit, msg.amount, Cover::Witness, patient);
+        let ledger_unavailable = self.deps.committer.is_stuck();
+        let wait_for_grant = msg.wait_for_grant && !ledger_unavailable;
+        let (admit, effects) = self.holder.admit(
+            now,
+            &msg.budget,
+            limit,
+            msg.amount,
+            Protection::Witness,
+            wait_for_grant,
+        );
         match admit {
-            Admit::Held(id) => tx.send(Ok(id)),
+            Admission::Held(id) => tx.send(Ok(id)),
             // Without the table it is not known whether the budget is exhausted.
-            Admit::Refused(_) if stuck => tx.send(Err(refusal(Kind::PlatformAway))),
-            Admit::Refused(kind) => tx.send(Err(refusal(kind))),
-            Admit::Wait(ticket) => self.waiting.push((ticket, tx)),
+            Admission::Refused(_) if ledger_unavailable => {
+                tx.send(Err(refusal(Kind::PlatformAway)))
+            }
+            Admission::Refused(kind) => tx.send(Err(refusal(kind))),
+            Admission::Wait(ticket) => self.waiting.push((ticket, tx)),
         }
-        self.run(effects);
+        self.run_effects(effects);
         reply
     }
 }
 
-impl<T: Table, O: Outbox> Message<Cancel> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<CancelHold> for GrantActor<T, L> {
     type Reply = ();
 
-    async fn handle(&mut self, msg: Cancel, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, msg: CancelHold, _: &mut Context<Self, ()>) {
         self.waiting.retain(|(t, _)| *t != msg.0);
         self.holder.cancel(msg.0);
     }
 }
 
-impl<T: Table, O: Outbox> Message<Settle> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<SettleHold> for GrantActor<T, L> {
     type Reply = Tokens;
 
-    async fn handle(&mut self, msg: Settle, _: &mut Context<Self, Tokens>) -> Tokens {
+    async fn handle(&mut self, msg: SettleHold, _: &mut Context<Self, Tokens>) -> Tokens {
         let now = self.now();
         let (excess, effects) = self.holder.settle(now, msg.hold, msg.bill);
-        self.run(effects);
+        self.run_effects(effects);
         excess
     }
 }
 
-impl<T: Table, O: Outbox> Message<GoSolo> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<MoveToSolo> for GrantActor<T, L> {
     type Reply = bool;
 
-    async fn handle(&mut self, msg: GoSolo, _: &mut Context<Self, bool>) -> bool {
-        self.holder.go_solo(msg.0)
+    async fn handle(&mut self, msg: MoveToSolo, _: &mut Context<Self, bool>) -> bool {
+        self.holder.move_to_solo(msg.0)
     }
 }
 
-impl<T: Table, O: Outbox> Message<ReleaseAll> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<ReleaseAll> for GrantActor<T, L> {
     type Reply = ();
 
     async fn handle(&mut self, _: ReleaseAll, _: &mut Context<Self, ()>) {
         let effects = self.holder.release_all(self.now());
-        self.run(effects);
+        self.run_effects(effects);
     }
 }
 
-impl<T: Table, O: Outbox> Message<Release> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<Release> for GrantActor<T, L> {
     type Reply = ();
 
     async fn handle(&mut self, msg: Release, _: &mut Context<Self, ()>) {
         let effects = self.holder.release(self.now(), &msg.0);
-        self.run(effects);
+        self.run_effects(effects);
     }
 }
 
-impl<T: Table, O: Outbox> Message<HolderVersion> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<HolderRowVersion> for GrantActor<T, L> {
     type Reply = ();
 
-    async fn handle(&mut self, msg: HolderVersion, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, msg: HolderRowVersion, _: &mut Context<Self, ()>) {
         self.version = self.version.max(msg.0);
     }
 }
 
-impl<T: Table, O: Outbox> Message<Holders> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<SetRouterCounts> for GrantActor<T, L> {
     type Reply = ();
 
-    async fn handle(&mut self, msg: Holders, _: &mut Context<Self, ()>) {
-        self.parts.holders = msg.holders;
+    async fn handle(&mut self, msg: SetRouterCounts, _: &mut Context<Self, ()>) {
+        self.deps.holders = msg.holders;
         self.holder.set_routers(msg.routers);
     }
 }
 
-impl<T: Table, O: Outbox> Message<UsageOf> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<GetUsage> for GrantActor<T, L> {
     type Reply = Usage;
 
-    async fn handle(&mut self, msg: UsageOf, _: &mut Context<Self, Usage>) -> Usage {
+    async fn handle(&mut self, msg: GetUsage, _: &mut Context<Self, Usage>) -> Usage {
         self.holder.usage(&msg.0)
     }
 }
 
-impl<T: Table, O: Outbox> Message<Totals> for Keeper<T, O> {
-    type Reply = KeeperTotals;
+impl<T: Table, L: GrantListener> Message<GetTotals> for GrantActor<T, L> {
+    type Reply = GrantTotals;
 
-    async fn handle(&mut self, _: Totals, _: &mut Context<Self, KeeperTotals>) -> KeeperTotals {
-        KeeperTotals {
-            pockets: self.holder.pockets(),
+    async fn handle(&mut self, _: GetTotals, _: &mut Context<Self, GrantTotals>) -> GrantTotals {
+        GrantTotals {
+            budgets: self.holder.budgets(),
             holds: self.holder.holds(),
             pending_bills: self.holder.pending_bills(),
         }
     }
 }
 
-impl<T: Table, O: Outbox> Message<Fence> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<Fence> for GrantActor<T, L> {
     type Reply = ();
 
     async fn handle(&mut self, _: Fence, _: &mut Context<Self, ()>) {
@@ -435,16 +456,16 @@
     }
 }
 
-impl<T: Table, O: Outbox> Message<Tick> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<Tick> for GrantActor<T, L> {
     type Reply = ();
 
     async fn handle(&mut self, _: Tick, _: &mut Context<Self, ()>) {
         let effects = self.holder.tick(self.now());
-        self.run(effects);
+        self.run_effects(effects);
     }
 }
 
-impl<T: Table, O: Outbox> Message<RowsRead> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<RowsRead> for GrantActor<T, L> {
     type Reply = ();
 
     async fn handle(&mut self, msg: RowsRead, _: &mut Context<Self, ()>) {
@@ -453,18 +474,18 @@
             Ok(loaded) => {
                 self.version = version.unwrap_or(self.version).max(self.version);
                 let effects = self.holder.loaded(self.now(), &id, loaded);
-                self.run(effects);
+                self.run_effects(effects);
             }
             Err(_) => self.fence(),
         }
     }
 }
 
-impl<T: Table, O: Outbox> Message<Written> for Keeper<T, O> {
+impl<T: Table, L: GrantListener> Message<Written> for GrantActor<T, L> {
     type Reply = ();
 
     async fn handle(&mut self, msg: Written, _: &mut Context<Self, ()>) {
         let effects = self.holder.changed(self.now(), &msg.0, msg.1);
-        self.run(effects);
+        self.run_effects(effects);
     }
 }
--- a/src/budget/pocket.rs
+++ b/src/budget/budget_state.rs
@@ -3,13 +3,13 @@
 use std::collections::VecDeque;
 
 use super::holder::{HoldId, Limit};
-use super::ledger::{Bill, BudgetRow, Change, GrantRow, Seen};
+use super::ledger::{Bill, BudgetRow, GrantChange, GrantRow, Versioned};
 use super::sizing::Rate;
 use crate::ids::{BudgetId, Millis, Tokens};
 
 /// Who covers a hold if this router dies.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Cover {
+pub enum Protection {
     /// A witness keeps a copy.
     Witness,
     /// Nobody: the tokens come out of the grant's solo part.
@@ -21,63 +21,63 @@
     pub(super) id: HoldId,
     pub(super) budget: BudgetId,
     pub(super) amount: Tokens,
-    pub(super) cover: Cover,
+    pub(super) protection: Protection,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiting {
     pub(super) ticket: HoldId,
     pub(super) amount: Tokens,
-    pub(super) cover: Cover,
+    pub(super) protection: Protection,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct PendingBill {
     pub(super) hold: HoldId,
-    pub(super) cover: Cover,
+    pub(super) protection: Protection,
     pub(super) bill: Bill,
 }
 
 /// One budget as this router holds it.
 #[derive(Debug)]
-pub(super) struct Pocket {
+pub(super) struct BudgetState {
     pub(super) id: BudgetId,
-    pub(super) budget: Seen<BudgetRow>,
-    pub(super) grant: Seen<GrantRow>,
+    pub(super) budget: Versioned<BudgetRow>,
+    pub(super) grant: Versioned<GrantRow>,
     /// Whether `budget` and `grant` were read from the table at all.
-    pub(super) known: bool,
+    pub(super) rows_known: bool,
     pub(super) limit: Limit,
     pub(super) held: Tokens,
     /// Bills made but not recorded.
     pub(super) unrecorded: Tokens,
     /// Held or billed without a witness, and not recorded.
-    pub(super) solo_out: Tokens,
+    pub(super) solo_used: Tokens,
     pub(super) waiting: VecDeque<Waiting>,
     pub(super) pending: VecDeque<PendingBill>,
-    pub(super) in_flight: Option<Change>,
+    pub(super) in_flight: Option<GrantChange>,
     /// The last change lost a race: it is made again at once, not with the next record.
     pub(super) retry: bool,
     pub(super) rate: Rate,
-    pub(super) used: Millis,
+    pub(super) last_used: Millis,
 }
 
-impl Pocket {
-    pub(super) fn new(id: BudgetId, now: Millis) -> Pocket {
-        Pocket {
+impl BudgetState {
+    pub(super) fn new(id: BudgetId, now: Millis) -> BudgetState {
+        BudgetState {
             id,
-            budget: Seen::default(),
-            grant: Seen::default(),
-            known: false,
+            budget: Versioned::default(),
+            grant: Versioned::default(),
+            rows_known: false,
             limit: Limit::default(),
             held: Tokens::ZERO,
             unrecorded: Tokens::ZERO,
-            solo_out: Tokens::ZERO,
+            solo_used: Tokens::ZERO,
             waiting: VecDeque::new(),
             pending: VecDeque::new(),
             in_flight: None,
             retry: false,
             rate: Rate::default(),
-            used: now,
+            last_used: now,
         }
     }
 
@@ -97,15 +97,15 @@
         if self.budget.row.floor > self.limit.revision { Tokens::ZERO } else { self.limit.prepaid }
     }
 
-    pub(super) fn can_hold(&self, amount: Tokens, cover: Cover) -> bool {
-        let solo_left = self.grant.row.solo.minus(self.solo_out);
-        amount <= self.free() && (cover == Cover::Witness || amount <= solo_left)
+    pub(super) fn can_hold(&self, amount: Tokens, protection: Protection) -> bool {
+        let solo_left = self.grant.row.solo.minus(self.solo_used);
+        amount <= self.free() && (protection == Protection::Witness || amount <= solo_left)
     }
 
-    pub(super) fn take(&mut self, amount: Tokens, cover: Cover) {
+    pub(super) fn reserve_tokens(&mut self, amount: Tokens, protection: Protection) {
         self.held = self.held.plus(amount);
-        if cover == Cover::Solo {
-            self.solo_out = self.solo_out.plus(amount);
+        if protection == Protection::Solo {
+            self.solo_used = self.solo_used.plus(amount);
         }
     }
 
--- a/src/budget/ledger.rs
+++ b/src/budget/ledger.rs
@@ -94,20 +94,20 @@
 }
 
 /// Prefix of all grants of a holder.
-pub fn grants_of(holder: &Incarnation) -> RowKey {
+pub fn grants_prefix(holder: &Incarnation) -> RowKey {
     format_compact!("grant/{holder}/")
 }
 
 /// Prefix of all holders.
-pub const HOLDERS: &str = "holder/";
+pub const HOLDERS_PREFIX: &str = "holder/";
 
 /// Row of a holder.
 pub fn holder_key(holder: &Incarnation) -> RowKey {
-    format_compact!("{HOLDERS}{holder}")
+    format_compact!("{HOLDERS_PREFIX}{holder}")
 }
 
 /// Prefix of all bills of an organisation.
-pub fn bills_of(organisation: &OrganisationId) -> RowKey {
+pub fn bills_prefix(organisation: &OrganisationId) -> RowKey {
     format_compact!("bill/{organisation}/")
 }
 
@@ -119,7 +119,7 @@
 
 /// A row as last seen, with its version; `None` for one that does not exist.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Seen<T> {
+pub struct Versioned<T> {
     /// Version of the row.
     pub version: Option<Version>,
     /// Its content, or the default.
@@ -128,7 +128,7 @@
 
 /// One change of a grant: bills recorded, tokens added or given back, all in one mutation.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Change {
+pub struct GrantChange {
     /// Bills to insert and settle.
     pub bills: Vec<Bill>,
     /// Tokens to add to the grant.
@@ -141,9 +141,9 @@
     pub close: bool,
 }
 
-impl Change {
+impl GrantChange {
     /// Whether the budget's row takes part.
-    pub fn moves_budget(&self) -> bool {
+    pub fn changes_budget_row(&self) -> bool {
         self.extend > Tokens::ZERO || self.release > Tokens::ZERO || self.close
     }
 
@@ -169,15 +169,15 @@
         holder: &Incarnation,
         fence: Option<Version>,
         id: &BudgetId,
-        budget: Seen<BudgetRow>,
-        grant: Seen<GrantRow>,
+        budget: Versioned<BudgetRow>,
+        grant: Versioned<GrantRow>,
     ) -> Mutation {
         let (budget_after, grant_after) = self.after(budget.row, grant.row);
         let mut m = Mutation::default().guard(grant_key(holder, id), grant.version);
         if fence.is_some() {
             m = m.guard(holder_key(holder), fence);
         }
-        if self.moves_budget() {
+        if self.changes_budget_row() {
             m = m.guard(budget_key(id), budget.version).put(budget_key(id), &budget_after);
         }
         m = match self.close {
--- a/src/budget/mod.rs
+++ b/src/budget/mod.rs
@@ -4,10 +4,10 @@
 //! - in the table, per budget: `closed + sum of granted <= prepaid`;
 //! - in a holder, per grant: `sum of bills + sum of holds <= granted`.
 
+pub mod actor;
+mod budget_state;
 pub mod holder;
-pub mod keeper;
 pub mod ledger;
-mod pocket;
 pub mod reclaim;
 pub mod sizing;
 pub mod witness;
--- a/src/budget/reclaim.rs
+++ b/src/budget/reclaim.rs
@@ -5,12 +5,13 @@
 
 use tokio::sync::mpsc;
 
+use super::actor::versioned;
 use super::holder::HoldId;
-use super::keeper::seen;
 use super::ledger::{
-    Bill, Change, HolderRow, HolderState, bill_key, budget_key, grant_key, grants_of, holder_key,
+    Bill, GrantChange, HolderRow, HolderState, bill_key, budget_key, grant_key, grants_prefix,
+    holder_key,
 };
-use super::witness::{Copy, Witness};
+use super::witness::{HoldCopy, Witness};
 use crate::engine::{Cancelled, Engine, Parts, Piece, RunUsage};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Incarnation, RunId, TargetId, Tokens};
@@ -18,20 +19,20 @@
 use crate::table::{Mutation, Table, read_one, scan_all};
 
 /// Pause between attempts to learn what became of a run.
-const ASK_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Bills recorded in one change.
-const FOLD_PAGE: usize = 100;
+const MAX_BILLS_PER_SETTLEMENT: usize = 100;
 /// Attempts before a run is left in doubt.
-const ASK_ATTEMPTS: u32 = 240;
+const MAX_QUERY_ATTEMPTS: u32 = 240;
 
 /// Finds a target's address.
-pub trait Addresses: Clone + Send + Sync + 'static {
+pub trait AddressLookup: Clone + Send + Sync + 'static {
     /// `ip:port` of a target, while it is known.
     fn addr(&self, target: &TargetId) -> Option<compact_str::CompactString>;
 }
 
 /// Asks backups for their seals.
-pub trait Seals: Clone + Send + Sync + 'static {
+pub trait BackupSealer: Clone + Send + Sync + 'static {
     /// Has `backup` refuse all later copies of `holder`, and tell those it has.
     ///
     /// # Errors
@@ -40,14 +41,14 @@
         &self,
         backup: &Incarnation,
         holder: &Incarnation,
-    ) -> impl Future<Output = Result<Vec<Copy>>> + Send;
+    ) -> impl Future<Output = Result<Vec<HoldCopy>>> + Send;
 }
 
 /// A witness at work for its dead wards.
 #[derive(Clone)]
-pub struct Reclaimer<T: Table, E: Engine, A: Addresses, S: Seals> {
+pub struct Reclaimer<T: Table, E: Engine, A: AddressLookup, S: BackupSealer> {
     /// Other routers.
-    pub seals: S,
+    pub sealer: S,
     /// The ledger.
     pub table: T,
     /// Writes the ledger.
@@ -59,29 +60,29 @@
     /// The copies.
     pub witness: Arc<Mutex<Witness>>,
     /// The incarnation that is the witness.
-    pub me: Incarnation,
+    pub own_incarnation: Incarnation,
 }
 
 /// A hold whose end is known.
-struct Adopted {
-    copy: Copy,
+struct ResolvedHold {
+    copy: HoldCopy,
     /// Its bill; `None`: it never ran, or is billed already.
     bill: Option<Bill>,
 }
 
-fn ended_usage(copy: &Copy) -> RunUsage {
+fn ended_usage(copy: &HoldCopy) -> RunUsage {
     RunUsage { prompt_tokens: 0, tokens: copy.bill.cost.0 }
 }
 
 /// What is known of a run after asking.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Evidence {
+enum RunStatus {
     Ended(RunUsage),
     NeverRan,
     Unknown,
 }
 
-impl<T: Table, E: Engine, A: Addresses, S: Seals> Reclaimer<T, E, A, S> {
+impl<T: Table, E: Engine, A: AddressLookup, S: BackupSealer> Reclaimer<T, E, A, S> {
     /// Seals `holder`, gives back what was provably unspent of its grants, and settles its runs
     /// one by one as evidence comes. Whether the holder was this witness's to reclaim.
     ///
@@ -92,19 +93,19 @@
     /// # Errors
     /// `PlatformAway`, `Io` or `Timeout`: nothing is given back until table and backup answer.
     pub async fn reclaim(&self, holder: &Incarnation) -> Result<bool> {
-        let Some(row) = self.own_row(holder).await? else {
+        let Some(row) = self.assigned_row(holder).await? else {
             // As its backup this router may have sealed it for the witness: that must stand.
             self.lock_witness().drop_unsealed(holder);
             return Ok(false);
         };
         // The backup first: while it cannot be reached, the holder may be well beside it, and
         // must find its witness open when the zones see each other again.
-        let theirs = match &row.backup {
-            Some(backup) => self.seals.seal_at(backup, holder).await?,
+        let backup_copies = match &row.backup {
+            Some(backup) => self.sealer.seal_at(backup, holder).await?,
             None => Vec::new(),
         };
         self.lock_witness().seal(holder);
-        self.lock_witness().merge(holder, theirs);
+        self.lock_witness().merge(holder, backup_copies);
         if !self.seal_row(holder, row.backup.as_ref()).await? {
             self.lock_witness().unseal(holder);
             return Ok(false);
@@ -112,15 +113,15 @@
         let copies = self.lock_witness().copies(holder).to_vec();
         log::info!("reclaim=start holder={holder} copies={}", copies.len());
         for budget in self.budgets_of(holder).await? {
-            self.fold_ended(holder, &budget, &copies).await?;
+            self.settle_ended_runs(holder, &budget, &copies).await?;
         }
         let (tx, rx) = mpsc::unbounded_channel();
         for copy in copies.into_iter().filter(|c| !c.ended) {
             let (reclaimer, tx) = (self.clone(), tx.clone());
-            tokio::spawn(async move { reclaimer.adopt(copy, tx).await });
+            tokio::spawn(async move { reclaimer.resolve_hold(copy, tx).await });
         }
         let (reclaimer, holder) = (self.clone(), holder.clone());
-        tokio::spawn(async move { reclaimer.settle_adopted(&holder, rx).await });
+        tokio::spawn(async move { reclaimer.settle_resolved(&holder, rx).await });
         Ok(true)
     }
 
@@ -128,15 +129,15 @@
         self.witness.lock().expect("no code panics while it holds the witness")
     }
 
-    fn is_mine(&self, row: &HolderRow) -> bool {
-        row.witness.as_ref() == Some(&self.me) && row.state != HolderState::Left
+    fn is_assigned(&self, row: &HolderRow) -> bool {
+        row.witness.as_ref() == Some(&self.own_incarnation) && row.state != HolderState::Left
     }
 
     /// The holder's row, if it names this witness.
-    async fn own_row(&self, holder: &Incarnation) -> Result<Option<HolderRow>> {
+    async fn assigned_row(&self, holder: &Incarnation) -> Result<Option<HolderRow>> {
         let Some(row) = read_one(&self.table, holder_key(holder)).await? else { return Ok(None) };
         let row: HolderRow = row.decode()?;
-        Ok(self.is_mine(&row).then_some(row))
+        Ok(self.is_assigned(&row).then_some(row))
     }
 
     /// Marks the holder as sealed. From then on every change of its own fails on its guard.
@@ -146,7 +147,7 @@
                 return Ok(false);
             };
             let mut value: HolderRow = row.decode()?;
-            if !self.is_mine(&value) || value.backup.as_ref() != backup {
+            if !self.is_assigned(&value) || value.backup.as_ref() != backup {
                 return Ok(false);
             }
             if value.state == HolderState::Sealed {
@@ -161,33 +162,33 @@
     }
 
     async fn budgets_of(&self, holder: &Incarnation) -> Result<Vec<BudgetId>> {
-        let prefix = grants_of(holder);
+        let prefix = grants_prefix(holder);
         let rows = scan_all(&self.table, prefix.clone()).await?;
         rows.iter().map(|r| r.key[prefix.len()..].parse()).collect()
     }
 
     /// Settles all ended runs of one grant together: one by one, each would wait for the write
     /// of the one before, as they change the same row.
-    async fn fold_ended(
+    async fn settle_ended_runs(
         &self,
         holder: &Incarnation,
         budget: &BudgetId,
-        copies: &[Copy],
+        copies: &[HoldCopy],
     ) -> Result<()> {
-        let own: Vec<&Copy> =
+        let own: Vec<&HoldCopy> =
             copies.iter().filter(|c| c.ended && c.bill.budget == *budget).collect();
-        for page in own.chunks(FOLD_PAGE) {
-            let bills: Vec<Bill> = page.iter().map(|c| self.bill(c, ended_usage(c))).collect();
-            let holds: Vec<HoldId> = page.iter().map(|c| c.hold).collect();
-            self.fold(holder, budget, &bills, &holds).await?;
+        for batch in own.chunks(MAX_BILLS_PER_SETTLEMENT) {
+            let bills: Vec<Bill> = batch.iter().map(|c| self.bill(c, ended_usage(c))).collect();
+            let holds: Vec<HoldId> = batch.iter().map(|c| c.hold).collect();
+            self.settle_grant(holder, budget, &bills, &holds).await?;
             self.lock_witness().forget(holder, &holds);
         }
-        self.fold(holder, budget, &[], &[]).await
+        self.settle_grant(holder, budget, &[], &[]).await
     }
 
     /// Records `bills`, of the holds `ended`, and brings a grant down to what is settled,
     /// outstanding or solo.
-    async fn fold(
+    async fn settle_grant(
         &self,
         holder: &Incarnation,
         budget: &BudgetId,
@@ -200,18 +201,18 @@
             keys.extend(bills.iter().map(bill_key));
             let rows = self.table.read(keys).await?;
             let find = |key| rows.iter().find(|r| r.key == key);
-            let (budget_row, grant_row) = (seen(find(bk))?, seen(find(gk))?);
+            let (budget_row, grant_row) = (versioned(find(bk))?, versioned(find(gk))?);
             if grant_row.version.is_none() {
                 return Ok(());
             }
             let new = bills.iter().filter(|b| find(bill_key(b)).is_none()).cloned().collect();
-            let mut change = Change { bills: new, ..Change::default() };
+            let mut change = GrantChange { bills: new, ..GrantChange::default() };
             let outstanding = self.lock_witness().outstanding(holder, budget, ended);
             let (_, after) = change.after(budget_row.row, grant_row.row);
             let needed = after.settled.plus(outstanding).plus(after.solo);
             change.release = after.granted.minus(needed);
             change.close = after.granted.minus(change.release) == after.settled;
-            if change == Change::default() {
+            if change == GrantChange::default() {
                 return Ok(());
             }
             let m = change.mutation(holder, None, budget, budget_row, grant_row);
@@ -225,24 +226,24 @@
         }
     }
 
-    async fn adopt(&self, copy: Copy, tx: mpsc::UnboundedSender<Adopted>) {
+    async fn resolve_hold(&self, copy: HoldCopy, tx: mpsc::UnboundedSender<ResolvedHold>) {
         if let Some(bill) = self.outcome(&copy).await {
             // The other end lives as long as this one.
-            let _ = tx.send(Adopted { copy, bill });
+            let _ = tx.send(ResolvedHold { copy, bill });
         }
     }
 
     /// Finds out what became of a run whose router died: its bill, or that there is none to make
     /// (`Some(None)`). Without evidence, `None`: the hold stays counted as spent.
-    pub async fn outcome(&self, copy: &Copy) -> Option<Option<Bill>> {
-        for _ in 0..ASK_ATTEMPTS {
-            match self.evidence(copy).await {
-                Ok(Evidence::Ended(u)) => return Some(Some(self.bill(copy, u))),
-                Ok(Evidence::NeverRan) => return Some(None),
-                Ok(Evidence::Unknown) => {}
+    pub async fn outcome(&self, copy: &HoldCopy) -> Option<Option<Bill>> {
+        for _ in 0..MAX_QUERY_ATTEMPTS {
+            match self.query_run(copy).await {
+                Ok(RunStatus::Ended(u)) => return Some(Some(self.bill(copy, u))),
+                Ok(RunStatus::NeverRan) => return Some(None),
+                Ok(RunStatus::Unknown) => {}
                 Err(e) => log::warn!("reclaim=ask run={} error={:?}", copy.bill.run, e.message),
             }
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         log::error!("reclaim=in_doubt run={} tokens={}", copy.bill.run, copy.amount);
         None
@@ -252,61 +253,65 @@
     ///
     /// A copy stays until its bill is recorded: another fold would otherwise give its tokens back
     /// and close the grant before the bill.
-    async fn settle_adopted(&self, holder: &Incarnation, mut rx: mpsc::UnboundedReceiver<Adopted>) {
-        let mut page = Vec::new();
-        while rx.recv_many(&mut page, FOLD_PAGE).await > 0 {
-            page.sort_by(|a, b| a.copy.bill.budget.cmp(&b.copy.bill.budget));
-            for group in page.chunk_by(|a, b| a.copy.bill.budget == b.copy.bill.budget) {
+    async fn settle_resolved(
+        &self,
+        holder: &Incarnation,
+        mut rx: mpsc::UnboundedReceiver<ResolvedHold>,
+    ) {
+        let mut batch = Vec::new();
+        while rx.recv_many(&mut batch, MAX_BILLS_PER_SETTLEMENT).await > 0 {
+            batch.sort_by(|a, b| a.copy.bill.budget.cmp(&b.copy.bill.budget));
+            for group in batch.chunk_by(|a, b| a.copy.bill.budget == b.copy.bill.budget) {
                 let bills: Vec<Bill> = group.iter().filter_map(|a| a.bill.clone()).collect();
                 let holds: Vec<HoldId> = group.iter().map(|a| a.copy.hold).collect();
                 let budget = &group[0].copy.bill.budget;
-                self.fold_until_done(holder, budget, &bills, &holds).await;
+                self.settle_grant_with_retry(holder, budget, &bills, &holds).await;
                 self.lock_witness().forget(holder, &holds);
             }
-            page.clear();
+            batch.clear();
         }
         log::info!("reclaim=done holder={holder}");
     }
 
-    async fn fold_until_done(
+    async fn settle_grant_with_retry(
         &self,
         holder: &Incarnation,
         budget: &BudgetId,
         bills: &[Bill],
         ended: &[HoldId],
     ) {
-        while let Err(e) = self.fold(holder, budget, bills, ended).await {
+        while let Err(e) = self.settle_grant(holder, budget, bills, ended).await {
             log::warn!("reclaim=fold holder={holder} error={:?}", e.message);
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    fn bill(&self, copy: &Copy, usage: RunUsage) -> Bill {
+    fn bill(&self, copy: &HoldCopy, usage: RunUsage) -> Bill {
         let cost = Tokens(usage.prompt_tokens).plus(Tokens(usage.tokens));
         Bill { cost: Tokens(cost.0.min(copy.amount.0)), ..copy.bill.clone() }
     }
 
-    async fn evidence(&self, copy: &Copy) -> Result<Evidence> {
+    async fn query_run(&self, copy: &HoldCopy) -> Result<RunStatus> {
         if copy.ended {
-            return Ok(Evidence::Ended(ended_usage(copy)));
+            return Ok(RunStatus::Ended(ended_usage(copy)));
         }
         // Another router ran the same request and billed it: this run is paid for.
         if read_one(&self.table, bill_key(&copy.bill)).await?.is_some() {
-            return Ok(Evidence::NeverRan);
+            return Ok(RunStatus::NeverRan);
         }
-        let Some(addr) = self.addresses.addr(&copy.target) else { return Ok(Evidence::Unknown) };
-        match self.usage_at_end(&addr, &copy.bill.run).await {
-            Err(e) if e.kind == Kind::RunLost => self.forbid(&addr, &copy.bill.run).await,
+        let Some(addr) = self.addresses.addr(&copy.target) else { return Ok(RunStatus::Unknown) };
+        match self.follow_to_end(&addr, &copy.bill.run).await {
+            Err(e) if e.kind == Kind::RunLost => self.cancel_run(&addr, &copy.bill.run).await,
             other => other,
         }
     }
 
     /// Follows a run to its end.
-    async fn usage_at_end(&self, addr: &str, run: &RunId) -> Result<Evidence> {
+    async fn follow_to_end(&self, addr: &str, run: &RunId) -> Result<RunStatus> {
         let mut parts = self.engine.resume(addr, run, 0).await?;
         while let Some(part) = parts.next().await? {
             if let (true, Piece::End(usage)) = (part.run == *run, part.piece) {
-                return Ok(Evidence::Ended(usage));
+                return Ok(RunStatus::Ended(usage));
             }
         }
         Err(Error::new(Kind::RunLost, "the run broke off"))
@@ -314,10 +319,10 @@
 
     /// The target does not know the run. Before its tokens are released, the target is told never
     /// to start it: a holder that was paused before its dispatch may still send it.
-    async fn forbid(&self, addr: &str, run: &RunId) -> Result<Evidence> {
+    async fn cancel_run(&self, addr: &str, run: &RunId) -> Result<RunStatus> {
         Ok(match self.engine.cancel(addr, run).await? {
-            Cancelled::NeverRan => Evidence::NeverRan,
-            Cancelled::Stopped(usage) | Cancelled::Ended(usage) => Evidence::Ended(usage),
+            Cancelled::NeverRan => RunStatus::NeverRan,
+            Cancelled::Stopped(usage) | Cancelled::Ended(usage) => RunStatus::Ended(usage),
         })
     }
 }
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -7,8 +7,8 @@
 
 use super::Config;
 use super::revision::{Document, Edit, Head, LedgerCheck, RevisionRow};
-use crate::budget::keeper::seen;
-use crate::budget::ledger::{BudgetRow, Seen, budget_key};
+use crate::budget::actor::versioned;
+use crate::budget::ledger::{BudgetRow, Versioned, budget_key};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Revision};
 use crate::table::{Mutation, Outcome, Platform, Row, RowKey, Table, Txn, Version, read_one};
@@ -58,8 +58,8 @@
 ///
 /// # Errors
 /// `PlatformAway`, or `BadFormat` for a row that cannot be read.
-pub async fn read_head<T: Table>(table: &T) -> Result<Seen<Head>> {
-    seen(read_one(table, HEAD).await?.as_ref())
+pub async fn read_head<T: Table>(table: &T) -> Result<Versioned<Head>> {
+    versioned(read_one(table, HEAD).await?.as_ref())
 }
 
 /// Reads revisions after `from`, a page at most.
@@ -306,7 +306,7 @@
     follower: &Follower,
     cfg: &RwLock<Config>,
     s: &Submission,
-    head: &Seen<Head>,
+    head: &Versioned<Head>,
 ) -> Result<Txn> {
     let checks = {
         let cfg = cfg.read().expect("the configuration lock is never poisoned");
@@ -343,7 +343,7 @@
     let mut m = m;
     for c in page {
         let key = budget_key(&c.budget);
-        let was: Seen<BudgetRow> = seen(rows.iter().find(|r| r.key == key))?;
+        let was: Versioned<BudgetRow> = versioned(rows.iter().find(|r| r.key == key))?;
         if let Some(prepaid) = c.prepaid
             && was.row.committed > prepaid
         {
--- a/src/experiment/budget.rs
+++ b/src/experiment/budget.rs
@@ -9,8 +9,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::budget::keeper::seen;
-use crate::budget::ledger::{Bill, BudgetRow, GrantRow, Seen, budget_key};
+use crate::budget::actor::versioned;
+use crate::budget::ledger::{Bill, BudgetRow, GrantRow, Versioned, budget_key};
 use crate::budget::sizing::Sizing;
 use crate::error::{Kind, Result};
 use crate::ids::{BudgetId, Digest, OrganisationId, Tokens, ZoneId};
@@ -502,7 +502,8 @@
     let memory = &fleet.net.memory;
     let grants = scan_all(memory, "grant/").await?;
     for b in &fleet.config().budgets {
-        let row: Seen<BudgetRow> = seen(read_one(memory, budget_key(&b.id)).await?.as_ref())?;
+        let row: Versioned<BudgetRow> =
+            versioned(read_one(memory, budget_key(&b.id)).await?.as_ref())?;
         let mut sum = row.row.closed;
         for g in grants.iter().filter(|g| g.key.ends_with(&format!("/{}", b.id))) {
             sum = sum.plus(g.decode::<GrantRow>()?.granted);
--- a/src/experiment/capacity.rs
+++ b/src/experiment/capacity.rs
@@ -8,8 +8,8 @@
 use kameo::actor::Spawn;
 use serde::Serialize;
 
+use crate::budget::actor::{CancelHold, GrantActor, GrantActorArgs, GrantListener, RequestHold};
 use crate::budget::holder::HoldId;
-use crate::budget::keeper::{Cancel, Hold, Keeper, Outbox, Parts};
 use crate::budget::ledger::{HolderRow, HolderState, holder_key};
 use crate::clock::Clock;
 use crate::config::Config;
@@ -172,7 +172,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Nowhere;
 
-impl Outbox for Nowhere {
+impl GrantListener for Nowhere {
     fn recorded(&self, _: Vec<HoldId>) {}
     fn fenced(&self) {}
 }
@@ -200,14 +200,14 @@
     }
     let bad = |f: Vec<_>| crate::config::ini::findings_error("capacity", &f);
     let cfg = Arc::new(RwLock::new(parse(&text).map_err(bad)?));
-    let keeper = Keeper::spawn(Parts {
+    let keeper = GrantActor::spawn(GrantActorArgs {
         table: memory.clone(),
         committer: Committer::start(memory, &incarnation, Duration::from_millis(5)),
         incarnation,
         version: crate::table::Version(1),
         cfg,
         clock: Clock::start(),
-        out: Nowhere,
+        grant_listener: Nowhere,
         sizing: Some(crate::budget::sizing::Sizing::Fixed(Tokens(1_000_000))),
         holders: 1,
     });
@@ -216,14 +216,15 @@
         for i in 0..HOLDS.max(n) {
             let budget = format!("o/b{}", i % n).parse()?;
             let began = Instant::now();
-            let held = keeper.ask(Hold { budget, amount: Tokens(10), patient: true }).await;
+            let held =
+                keeper.ask(RequestHold { budget, amount: Tokens(10), wait_for_grant: true }).await;
             if round == 1 {
                 // Histograms resize by themselves; a record cannot fail.
                 let _ = h.record(began.elapsed().as_nanos() as u64);
             }
             if let Ok(hold) = held {
                 // A keeper that is gone would show in the next answer.
-                let _ = keeper.tell(Cancel(hold)).await;
+                let _ = keeper.tell(CancelHold(hold)).await;
             }
         }
     }
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -10,7 +10,7 @@
 use super::view::Entry;
 use crate::budget::holder::HoldId;
 use crate::budget::ledger::Bill;
-use crate::budget::witness::Copy;
+use crate::budget::witness::HoldCopy;
 use crate::config::revision::RevisionRow;
 use crate::engine::ServiceAnswer;
 use crate::error::{Error, Result};
@@ -32,7 +32,7 @@
         /// The holder.
         holder: Incarnation,
         /// New or newer copies.
-        copies: Vec<Copy>,
+        copies: Vec<HoldCopy>,
     },
     /// Forget copies: the table has them, or nothing ran.
     Forget {
@@ -64,7 +64,7 @@
         /// The largest cost.
         amount: Tokens,
         /// The bill as it would be, and where it runs.
-        copy: Copy,
+        copy: HoldCopy,
     },
     /// A borrowed hold's run goes to another target.
     Move {
@@ -106,7 +106,7 @@
 
 impl Found {
     /// What a copy tells.
-    pub fn of_copy(copy: &Copy) -> Found {
+    pub fn of_copy(copy: &HoldCopy) -> Found {
         let run = Some((copy.bill.run.clone(), copy.target.clone()));
         Found { content: copy.bill.content, run, service: None }
     }
@@ -124,7 +124,7 @@
     /// What is known of a request.
     Found(Option<Found>),
     /// Copies of a sealed holder.
-    Copies(Vec<Copy>),
+    Copies(Vec<HoldCopy>),
     /// So much is free.
     Free(Tokens),
     /// Tokens are held under this number.
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -1,5 +1,5 @@
 //! What becomes of one request: its stages, its answer, and the table of runs.
 
 pub mod answer;
-pub mod life;
 pub mod runs;
+pub mod stage;
--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -161,7 +161,7 @@
     loop {
         session.release_all().await;
         let totals = session.totals().await;
-        let empty = totals.pending_bills == 0 && totals.pockets == 0;
+        let empty = totals.pending_bills == 0 && totals.budgets == 0;
         if empty || Instant::now() >= limit {
             break;
         }
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -17,8 +17,8 @@
 use crate::membership::view::Entry;
 use crate::membership::wire::{Ask, Found, Mesh, Reply};
 use crate::request::answer::Taken;
-use crate::request::life::{Next, Repeatable, Stage, after_failure};
 use crate::request::runs::{End, Run};
+use crate::request::stage::{Next, Repeatable, Stage, after_failure};
 use crate::route::picker::Choice;
 use crate::table::Platform;
 
--- a/src/router/drive_call.rs
+++ b/src/router/drive_call.rs
@@ -16,8 +16,8 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Incarnation, RunId, TargetId, Tokens};
 use crate::membership::wire::Mesh;
-use crate::request::life::{Next, Repeatable, Stage, after_failure};
 use crate::request::runs::{End, Run};
+use crate::request::stage::{Next, Repeatable, Stage, after_failure};
 use crate::route::picker::Choice;
 use crate::table::{Mutation, Platform, RowKey, Version, read_one};
 
--- a/src/router/node.rs
+++ b/src/router/node.rs
@@ -7,9 +7,9 @@
 
 use super::gates::Gates;
 use super::session::Session;
-use crate::budget::reclaim::{Addresses, Reclaimer, Seals};
+use crate::budget::reclaim::{AddressLookup, BackupSealer, Reclaimer};
 use crate::budget::sizing::Sizing;
-use crate::budget::witness::{Copy, Witness};
+use crate::budget::witness::{HoldCopy, Witness};
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::config::settings::Settings;
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct PickerAddresses(pub Arc<Mutex<Picker>>);
 
-impl Addresses for PickerAddresses {
+impl AddressLookup for PickerAddresses {
     fn addr(&self, target: &TargetId) -> Option<compact_str::CompactString> {
         self.0.lock().expect("no code panics while it holds the picker").addr(target)
     }
@@ -42,8 +42,8 @@
     known: Vec<Entry>,
 }
 
-impl<M: Mesh> Seals for MeshSeals<M> {
-    async fn seal_at(&self, backup: &Incarnation, holder: &Incarnation) -> Result<Vec<Copy>> {
+impl<M: Mesh> BackupSealer for MeshSeals<M> {
+    async fn seal_at(&self, backup: &Incarnation, holder: &Incarnation) -> Result<Vec<HoldCopy>> {
         let unknown = || Error::new(Kind::Io, format!("backup {backup} is not known"));
         let to = self.known.iter().find(|e| e.incarnation == *backup).ok_or_else(unknown)?;
         match self
@@ -312,13 +312,13 @@
         let session = self.session();
         let known = self.lock_view().known(self.now()).into_iter().map(|(e, _)| e).collect();
         Reclaimer {
-            seals: MeshSeals { mesh: self.mesh.clone(), known },
+            sealer: MeshSeals { mesh: self.mesh.clone(), known },
             table: self.platform.clone(),
             committer: session.committer.clone(),
             engine: self.engine.clone(),
             addresses: PickerAddresses(self.picker.clone()),
             witness: self.witness.clone(),
-            me: session.incarnation.clone(),
+            own_incarnation: session.incarnation.clone(),
         }
     }
 }
--- a/src/router/session.rs
+++ b/src/router/session.rs
@@ -11,14 +11,14 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-use crate::budget::holder::{HoldId, Usage};
-use crate::budget::keeper::{
-    Cancel, Fence, GoSolo, Hold, HolderVersion, Holders, Keeper, KeeperTotals, Outbox, Parts,
-    Release, ReleaseAll, Settle, Totals, UsageOf,
+use crate::budget::actor::{
+    CancelHold, Fence, GetTotals, GetUsage, GrantActor, GrantActorArgs, GrantListener, GrantTotals,
+    HolderRowVersion, MoveToSolo, Release, ReleaseAll, RequestHold, SetRouterCounts, SettleHold,
 };
+use crate::budget::holder::{HoldId, Usage};
 use crate::budget::ledger::{Bill, HolderRow, HolderState, holder_key};
 use crate::budget::sizing::Sizing;
-use crate::budget::witness::Copy;
+use crate::budget::witness::HoldCopy;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::error::{Error, Kind, Result};
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub struct NewsTx(pub mpsc::UnboundedSender<News>);
 
-impl Outbox for NewsTx {
+impl GrantListener for NewsTx {
     fn recorded(&self, holds: Vec<HoldId>) {
         // A router that is gone wants no news.
         let _ = self.0.send(News::Recorded(holds));
@@ -108,8 +108,8 @@
 }
 
 impl Purpose {
-    fn copy(&self, hold: HoldId) -> Copy {
-        Copy {
+    fn copy(&self, hold: HoldId) -> HoldCopy {
+        HoldCopy {
             hold,
             amount: self.amount,
             bill: self.bill.clone(),
@@ -125,7 +125,7 @@
     pub incarnation: Incarnation,
     /// Its writes.
     pub committer: Committer,
-    keeper: ActorRef<Keeper<P, NewsTx>>,
+    keeper: ActorRef<GrantActor<P, NewsTx>>,
     mesh: M,
     watch: RwLock<Watch>,
     /// Routers that did not answer a copy; others are chosen without waiting for their death.
@@ -133,7 +133,7 @@
     changed: Notify,
     row: Mutex<(HolderRow, Version)>,
     /// Copies that a witness must have: those of all holds and unrecorded bills.
-    copies: Mutex<Vec<Copy>>,
+    copies: Mutex<Vec<HoldCopy>>,
     next_run: AtomicU64,
     /// Budgets whose tokens were called home lately.
     searched: Mutex<Vec<(BudgetId, Arc<SearchGate>)>>,
@@ -177,14 +177,14 @@
             || Error::new(Kind::Conflict, format!("incarnation {} exists", parts.incarnation));
         let version = written.ok_or_else(exists)?;
         let (tx, rx) = mpsc::unbounded_channel();
-        let keeper = Keeper::spawn(Parts {
+        let keeper = GrantActor::spawn(GrantActorArgs {
             table: parts.platform,
             committer: committer.clone(),
             incarnation: parts.incarnation.clone(),
             version,
             cfg: parts.cfg,
             clock: parts.clock,
-            out: NewsTx(tx),
+            grant_listener: NewsTx(tx),
             sizing: parts.sizing,
             holders: 1,
         });
@@ -269,9 +269,9 @@
         self: &Arc<Self>,
         budget: &BudgetId,
         amount: Tokens,
-        patient: bool,
+        wait_for_grant: bool,
     ) -> Result<HoldId> {
-        let msg = Hold { budget: budget.clone(), amount, patient };
+        let msg = RequestHold { budget: budget.clone(), amount, wait_for_grant };
         let (tx, rx) = tokio::sync::oneshot::channel();
         let session = self.clone();
         // The verdict may come after the request stopped waiting: then the hold is undone here.
@@ -288,7 +288,7 @@
 
     async fn keeper_cancel(&self, hold: HoldId) {
         // A keeper that is gone holds nothing.
-        let _ = self.keeper.tell(Cancel(hold)).await;
+        let _ = self.keeper.tell(CancelHold(hold)).await;
     }
 
     async fn cover_or_cancel(&self, hold: HoldId, purpose: &Purpose) -> Result<HoldId> {
@@ -301,7 +301,7 @@
         }
     }
 
-    fn remember(&self, copy: &Copy) {
+    fn remember(&self, copy: &HoldCopy) {
         let mut copies = self.copies.lock().expect("never poisoned");
         match copies.binary_search_by(|c| c.hold.cmp(&copy.hold)) {
             Ok(place) => copies[place] = copy.clone(),
@@ -314,7 +314,7 @@
     ///
     /// # Errors
     /// `Fenced` when this incarnation is sealed, `PlatformAway` when there is no cover.
-    pub async fn cover(&self, copy: Copy) -> Result<()> {
+    pub async fn cover(&self, copy: HoldCopy) -> Result<()> {
         let (hold, run, amount) = (copy.hold, copy.bill.run.clone(), copy.amount);
         let changed = self.changed.notified();
         let first = match self.send_copy(copy.clone()).await {
@@ -322,7 +322,7 @@
             Err(e) if e.kind == Kind::Fenced => return Err(e),
             Err(e) => e,
         };
-        if let Ok(true) = self.keeper.ask(GoSolo(hold)).await {
+        if let Ok(true) = self.keeper.ask(MoveToSolo(hold)).await {
             log::info!("cover=solo run={run} hold={} amount={amount}", hold.0);
             return Ok(());
         }
@@ -339,7 +339,7 @@
     ///
     /// The copy is remembered before it is looked up who keeps copies. A change of witness does
     /// it the other way round, so no copy falls between the two.
-    async fn send_copy(&self, copy: Copy) -> Result<()> {
+    async fn send_copy(&self, copy: HoldCopy) -> Result<()> {
         self.remember(&copy);
         let copies = vec![copy];
         match self.watch() {
@@ -352,7 +352,7 @@
     }
 
     /// Gives copies to one of a pair: a reclaim needs the seals of both, so either is enough.
-    async fn give(&self, pair: Option<&Pair>, copies: Vec<Copy>) -> Result<()> {
+    async fn give(&self, pair: Option<&Pair>, copies: Vec<HoldCopy>) -> Result<()> {
         let Some(pair) = pair else { return Ok(()) };
         let mut members: Vec<&Entry> = pair.members().collect();
         let suspects = self.suspects();
@@ -427,7 +427,7 @@
         copy.amount = Tokens(purpose.amount.0.max(cost.0));
         // Without a reply the witness still has the hold, and learns the cost from the target.
         let _ = self.send_copy(copy).await;
-        match self.keeper.ask(Settle { hold: held.hold, bill }).await {
+        match self.keeper.ask(SettleHold { hold: held.hold, bill }).await {
             Ok(excess) if excess > Tokens::ZERO => {
                 log::warn!("bill=capped run={} excess={excess}", purpose.bill.run);
             }
@@ -484,7 +484,7 @@
         let (witness, backup) = (named(&row.witness), named(&row.backup));
         log::info!("witness=chosen holder={} witness={witness} backup={backup}", self.incarnation);
         *self.row.lock().expect("never poisoned") = (row, version);
-        let _ = self.keeper.tell(HolderVersion(version)).await;
+        let _ = self.keeper.tell(HolderRowVersion(version)).await;
         self.set_watch(Watch::By(to));
         self.changed.notify_waiters();
         Ok(())
@@ -519,17 +519,17 @@
 
     /// Tells the keeper how many routers there are, and how many hold parts of one budget.
     pub async fn set_holders(&self, routers: u64, holders: u64) {
-        let _ = self.keeper.tell(Holders { routers, holders }).await;
+        let _ = self.keeper.tell(SetRouterCounts { routers, holders }).await;
     }
 
     /// What is held of a budget.
     pub async fn usage(&self, budget: BudgetId) -> Usage {
-        self.keeper.ask(UsageOf(budget)).await.unwrap_or_default()
+        self.keeper.ask(GetUsage(budget)).await.unwrap_or_default()
     }
 
     /// Counts over all budgets.
-    pub async fn totals(&self) -> KeeperTotals {
-        self.keeper.ask(Totals).await.unwrap_or_default()
+    pub async fn totals(&self) -> GrantTotals {
+        self.keeper.ask(GetTotals).await.unwrap_or_default()
     }
 
     /// Copies that a witness should have.
@@ -538,7 +538,7 @@
     }
 }
 
-fn flatten(e: SendError<Hold, Error>) -> Error {
+fn flatten(e: SendError<RequestHold, Error>) -> Error {
     match e {
         SendError::HandlerError(e) => e,
         _ => Error::new(Kind::Fenced, "the keeper of this incarnation is gone"),
--- a/src/router/session/loans.rs
+++ b/src/router/session/loans.rs
@@ -6,10 +6,10 @@
 use tokio::time::Instant;
 
 use super::{Held, Purpose, Session};
+use crate::budget::actor::SettleHold;
 use crate::budget::holder::HoldId;
-use crate::budget::keeper::Settle;
 use crate::budget::ledger::Bill;
-use crate::budget::witness::Copy;
+use crate::budget::witness::HoldCopy;
 use crate::error::Result;
 use crate::ids::{BudgetId, Tokens};
 use crate::membership::view::Entry;
@@ -113,7 +113,7 @@
         self: &Arc<Self>,
         budget: &BudgetId,
         amount: Tokens,
-        mut copy: Copy,
+        mut copy: HoldCopy,
     ) -> Result<HoldId> {
         let hold = self.hold(budget, amount, false).await?;
         copy.hold = hold;
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// As [`Session::cover`].
-    pub async fn lent_moved(&self, hold: HoldId, mut copy: Copy) -> Result<()> {
+    pub async fn lent_moved(&self, hold: HoldId, mut copy: HoldCopy) -> Result<()> {
         copy.hold = hold;
         self.cover(copy).await
     }
@@ -138,7 +138,7 @@
         match bill {
             None => self.undo(hold).await,
             Some(bill) => {
-                let msg = Settle { hold, bill };
+                let msg = SettleHold { hold, bill };
                 let _ = self.keeper.ask(msg).await;
             }
         }
--- a/src/router/tasks.rs
+++ b/src/router/tasks.rs
@@ -11,8 +11,8 @@
 use super::node::Node;
 use super::session::{News, Pair, Session, SessionParts, Watch};
 use crate::budget::holder::HoldId;
-use crate::budget::ledger::{HOLDERS, HolderRow, HolderState};
-use crate::budget::witness::Copy;
+use crate::budget::ledger::{HOLDERS_PREFIX, HolderRow, HolderState};
+use crate::budget::witness::HoldCopy;
 use crate::config::ServiceKind;
 use crate::engine::Engine;
 use crate::error::{Kind, Result};
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 struct Loan {
     hold: HoldId,
-    copy: Copy,
+    copy: HoldCopy,
     settling: bool,
 }
 
@@ -57,12 +57,12 @@
     }
 
     /// A hold was lent.
-    pub fn lent(&self, hold: HoldId, copy: Copy) {
+    pub fn lent(&self, hold: HoldId, copy: HoldCopy) {
         self.lock().push(Loan { hold, copy, settling: false });
     }
 
     /// A lent hold's run goes to another target; `None` when the loan is settled or about to be.
-    pub fn moved(&self, hold: HoldId, target: TargetId) -> Option<Copy> {
+    pub fn moved(&self, hold: HoldId, target: TargetId) -> Option<HoldCopy> {
         let mut loans = self.lock();
         let loan = loans.iter_mut().find(|l| l.hold == hold && !l.settling)?;
         loan.copy.target = target;
@@ -70,7 +70,7 @@
     }
 
     /// A lent hold is dealt with; `None` when it was already.
-    pub fn repaid(&self, hold: HoldId) -> Option<Copy> {
+    pub fn repaid(&self, hold: HoldId) -> Option<HoldCopy> {
         let mut loans = self.lock();
         let place = loans.iter().position(|l| l.hold == hold)?;
         Some(loans.swap_remove(place).copy)
@@ -83,7 +83,7 @@
         found.map(|l| l.settling = true).is_some()
     }
 
-    fn all(&self) -> Vec<(HoldId, Copy)> {
+    fn all(&self) -> Vec<(HoldId, HoldCopy)> {
         self.lock().iter().map(|l| (l.hold, l.copy.clone())).collect()
     }
 
@@ -308,8 +308,8 @@
 /// # Errors
 /// `PlatformAway`, or `BadFormat` for a row that cannot be read.
 pub async fn read_holders<P: Platform>(platform: &P) -> Result<Vec<(Incarnation, HolderRow)>> {
-    let rows = scan_all(platform, HOLDERS).await?;
-    rows.iter().map(|r| Ok((r.key[HOLDERS.len()..].parse()?, r.decode()?))).collect()
+    let rows = scan_all(platform, HOLDERS_PREFIX).await?;
+    rows.iter().map(|r| Ok((r.key[HOLDERS_PREFIX.len()..].parse()?, r.decode()?))).collect()
 }
 
 fn entry_of(incarnation: Incarnation, row: HolderRow) -> Entry {
--- a/tests/test_answer.rs
+++ b/tests/test_answer.rs
@@ -3,7 +3,7 @@
 use kingcupwall::engine::{Part, Piece, RunUsage};
 use kingcupwall::error::{Kind, NotRun};
 use kingcupwall::request::answer::{Assembler, Taken};
-use kingcupwall::request::life::{Next, Repeatable, Stage, after_failure, not_run};
+use kingcupwall::request::stage::{Next, Repeatable, Stage, after_failure, not_run};
 use rstest::rstest;
 
 use crate::workdir::name;
--- a/tests/test_budget_holder.rs
+++ b/tests/test_budget_holder.rs
@@ -1,7 +1,9 @@
 //! The grants of one router, event by event.
 
-use kingcupwall::budget::holder::{Admit, Cover, Effect, HoldId, Holder, Limit, Loaded, Verdict};
-use kingcupwall::budget::ledger::{BudgetRow, Seen};
+use kingcupwall::budget::holder::{
+    Admission, Effect, HoldId, Holder, Limit, LoadedRows, Protection, WaitResult,
+};
+use kingcupwall::budget::ledger::{BudgetRow, Versioned};
 use kingcupwall::budget::sizing::Sizing;
 use kingcupwall::error::Kind;
 use kingcupwall::ids::{BudgetId, Millis, Revision, Tokens};
@@ -25,14 +27,14 @@
 }
 
 /// Carries out effects against a ledger that accepts everything, and returns the verdicts.
-fn carry_out(h: &mut Holder, mut effects: Vec<Effect>, rows: &Loaded) -> Vec<Verdict> {
+fn carry_out(h: &mut Holder, mut effects: Vec<Effect>, rows: &LoadedRows) -> Vec<WaitResult> {
     let mut out = Vec::new();
     while !effects.is_empty() {
         for e in std::mem::take(&mut effects) {
             match e {
                 Effect::Load(id) => effects.extend(h.loaded(NOW, &id, rows.clone())),
                 Effect::Write(id, ..) => effects.extend(h.changed(NOW, &id, Some(Version(1)))),
-                Effect::Tell(v) => out.push(v),
+                Effect::Notify(v) => out.push(v),
                 Effect::Recorded(_) => {}
             }
         }
@@ -40,14 +42,14 @@
     out
 }
 
-fn admit(h: &mut Holder, prepaid: u64, amount: u64, rows: &Loaded) -> Result<HoldId, Kind> {
+fn admit(h: &mut Holder, prepaid: u64, amount: u64, rows: &LoadedRows) -> Result<HoldId, Kind> {
     let (admit, effects) =
-        h.admit(NOW, &id(), limit(prepaid), Tokens(amount), Cover::Witness, true);
+        h.admit(NOW, &id(), limit(prepaid), Tokens(amount), Protection::Witness, true);
     let told = carry_out(h, effects, rows);
     match admit {
-        Admit::Held(hold) => Ok(hold),
-        Admit::Refused(kind) => Err(kind),
-        Admit::Wait(ticket) => {
+        Admission::Held(hold) => Ok(hold),
+        Admission::Refused(kind) => Err(kind),
+        Admission::Wait(ticket) => {
             let v = told.iter().find(|v| v.ticket == ticket).expect("every wait gets a verdict");
             v.refused.map_or(Ok(ticket), Err)
         }
@@ -61,14 +63,14 @@
 #[case::largest(u64::MAX, u64::MAX, true)]
 fn admit_edges(#[case] prepaid: u64, #[case] amount: u64, #[case] admitted: bool) {
     let mut h = holder();
-    assert_eq!(admit(&mut h, prepaid, amount, &Loaded::default()).is_ok(), admitted);
+    assert_eq!(admit(&mut h, prepaid, amount, &LoadedRows::default()).is_ok(), admitted);
     assert!(h.usage(&id()).granted <= Tokens(prepaid));
 }
 
 #[test]
 fn admit_until_exhausted() {
     let mut h = holder();
-    let held = (0..20).filter(|_| admit(&mut h, 100, 7, &Loaded::default()).is_ok()).count();
+    let held = (0..20).filter(|_| admit(&mut h, 100, 7, &LoadedRows::default()).is_ok()).count();
     assert_eq!(held, 14);
     assert!(h.usage(&id()).granted <= Tokens(100));
 }
@@ -79,7 +81,10 @@
     // The prepaid amount is lowered, and a router that has not heard of it grants under the old.
     // The budget's row names the lowering revision, and nothing is granted under an older one.
     let row = BudgetRow { committed: Tokens(50), closed: Tokens(50), floor: Revision(2) };
-    let rows = Loaded { budget: Seen { version: Some(Version(9)), row }, ..Loaded::default() };
+    let rows = LoadedRows {
+        budget: Versioned { version: Some(Version(9)), row },
+        ..LoadedRows::default()
+    };
     assert_eq!(admit(&mut holder(), 1_000, 10, &rows), Err(Kind::BudgetExhausted));
 }
 
@@ -87,7 +92,7 @@
 fn settle_capped_at_hold() {
     // A target that reports more tokens than were asked for must not overspend the budget.
     let mut h = holder();
-    let hold = admit(&mut h, 1_000, 10, &Loaded::default()).unwrap();
+    let hold = admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     let (excess, _) = h.settle(NOW, hold, bill("k", "r", 25));
     assert_eq!(excess, Tokens(15));
     assert_eq!(h.usage(&id()).unrecorded, Tokens(10));
@@ -97,7 +102,7 @@
 fn settle_twice() {
     // A repeated end must not free or bill anything again.
     let mut h = holder();
-    let hold = admit(&mut h, 1_000, 10, &Loaded::default()).unwrap();
+    let hold = admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     h.settle(NOW, hold, bill("k", "r", 4));
     h.settle(NOW, hold, bill("k", "r", 4));
     h.cancel(hold);
@@ -110,13 +115,13 @@
     // A router cut off from its witness may spend its solo part, and not a token more.
     let mut h = holder();
     h.set_policy(Sizing::Fixed(Tokens(200)), 500, 1);
-    let a = admit(&mut h, 1_000, 80, &Loaded::default()).unwrap();
-    let b = admit(&mut h, 1_000, 30, &Loaded::default()).unwrap();
+    let a = admit(&mut h, 1_000, 80, &LoadedRows::default()).unwrap();
+    let b = admit(&mut h, 1_000, 30, &LoadedRows::default()).unwrap();
     assert_eq!(h.usage(&id()).granted, Tokens(200));
-    assert!(h.go_solo(a));
-    assert!(!h.go_solo(b), "80 and 30 are more than the solo part of 100");
-    h.covered(a);
-    assert!(h.go_solo(b), "a witness has the first one now");
+    assert!(h.move_to_solo(a));
+    assert!(!h.move_to_solo(b), "80 and 30 are more than the solo part of 100");
+    h.mark_witnessed(a);
+    assert!(h.move_to_solo(b), "a witness has the first one now");
 }
 
 #[test]
@@ -125,7 +130,7 @@
     // Two routers ran it; the other's bill is in the table when this one's is written.
     // The insert's guard fails, the row is found, and the cost comes back as free.
     let mut h = holder();
-    let hold = admit(&mut h, 1_000, 10, &Loaded::default()).unwrap();
+    let hold = admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     let free = h.usage(&id()).free;
     h.settle(NOW, hold, bill("k", "r", 4));
     let effects = h.tick(Millis(NOW.0 + 1));
@@ -133,10 +138,10 @@
     assert_eq!(h.changed(NOW, &id(), None), vec![Effect::Load(id())]);
     let granted = h.usage(&id()).granted;
     let grant = kingcupwall::budget::ledger::GrantRow { granted, ..Default::default() };
-    let rows = Loaded {
-        grant: Seen { version: Some(Version(3)), row: grant },
+    let rows = LoadedRows {
+        grant: Versioned { version: Some(Version(3)), row: grant },
         billed: vec![bill("k", "other", 4)],
-        ..Loaded::default()
+        ..LoadedRows::default()
     };
     let effects = h.loaded(NOW, &id(), rows);
     assert!(effects.contains(&Effect::Recorded(vec![hold])));
@@ -148,25 +153,25 @@
 fn tick_idle_budget_is_dropped() {
     // 290,000 budgets, ten thousand in use: the others must cost nothing.
     let mut h = holder();
-    let hold = admit(&mut h, 1_000, 10, &Loaded::default()).unwrap();
+    let hold = admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     let (_, effects) = h.settle(NOW, hold, bill("k", "r", 4));
-    carry_out(&mut h, effects, &Loaded::default());
+    carry_out(&mut h, effects, &LoadedRows::default());
     for s in 1..80 {
         let effects = h.tick(Millis(NOW.0 + s * 1_000));
-        carry_out(&mut h, effects, &Loaded::default());
+        carry_out(&mut h, effects, &LoadedRows::default());
     }
-    assert_eq!((h.pockets(), h.holds(), h.pending_bills()), (0, 0, 0));
+    assert_eq!((h.budgets(), h.holds(), h.pending_bills()), (0, 0, 0));
 }
 
 #[test]
 fn admit_clock_steps_back() {
     // An instance's clock steps back an hour; admission goes on as before.
     let mut h = holder();
-    admit(&mut h, 1_000, 10, &Loaded::default()).unwrap();
+    admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     let earlier = Millis(NOW.0 - 3_600_000);
-    let (a, effects) = h.admit(earlier, &id(), limit(1_000), Tokens(10), Cover::Witness, true);
-    carry_out(&mut h, effects, &Loaded::default());
-    assert!(!matches!(a, Admit::Refused(_)));
+    let (a, effects) = h.admit(earlier, &id(), limit(1_000), Tokens(10), Protection::Witness, true);
+    carry_out(&mut h, effects, &LoadedRows::default());
+    assert!(!matches!(a, Admission::Refused(_)));
 }
 
 #[test]
@@ -175,14 +180,16 @@
     // Routers that extend grants of one budget at the same time undo each other's records, and
     // each waits for its next common record. Who lost a race tries again at once.
     let mut h = holder();
-    let hold = admit(&mut h, 1_000, 10, &Loaded::default()).unwrap();
+    let hold = admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     h.settle(NOW, hold, bill("k", "r", 4));
     h.tick(Millis(NOW.0 + 10));
     h.changed(NOW, &id(), None);
     let grant =
         kingcupwall::budget::ledger::GrantRow { granted: Tokens(100), ..Default::default() };
-    let rows =
-        Loaded { grant: Seen { version: Some(Version(3)), row: grant }, ..Loaded::default() };
+    let rows = LoadedRows {
+        grant: Versioned { version: Some(Version(3)), row: grant },
+        ..LoadedRows::default()
+    };
     let effects = h.loaded(NOW, &id(), rows);
     assert!(effects.iter().any(|e| matches!(e, Effect::Write(_, c, ..) if c.bills.len() == 1)));
 }
--- a/tests/test_budget_random.rs
+++ b/tests/test_budget_random.rs
@@ -1,8 +1,10 @@
 //! Random schedules of several holders, their witnesses and one ledger. After every step both
 //! invariants are checked.
 
-use kingcupwall::budget::holder::{Admit, Cover, Effect, HoldId, Holder, Limit, Loaded};
-use kingcupwall::budget::ledger::{Bill, BudgetRow, Change, GrantRow, Seen};
+use kingcupwall::budget::holder::{
+    Admission, Effect, HoldId, Holder, Limit, LoadedRows, Protection,
+};
+use kingcupwall::budget::ledger::{Bill, BudgetRow, GrantChange, GrantRow, Versioned};
 use kingcupwall::budget::sizing::Sizing;
 use kingcupwall::ids::{BudgetId, Digest, Millis, Revision, Tokens};
 use kingcupwall::table::Version;
@@ -17,7 +19,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// A request of this size at this holder.
-    Admit(usize, u64),
+    Admission(usize, u64),
     /// The oldest request of a holder ends at this share of its hold.
     End(usize, u64),
     /// The oldest request of a holder turns out not to run.
@@ -37,7 +39,7 @@
 fn step() -> impl Strategy<Value = Step> {
     let h = 0..HOLDERS;
     prop_oneof![
-        8 => (h.clone(), 1..60_u64).prop_map(|(h, n)| Step::Admit(h, n)),
+        8 => (h.clone(), 1..60_u64).prop_map(|(h, n)| Step::Admission(h, n)),
         6 => (h.clone(), 0..=100_u64).prop_map(|(h, n)| Step::End(h, n)),
         1 => h.clone().prop_map(Step::Cancel),
         12 => h.clone().prop_map(Step::Carry),
@@ -56,7 +58,7 @@
     running: Vec<(HoldId, Tokens)>,
     /// Copies at the witness: hold, amount or cost.
     copies: Vec<(HoldId, Tokens)>,
-    grant: Seen<GrantRow>,
+    grant: Versioned<GrantRow>,
     alive: bool,
 }
 
@@ -65,7 +67,7 @@
     revision: u64,
     now: Millis,
     version: u64,
-    budget: Seen<BudgetRow>,
+    budget: Versioned<BudgetRow>,
     ones: Vec<One>,
     spent: Tokens,
     next_key: u64,
@@ -85,7 +87,7 @@
             late: None,
             running: Vec::new(),
             copies: Vec::new(),
-            grant: Seen::default(),
+            grant: Versioned::default(),
             alive: true,
         };
         World {
@@ -93,7 +95,7 @@
             revision: 1,
             now: Millis(1_000_000),
             version: 0,
-            budget: Seen::default(),
+            budget: Versioned::default(),
             ones: (0..HOLDERS).map(one).collect(),
             spent: Tokens::ZERO,
             next_key: 0,
@@ -103,7 +105,7 @@
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Admit(h, n) => self.admit(h, Tokens(n)),
+            Step::Admission(h, n) => self.admit(h, Tokens(n)),
             Step::End(h, share) => self.end(h, share),
             Step::Cancel(h) => self.cancel(h),
             Step::Carry(h) => self.carry(h, false),
@@ -124,12 +126,13 @@
         if !one.alive {
             return;
         }
-        let (admit, effects) = one.holder.admit(now, &id(), limit, amount, Cover::Witness, true);
+        let (admit, effects) =
+            one.holder.admit(now, &id(), limit, amount, Protection::Witness, true);
         one.effects.extend(effects);
         match admit {
-            Admit::Held(hold) => one.start(hold, amount),
-            Admit::Wait(ticket) => one.copies.push((ticket, amount)),
-            Admit::Refused(_) => {}
+            Admission::Held(hold) => one.start(hold, amount),
+            Admission::Wait(ticket) => one.copies.push((ticket, amount)),
+            Admission::Refused(_) => {}
         }
     }
 
@@ -150,9 +153,9 @@
             run: name("r"),
             cost,
         };
-        let place =
+        let index =
             one.copies.iter().position(|(c, _)| *c == hold).expect("a running hold has a copy");
-        one.copies[place].1 = cost;
+        one.copies[index].1 = cost;
         let (_, effects) = one.holder.settle(self.now, hold, bill);
         one.effects.extend(effects);
     }
@@ -181,8 +184,11 @@
         }
         match self.ones[h].effects.remove(0) {
             Effect::Load(id) => {
-                let loaded =
-                    Loaded { budget: self.budget, grant: self.ones[h].grant, billed: Vec::new() };
+                let loaded = LoadedRows {
+                    budget: self.budget,
+                    grant: self.ones[h].grant,
+                    billed: Vec::new(),
+                };
                 let effects = self.ones[h].holder.loaded(now, &id, loaded);
                 self.ones[h].effects.extend(effects);
             }
@@ -195,7 +201,7 @@
                 let effects = self.ones[h].holder.changed(now, &id, version);
                 self.ones[h].effects.extend(effects);
             }
-            Effect::Tell(v) => self.ones[h].told(v.ticket, v.refused.is_none()),
+            Effect::Notify(v) => self.ones[h].told(v.ticket, v.refused.is_none()),
             Effect::Recorded(holds) => self.ones[h].copies.retain(|(c, _)| !holds.contains(c)),
         }
     }
@@ -204,22 +210,25 @@
     fn write(
         &mut self,
         h: usize,
-        change: &Change,
-        budget: Seen<BudgetRow>,
-        grant: Seen<GrantRow>,
+        change: &GrantChange,
+        budget: Versioned<BudgetRow>,
+        grant: Versioned<GrantRow>,
     ) -> Option<Version> {
-        let stale = change.moves_budget() && budget.version != self.budget.version;
+        let stale = change.changes_budget_row() && budget.version != self.budget.version;
         if (stale || grant.version != self.ones[h].grant.version) && !self.blind {
             return None;
         }
         self.version += 1;
         let version = Version(self.version);
         let (b, g) = change.after(budget.row, grant.row);
-        if change.moves_budget() {
-            self.budget = Seen { version: Some(version), row: b };
+        if change.changes_budget_row() {
+            self.budget = Versioned { version: Some(version), row: b };
         }
-        self.ones[h].grant =
-            if change.close { Seen::default() } else { Seen { version: Some(version), row: g } };
+        self.ones[h].grant = if change.close {
+            Versioned::default()
+        } else {
+            Versioned { version: Some(version), row: g }
+        };
         Some(version)
     }
 
@@ -247,7 +256,7 @@
         let after =
             BudgetRow { committed: b.committed.minus(back), closed: b.closed.plus(needed), ..b };
         if one.grant.version.is_some() {
-            self.budget = Seen { version: Some(Version(self.version)), row: after };
+            self.budget = Versioned { version: Some(Version(self.version)), row: after };
         }
         *one = One {
             holder: Holder::new(Sizing::ByRate { horizon: Millis(2_000) }),
@@ -255,7 +264,7 @@
             late: None,
             running: Vec::new(),
             copies: Vec::new(),
-            grant: Seen::default(),
+            grant: Versioned::default(),
             alive: true,
         };
     }
@@ -290,8 +299,8 @@
     }
 
     fn told(&mut self, ticket: HoldId, held: bool) {
-        let Some(place) = self.copies.iter().position(|(c, _)| *c == ticket) else { return };
-        let (_, amount) = self.copies.remove(place);
+        let Some(index) = self.copies.iter().position(|(c, _)| *c == ticket) else { return };
+        let (_, amount) = self.copies.remove(index);
         if held {
             self.start(ticket, amount);
         }
@@ -299,7 +308,7 @@
 }
 
 fn tells(e: &Effect, hold: HoldId) -> bool {
-    matches!(e, Effect::Tell(v) if v.ticket == hold)
+    matches!(e, Effect::Notify(v) if v.ticket == hold)
 }
 
 fn runner(cases: u32) -> TestRunner {
--- a/tests/test_budget_reclaim.rs
+++ b/tests/test_budget_reclaim.rs
@@ -3,14 +3,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+use kingcupwall::budget::actor::versioned;
 use kingcupwall::budget::holder::HoldId;
-use kingcupwall::budget::keeper::seen;
 use kingcupwall::budget::ledger::{
-    BudgetRow, Change, GrantRow, HolderRow, HolderState, Seen, bill_key, budget_key, grant_key,
-    holder_key,
+    BudgetRow, GrantChange, GrantRow, HolderRow, HolderState, Versioned, bill_key, budget_key,
+    grant_key, holder_key,
 };
 use kingcupwall::budget::reclaim::Reclaimer;
-use kingcupwall::budget::witness::{Copy, Witness};
+use kingcupwall::budget::witness::{HoldCopy, Witness};
 use kingcupwall::error::Kind;
 use kingcupwall::ids::{BudgetId, Incarnation, Tokens};
 use kingcupwall::table::committer::Committer;
@@ -28,8 +28,8 @@
     budget: BudgetId,
 }
 
-fn copy(hold: u64, key: &str, run: &str, amount: u64) -> Copy {
-    Copy {
+fn copy(hold: u64, key: &str, run: &str, amount: u64) -> HoldCopy {
+    HoldCopy {
         hold: HoldId(hold),
         amount: Tokens(amount),
         bill: bill(key, run, 0),
@@ -59,31 +59,32 @@
     let engine = FakeEngine::default();
     let backup = FakeBackup::default();
     let reclaimer = Reclaimer {
-        seals: backup.clone(),
+        sealer: backup.clone(),
         table: memory.clone(),
         committer: Committer::start(memory.clone(), &name("w@1"), Duration::from_millis(10)),
         engine: engine.clone(),
         addresses: Anywhere,
         witness: Arc::new(Mutex::new(Witness::default())),
-        me: name("w@1"),
+        own_incarnation: name("w@1"),
     };
     World { memory, engine, reclaimer, backup, holder, budget }
 }
 
 impl World {
-    fn keep(&self, c: Copy) -> Result<(), kingcupwall::error::Error> {
+    fn keep(&self, c: HoldCopy) -> Result<(), kingcupwall::error::Error> {
         self.reclaimer.witness.lock().unwrap().keep(&self.holder, c)
     }
 
     async fn budget_row(&self) -> BudgetRow {
-        let row: Seen<BudgetRow> =
-            seen(read_one(&self.memory, budget_key(&self.budget)).await.unwrap().as_ref()).unwrap();
+        let row: Versioned<BudgetRow> =
+            versioned(read_one(&self.memory, budget_key(&self.budget)).await.unwrap().as_ref())
+                .unwrap();
         row.row
     }
 
-    async fn grant(&self) -> Seen<GrantRow> {
+    async fn grant(&self) -> Versioned<GrantRow> {
         let key = grant_key(&self.holder, &self.budget);
-        seen(read_one(&self.memory, key).await.unwrap().as_ref()).unwrap()
+        versioned(read_one(&self.memory, key).await.unwrap().as_ref()).unwrap()
     }
 
     async fn has_bill(&self, key: &str) -> bool {
@@ -146,9 +147,10 @@
     let w = world(0).await;
     let row = read_one(&w.memory, holder_key(&w.holder)).await.unwrap().unwrap();
     w.reclaim_and_settle().await;
-    let change = Change { extend: Tokens(50), ..Change::default() };
-    let budget = seen(read_one(&w.memory, budget_key(&w.budget)).await.unwrap().as_ref()).unwrap();
-    let m = change.mutation(&w.holder, Some(row.version), &w.budget, budget, Seen::default());
+    let change = GrantChange { extend: Tokens(50), ..GrantChange::default() };
+    let budget =
+        versioned(read_one(&w.memory, budget_key(&w.budget)).await.unwrap().as_ref()).unwrap();
+    let m = change.mutation(&w.holder, Some(row.version), &w.budget, budget, Versioned::default());
     let outcome = w.memory.write(Txn { id: "late".into(), mutations: vec![m] }).await.unwrap();
     assert_eq!(outcome, Outcome::Conflict(vec![0]));
 }
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -4,12 +4,12 @@
 
 use kingcupwall::budget::holder::HoldId;
 use kingcupwall::budget::ledger::Bill;
-use kingcupwall::budget::witness::Copy;
+use kingcupwall::budget::witness::HoldCopy;
 use kingcupwall::error::Kind;
 use kingcupwall::experiment::budget::{BudgetPolicy, Workload, ledger_adds_up, run_one};
 use kingcupwall::ids::{Digest, Incarnation, OrganisationId, RequestKey, Tokens};
 use kingcupwall::membership::wire::{Ask, Mesh};
-use kingcupwall::request::life::Repeatable;
+use kingcupwall::request::stage::Repeatable;
 use kingcupwall::standin::batch::{expected_token, natural_length};
 use kingcupwall::standin::local::{Process, TargetFate};
 use kingcupwall::standin::local_fleet::{LocalFleet, LocalRequest, Setup};
@@ -194,7 +194,7 @@
     let mut bill = bill("claim-1", "gone@1.1", 5);
     bill.content = Digest::of(b"body");
     let copy =
-        Copy { hold: HoldId(1), amount: Tokens(5), bill, target: name("t-a-0"), ended: false };
+        HoldCopy { hold: HoldId(1), amount: Tokens(5), bill, target: name("t-a-0"), ended: false };
     f.places[0].node.witness.lock().unwrap().keep(&owner, copy).unwrap();
     let began = tokio::time::Instant::now();
     let e = f
--- a/tests/workdir.rs
+++ b/tests/workdir.rs
@@ -5,8 +5,8 @@
 
 use compact_str::CompactString;
 use kingcupwall::budget::ledger::Bill;
-use kingcupwall::budget::reclaim::{Addresses, Seals};
-use kingcupwall::budget::witness::{Copy, Witness};
+use kingcupwall::budget::reclaim::{AddressLookup, BackupSealer};
+use kingcupwall::budget::witness::{HoldCopy, Witness};
 use kingcupwall::engine::{
     Cancelled, Engine, LoadReport, Order, Part, Parts, Piece, RunUsage, ServiceAnswer, ServiceCall,
     StartRun,
@@ -135,7 +135,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Anywhere;
 
-impl Addresses for Anywhere {
+impl AddressLookup for Anywhere {
     fn addr(&self, _: &TargetId) -> Option<CompactString> {
         Some(CompactString::const_new("127.0.0.1:1"))
     }
@@ -150,8 +150,8 @@
     pub away: Arc<Mutex<bool>>,
 }
 
-impl Seals for FakeBackup {
-    async fn seal_at(&self, _: &Incarnation, holder: &Incarnation) -> Result<Vec<Copy>> {
+impl BackupSealer for FakeBackup {
+    async fn seal_at(&self, _: &Incarnation, holder: &Incarnation) -> Result<Vec<HoldCopy>> {
         match *self.away.lock().unwrap() {
             true => Err(Error::new(Kind::Timeout, "the fake backup is away")),
             false => Ok(self.witness.lock().unwrap().seal(holder)),
