--- a/src/api/chat.rs
+++ b/src/api/chat.rs
@@ -19,7 +19,7 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, RequestKey, ServiceId, Tokens};
 use crate::membership::wire::Mesh;
-use crate::request::runs::{End, Run};
+use crate::request::runs::{Run, RunEnd};
 use crate::router::drive::{Job, open_run};
 use crate::router::gates::Visitor;
 use crate::router::node::{Counts, Node};
@@ -82,7 +82,7 @@
     first_progress(&run, &mut rx, from).await;
     let mut resp = match (run.view(0).end, req.stream) {
         // A stream that failed before its first token is a plain refusal.
-        (Some(End::Failed(e)), _) if run.len() <= from => e.into_response(),
+        (Some(RunEnd::Failed(e)), _) if run.len() <= from => e.into_response(),
         (_, true) => {
             let rolling = resume.map(|at| check_resume(&run, at)).transpose()?;
             respond(run, rx, rolling.unwrap_or_else(Rolling::default), service)
@@ -202,7 +202,7 @@
         rx.borrow_and_update();
         let view = run.view(0);
         match view.end {
-            Some(End::Whole(usage, digest)) => {
+            Some(RunEnd::Complete(usage, digest)) => {
                 let body = json!({
                     "object": "chat.completion",
                     "model": service,
@@ -216,8 +216,8 @@
                 });
                 return Json(body).into_response();
             }
-            Some(End::Failed(e)) => return e.into_response(),
-            Some(End::Service(_)) => {
+            Some(RunEnd::Failed(e)) => return e.into_response(),
+            Some(RunEnd::Service(_)) => {
                 return Error::new(Kind::KeyReused, "this key belongs to a call").into_response();
             }
             None => {}
--- a/src/api/service.rs
+++ b/src/api/service.rs
@@ -16,7 +16,7 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, ServiceId};
 use crate::membership::wire::Mesh;
-use crate::request::runs::{End, Run};
+use crate::request::runs::{Run, RunEnd};
 use crate::request::stage::Repeatable;
 use crate::router::drive_call::{CallJob, open_call};
 use crate::router::node::{Counts, Node};
@@ -84,9 +84,9 @@
     loop {
         rx.borrow_and_update();
         match run.view(usize::MAX).end {
-            Some(End::Service(answer)) => return Ok(answer),
-            Some(End::Failed(e)) => return Err(e),
-            Some(End::Whole(..)) => {
+            Some(RunEnd::Service(answer)) => return Ok(answer),
+            Some(RunEnd::Failed(e)) => return Err(e),
+            Some(RunEnd::Complete(..)) => {
                 return Err(Error::new(Kind::KeyReused, "this key belongs to a model request"));
             }
             None => {}
--- a/src/api/sse.rs
+++ b/src/api/sse.rs
@@ -16,7 +16,7 @@
 
 use super::error_body;
 use crate::error::{Error, Kind, Result};
-use crate::request::runs::{End, Run};
+use crate::request::runs::{Run, RunEnd};
 
 /// A place in an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -131,7 +131,7 @@
 }
 
 impl State {
-    fn render(&mut self, tokens: &[CompactString], end: Option<End>) -> String {
+    fn render(&mut self, tokens: &[CompactString], end: Option<RunEnd>) -> String {
         let mut out = String::new();
         if !tokens.is_empty() {
             self.rolling.extend(tokens);
@@ -146,7 +146,7 @@
         let Some(end) = end else { return out };
         self.over = true;
         out += &match end {
-            End::Whole(usage, digest) => {
+            RunEnd::Complete(usage, digest) => {
                 let last = json!({
                     "object": "chat.completion.chunk",
                     "model": self.service,
@@ -156,8 +156,8 @@
                 });
                 format!("data: {last}\n\ndata: [DONE]\n\n")
             }
-            End::Failed(e) => format!("event: error\ndata: {}\n\n", error_body(&e)),
-            End::Service(_) => String::new(),
+            RunEnd::Failed(e) => format!("event: error\ndata: {}\n\n", error_body(&e)),
+            RunEnd::Service(_) => String::new(),
         };
         out
     }
--- a/src/experiment/capacity.rs
+++ b/src/experiment/capacity.rs
@@ -21,7 +21,7 @@
 use crate::membership::frame::encode;
 use crate::membership::view::{Entry, View};
 use crate::membership::wire::Ask;
-use crate::route::picker::{Listed, Picker, Policy};
+use crate::route::picker::{ListedTarget, Picker, Policy};
 use crate::table::committer::Committer;
 use crate::table::memory::Memory;
 use crate::table::{Mutation, Table, Txn};
@@ -79,13 +79,13 @@
     const PICKS: u32 = 20_000;
     let now = Millis(1_000_000);
     let mut picker = Picker::new(Policy::Sampled, zone(0), 7);
-    let listed = |i: u64| Listed {
+    let listed = |i: u64| ListedTarget {
         id: format!("t{i}").parse().expect("a valid name"),
         addr: "127.0.0.1:1".into(),
         zone: zone(i % 22),
         leaving: false,
     };
-    let list: Vec<Listed> = (0..n).map(listed).collect();
+    let list: Vec<ListedTarget> = (0..n).map(listed).collect();
     picker.set_list(list.clone());
     for l in &list {
         let report = LoadReport { slots: 16, serves: vec!["m".into()], ..LoadReport::default() };
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -8,24 +8,24 @@
 
 /// What a piece did to the answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum PieceResult {
     /// The answer grew.
-    Grew,
+    Appended,
     /// The piece is of another run, or was here already. Dropped.
     Dropped,
     /// The answer is whole.
-    Whole(RunUsage),
+    Complete(RunUsage),
 }
 
 /// The tokens of one answer, in order, without holes.
 #[derive(Clone, Debug, Default)]
-pub struct Assembler {
+pub struct AnswerAssembler {
     tokens: Vec<CompactString>,
     /// Pieces that were late, doubled or of another run.
     pub dropped: u64,
 }
 
-impl Assembler {
+impl AnswerAssembler {
     /// The tokens so far.
     pub fn tokens(&self) -> &[CompactString] {
         &self.tokens
@@ -36,16 +36,16 @@
     /// # Errors
     /// `TargetFailed` for a hole, or an end that does not match the tokens: the stream cannot be
     /// trusted and has to be fetched again.
-    pub fn take(&mut self, run: &RunId, part: Part) -> Result<Taken> {
+    pub fn append_part(&mut self, run: &RunId, part: Part) -> Result<PieceResult> {
         if part.run != *run {
             self.dropped += 1;
-            return Ok(Taken::Dropped);
+            return Ok(PieceResult::Dropped);
         }
         let have = self.tokens.len() as u64;
         match part.piece {
             Piece::Token { offset, .. } if offset < have => {
                 self.dropped += 1;
-                Ok(Taken::Dropped)
+                Ok(PieceResult::Dropped)
             }
             Piece::Token { offset, .. } if offset > have => {
                 let message = format!("token {offset} came, {have} was expected");
@@ -53,14 +53,14 @@
             }
             Piece::Token { text, .. } => {
                 self.tokens.push(text);
-                Ok(Taken::Grew)
+                Ok(PieceResult::Appended)
             }
             Piece::End(usage) if usage.tokens != have => {
                 let message =
                     format!("the target ended at token {}, {have} are here", usage.tokens);
                 Err(Error::new(Kind::TargetFailed, message))
             }
-            Piece::End(usage) => Ok(Taken::Whole(usage)),
+            Piece::End(usage) => Ok(PieceResult::Complete(usage)),
         }
     }
 
--- a/src/request/runs.rs
+++ b/src/request/runs.rs
@@ -5,21 +5,21 @@
 use compact_str::CompactString;
 use tokio::sync::watch;
 
-use super::answer::{Assembler, Taken};
+use super::answer::{AnswerAssembler, PieceResult};
 use crate::engine::{Part, RunUsage, ServiceAnswer};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, Millis, OrganisationId, RequestKey, RunId, TargetId};
 
 /// Ended requests are kept this long for callers that retry.
-const KEEP: Millis = Millis(120_000);
+const ENDED_RUN_RETENTION: Millis = Millis(120_000);
 /// Bytes of ended answers kept at most, oldest dropped first.
-const KEEP_BYTES: usize = 64 << 20;
+const MAX_RETAINED_BYTES: usize = 64 << 20;
 
 /// How a request ended.
 #[derive(Clone, Debug)]
-pub enum End {
+pub enum RunEnd {
     /// A whole model answer.
-    Whole(RunUsage, Digest),
+    Complete(RunUsage, Digest),
     /// A plain service's answer.
     Service(ServiceAnswer),
     /// No answer.
@@ -28,8 +28,8 @@
 
 #[derive(Debug, Default)]
 struct Progress {
-    answer: Assembler,
-    end: Option<End>,
+    answer: AnswerAssembler,
+    end: Option<RunEnd>,
     target: Option<TargetId>,
     run: Option<RunId>,
 }
@@ -55,7 +55,7 @@
     /// Tokens from there on.
     pub tokens: Vec<CompactString>,
     /// The end, once there is one.
-    pub end: Option<End>,
+    pub end: Option<RunEnd>,
     /// The execution behind it, once there is one.
     pub run: Option<RunId>,
 }
@@ -76,7 +76,7 @@
         self.progress.lock().expect("no code panics while it holds a run")
     }
 
-    fn bump(&self) {
+    fn notify_followers(&self) {
         self.version.send_modify(|n| *n += 1);
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Where it executes.
-    pub fn place(&self) -> Option<(RunId, TargetId)> {
+    pub fn execution(&self) -> Option<(RunId, TargetId)> {
         let p = self.lock();
         Some((p.run.clone()?, p.target.clone()?))
     }
@@ -129,13 +129,13 @@
     /// Takes a piece. An end is not shown to callers yet: that is for [`Run::end`], after the bill.
     ///
     /// # Errors
-    /// As [`Assembler::take`].
-    pub fn take(&self, run: &RunId, part: Part) -> Result<Taken> {
-        let taken = self.lock().answer.take(run, part)?;
-        if taken == Taken::Grew {
-            self.bump();
+    /// As [`AnswerAssembler::append_part`].
+    pub fn append_part(&self, run: &RunId, part: Part) -> Result<PieceResult> {
+        let result = self.lock().answer.append_part(run, part)?;
+        if result == PieceResult::Appended {
+            self.notify_followers();
         }
-        Ok(taken)
+        Ok(result)
     }
 
     /// Digest of the answer.
@@ -149,9 +149,9 @@
     }
 
     /// Shows the end to all callers.
-    pub fn end(&self, end: End) {
+    pub fn end(&self, end: RunEnd) {
         self.lock().end.get_or_insert(end);
-        self.bump();
+        self.notify_followers();
     }
 
     /// Whether it ended.
@@ -159,13 +159,13 @@
         self.lock().end.is_some()
     }
 
-    fn failed_not_run(&self) -> bool {
-        matches!(&self.lock().end, Some(End::Failed(e)) if e.kind.answer().retryable)
+    fn failed_retryable(&self) -> bool {
+        matches!(&self.lock().end, Some(RunEnd::Failed(e)) if e.kind.answer().retryable)
     }
 }
 
 #[derive(Debug)]
-struct Kept {
+struct RunEntry {
     run: Arc<Run>,
     since: Millis,
 }
@@ -173,7 +173,7 @@
 /// All requests that this router knows.
 #[derive(Debug, Default)]
 pub struct Runs {
-    kept: Vec<Kept>,
+    known_runs: Vec<RunEntry>,
 }
 
 /// What a key leads to.
@@ -191,12 +191,13 @@
         organisation: &OrganisationId,
         key: &RequestKey,
     ) -> std::result::Result<usize, usize> {
-        self.kept.binary_search_by(|k| (&k.run.organisation, &k.run.key).cmp(&(organisation, key)))
+        self.known_runs
+            .binary_search_by(|k| (&k.run.organisation, &k.run.key).cmp(&(organisation, key)))
     }
 
     /// The run of a key, if it is known.
     pub fn get(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Arc<Run>> {
-        self.find(organisation, key).ok().map(|place| self.kept[place].run.clone())
+        self.find(organisation, key).ok().map(|index| self.known_runs[index].run.clone())
     }
 
     /// Finds the request of that key, or adds it. One that ended with an error that can be
@@ -206,19 +207,19 @@
     /// `KeyReused` when the key belongs to other content.
     pub fn open(&mut self, now: Millis, new: Run) -> Result<Lookup> {
         match self.find(&new.organisation, &new.key) {
-            Ok(place) if self.kept[place].run.content != new.content => {
+            Ok(index) if self.known_runs[index].run.content != new.content => {
                 let message = "this idempotency key belongs to a request with other content";
                 Err(Error::new(Kind::KeyReused, message))
             }
-            Ok(place) if self.kept[place].run.failed_not_run() => {
+            Ok(index) if self.known_runs[index].run.failed_retryable() => {
                 let run = Arc::new(new);
-                self.kept[place] = Kept { run: run.clone(), since: now };
+                self.known_runs[index] = RunEntry { run: run.clone(), since: now };
                 Ok(Lookup::New(run))
             }
-            Ok(place) => Ok(Lookup::Known(self.kept[place].run.clone())),
-            Err(place) => {
+            Ok(index) => Ok(Lookup::Known(self.known_runs[index].run.clone())),
+            Err(index) => {
                 let run = Arc::new(new);
-                self.kept.insert(place, Kept { run: run.clone(), since: now });
+                self.known_runs.insert(index, RunEntry { run: run.clone(), since: now });
                 Ok(Lookup::New(run))
             }
         }
@@ -226,35 +227,35 @@
 
     /// Forgets ended requests that are old, or that take too much memory together.
     pub fn expire(&mut self, now: Millis) {
-        self.kept.retain(|k| !k.run.has_ended() || now.since(k.since) < KEEP);
-        let size = |k: &Kept| k.run.len() * size_of::<CompactString>();
-        let mut bytes: usize = self.kept.iter().map(size).sum();
-        if bytes <= KEEP_BYTES {
+        self.known_runs.retain(|k| !k.run.has_ended() || now.since(k.since) < ENDED_RUN_RETENTION);
+        let size = |k: &RunEntry| k.run.len() * size_of::<CompactString>();
+        let mut bytes: usize = self.known_runs.iter().map(size).sum();
+        if bytes <= MAX_RETAINED_BYTES {
             return;
         }
-        let mut ages: Vec<Millis> = self.kept.iter().map(|k| k.since).collect();
-        ages.sort();
-        for age in ages {
-            if bytes <= KEEP_BYTES {
+        let mut times: Vec<Millis> = self.known_runs.iter().map(|k| k.since).collect();
+        times.sort();
+        for cutoff in times {
+            if bytes <= MAX_RETAINED_BYTES {
                 return;
             }
-            self.kept.retain(|k| !(k.since <= age && k.run.has_ended()));
-            bytes = self.kept.iter().map(size).sum();
+            self.known_runs.retain(|k| !(k.since <= cutoff && k.run.has_ended()));
+            bytes = self.known_runs.iter().map(size).sum();
         }
     }
 
     /// Requests that have not ended.
     pub fn running(&self) -> usize {
-        self.kept.iter().filter(|k| !k.run.has_ended()).count()
+        self.known_runs.iter().filter(|k| !k.run.has_ended()).count()
     }
 
     /// All requests known, ended ones too.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.known_runs.len()
     }
 
     /// Whether none is known.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.known_runs.is_empty()
     }
 }
--- a/src/request/stage.rs
+++ b/src/request/stage.rs
@@ -12,7 +12,7 @@
     /// Its key is claimed in the table; only for calls that must not be repeated.
     Claimed,
     /// A copy of its hold is safe from this router's death.
-    Covered,
+    Protected,
     /// The first byte towards a target may have left.
     Dispatched,
     /// Part of the answer is here.
@@ -44,7 +44,7 @@
 /// What is known about execution at a stage.
 pub fn not_run(stage: Stage) -> NotRun {
     match stage {
-        Stage::Received | Stage::Held | Stage::Claimed | Stage::Covered => NotRun::Yes,
+        Stage::Received | Stage::Held | Stage::Claimed | Stage::Protected => NotRun::Yes,
         Stage::Dispatched => NotRun::Unknown,
         Stage::Streaming | Stage::Ended | Stage::Billed => NotRun::No,
     }
@@ -56,8 +56,8 @@
 /// repeated may go elsewhere. Any other failure after dispatch leaves it unknown whether the
 /// call ran: then there is no second dispatch and no "not run".
 pub fn after_failure(stage: Stage, repeatable: Repeatable, kind: Kind, has_budget: bool) -> Next {
-    let never_left = kind == Kind::NoTarget && stage <= Stage::Dispatched;
-    match (repeatable, never_left) {
+    let provably_unsent = kind == Kind::NoTarget && stage <= Stage::Dispatched;
+    match (repeatable, provably_unsent) {
         (_, true) if has_budget => Next::Retry,
         (_, true) => Next::GiveUp(Kind::NoTarget),
         (Repeatable::No, false) if stage >= Stage::Dispatched => Next::GiveUp(Kind::OutcomeUnknown),
--- a/src/route/gate.rs
+++ b/src/route/gate.rs
@@ -5,9 +5,9 @@
 use crate::ids::{Millis, OrganisationId};
 
 /// Waiting requests of one organisation, in multiples of its allowance in flight.
-const QUEUE_FACTOR: usize = 4;
+const QUEUE_SLOTS_PER_IN_FLIGHT: usize = 4;
 /// Cost of one request in virtual time, divided by the organisation's weight.
-const UNIT: u64 = 1_000_000;
+const REQUEST_VIRTUAL_COST: u64 = 1_000_000;
 
 /// Number of a waiting request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -15,7 +15,7 @@
 
 /// The gate's answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Entry {
+pub enum GateDecision {
     /// Go on.
     Pass,
     /// Wait for this number to be called.
@@ -34,7 +34,7 @@
 }
 
 #[derive(Debug)]
-struct Member {
+struct OrganisationQueue {
     id: OrganisationId,
     weight: u32,
     in_flight: u32,
@@ -51,7 +51,7 @@
     virtual_time: u64,
     next: u64,
     max_wait: Millis,
-    members: Vec<Member>,
+    queues: Vec<OrganisationQueue>,
     /// Service time of recent requests, in milliseconds, as a moving average.
     service_ms: u64,
 }
@@ -65,7 +65,7 @@
             virtual_time: 0,
             next: 0,
             max_wait,
-            members: Vec::new(),
+            queues: Vec::new(),
             service_ms: 0,
         }
     }
@@ -77,21 +77,23 @@
 
     /// Requests in flight and waiting.
     pub fn load(&self) -> (u32, usize) {
-        (self.in_flight, self.members.iter().map(|m| m.queue.len()).sum())
+        (self.in_flight, self.queues.iter().map(|org| org.queue.len()).sum())
     }
 
-    fn member(&mut self, id: &OrganisationId, weight: u32, limit: u32) -> usize {
-        let place = self.members.binary_search_by(|m| m.id.cmp(id)).unwrap_or_else(|place| {
+    fn queue_index(&mut self, id: &OrganisationId, weight: u32, limit: u32) -> usize {
+        let index = self.queues.binary_search_by(|org| org.id.cmp(id)).unwrap_or_else(|index| {
             let last_finish = self.virtual_time;
             let queue = Vec::new();
             let id = id.clone();
-            self.members
-                .insert(place, Member { id, weight, in_flight: 0, limit, last_finish, queue });
-            place
+            self.queues.insert(
+                index,
+                OrganisationQueue { id, weight, in_flight: 0, limit, last_finish, queue },
+            );
+            index
         });
-        self.members[place].weight = weight.max(1);
-        self.members[place].limit = limit;
-        place
+        self.queues[index].weight = weight.max(1);
+        self.queues[index].limit = limit;
+        index
     }
 
     /// A request arrives.
@@ -105,46 +107,48 @@
         weight: u32,
         limit: u32,
         priority: u8,
-    ) -> Entry {
-        let place = self.member(id, weight, limit);
-        let m = &self.members[place];
-        let own_room = m.in_flight < m.limit;
-        if own_room && m.queue.is_empty() && self.in_flight < self.capacity {
-            self.start(place);
-            return Entry::Pass;
+    ) -> GateDecision {
+        let index = self.queue_index(id, weight, limit);
+        let org = &self.queues[index];
+        let below_limit = org.in_flight < org.limit;
+        if below_limit && org.queue.is_empty() && self.in_flight < self.capacity {
+            self.start(index);
+            return GateDecision::Pass;
         }
-        if m.queue.len() >= m.limit as usize * QUEUE_FACTOR {
-            return Entry::Refused(Kind::OrganisationLimit);
+        if org.queue.len() >= org.limit as usize * QUEUE_SLOTS_PER_IN_FLIGHT {
+            return GateDecision::Refused(Kind::OrganisationLimit);
         }
-        if self.expected_wait(place) > self.max_wait {
-            return Entry::Refused(Kind::Shed);
+        if self.expected_wait(index) > self.max_wait {
+            return GateDecision::Refused(Kind::Shed);
         }
         self.next += 1;
         let ticket = Ticket(self.next);
         let virtual_time = self.virtual_time;
-        let m = &mut self.members[place];
-        let finish = m.last_finish.max(virtual_time) + UNIT / u64::from(m.weight);
-        m.last_finish = finish;
-        let at = m.queue.partition_point(|q| q.priority >= priority);
-        m.queue.insert(at, Queued { ticket, priority, finish, since: now });
-        Entry::Wait(ticket)
+        let org = &mut self.queues[index];
+        let finish =
+            org.last_finish.max(virtual_time) + REQUEST_VIRTUAL_COST / u64::from(org.weight);
+        org.last_finish = finish;
+        let at = org.queue.partition_point(|q| q.priority >= priority);
+        org.queue.insert(at, Queued { ticket, priority, finish, since: now });
+        GateDecision::Wait(ticket)
     }
 
     /// How long a new request of this organisation would wait: its own queue ahead of it, served
     /// at its share of the gate.
-    fn expected_wait(&self, place: usize) -> Millis {
-        let waiting = |m: &&Member| !m.queue.is_empty();
-        let weights: u64 = self.members.iter().filter(waiting).map(|m| u64::from(m.weight)).sum();
-        let m = &self.members[place];
-        let own = u64::from(m.weight);
-        let total = if m.queue.is_empty() { weights + own } else { weights };
-        let ahead = m.queue.len() as u64 + 1;
+    fn expected_wait(&self, index: usize) -> Millis {
+        let waiting = |org: &&OrganisationQueue| !org.queue.is_empty();
+        let weights: u64 =
+            self.queues.iter().filter(waiting).map(|org| u64::from(org.weight)).sum();
+        let org = &self.queues[index];
+        let own = u64::from(org.weight);
+        let total = if org.queue.is_empty() { weights + own } else { weights };
+        let ahead = org.queue.len() as u64 + 1;
         let share = u64::from(self.capacity.max(1)) * own;
         Millis(ahead * self.service_ms * total / share)
     }
 
-    fn start(&mut self, place: usize) {
-        self.members[place].in_flight += 1;
+    fn start(&mut self, index: usize) {
+        self.queues[index].in_flight += 1;
         self.in_flight += 1;
     }
 
@@ -153,35 +157,37 @@
         self.service_ms =
             if self.service_ms == 0 { service.0 } else { (self.service_ms * 15 + service.0) / 16 };
         self.in_flight = self.in_flight.saturating_sub(1);
-        if let Ok(place) = self.members.binary_search_by(|m| m.id.cmp(id)) {
-            let m = &mut self.members[place];
-            m.in_flight = m.in_flight.saturating_sub(1);
+        if let Ok(index) = self.queues.binary_search_by(|org| org.id.cmp(id)) {
+            let org = &mut self.queues[index];
+            org.in_flight = org.in_flight.saturating_sub(1);
         }
-        let called = self.call(now);
-        self.members.retain(|m| m.in_flight > 0 || !m.queue.is_empty());
-        called
+        let started = self.start_waiting(now);
+        self.queues.retain(|org| org.in_flight > 0 || !org.queue.is_empty());
+        started
     }
 
     /// Starts whatever may start: the highest priority first, then the earliest virtual finish.
-    pub fn call(&mut self, now: Millis) -> Vec<Ticket> {
-        let mut called = Vec::new();
+    pub fn start_waiting(&mut self, now: Millis) -> Vec<Ticket> {
+        let mut started = Vec::new();
         while self.in_flight < self.capacity {
-            let open = self.members.iter().enumerate().filter(|(_, m)| m.in_flight < m.limit);
-            let heads = open
-                .filter_map(|(i, m)| m.queue.first().map(|q| (u8::MAX - q.priority, q.finish, i)));
-            let Some((_, finish, place)) = heads.min() else { break };
-            let q = self.members[place].queue.remove(0);
-            self.virtual_time = self.virtual_time.max(finish.saturating_sub(UNIT));
+            let eligible =
+                self.queues.iter().enumerate().filter(|(_, org)| org.in_flight < org.limit);
+            let heads = eligible.filter_map(|(i, org)| {
+                org.queue.first().map(|q| (u8::MAX - q.priority, q.finish, i))
+            });
+            let Some((_, finish, index)) = heads.min() else { break };
+            let q = self.queues[index].queue.remove(0);
+            self.virtual_time = self.virtual_time.max(finish.saturating_sub(REQUEST_VIRTUAL_COST));
             log::debug!("gate=call ticket={} waited={}", q.ticket.0, now.since(q.since));
-            self.start(place);
-            called.push(q.ticket);
+            self.start(index);
+            started.push(q.ticket);
         }
-        called
+        started
     }
 
     /// A waiting request gave up.
-    pub fn give_up(&mut self, ticket: Ticket) {
-        self.members.iter_mut().for_each(|m| m.queue.retain(|q| q.ticket != ticket));
-        self.members.retain(|m| m.in_flight > 0 || !m.queue.is_empty());
+    pub fn cancel(&mut self, ticket: Ticket) {
+        self.queues.iter_mut().for_each(|org| org.queue.retain(|q| q.ticket != ticket));
+        self.queues.retain(|org| org.in_flight > 0 || !org.queue.is_empty());
     }
 }
--- a/src/route/picker.rs
+++ b/src/route/picker.rs
@@ -8,23 +8,23 @@
 use crate::ids::{Digest, Millis, TargetId, ZoneId};
 
 /// Failures in a row that eject a target.
-const EJECT_AFTER: u32 = 3;
+const EJECT_AFTER_FAILURES: u32 = 3;
 /// First ejection; doubles with each further one up to [`MAX_EJECTION`].
 const MIN_EJECTION: Millis = Millis(2_000);
 /// Longest ejection.
 const MAX_EJECTION: Millis = Millis(30_000);
 /// Points of each target on the affinity ring.
-const RING_POINTS: u64 = 16;
+const RING_POINTS_PER_TARGET: u64 = 16;
 /// Targets looked at besides the one with affinity.
-const SAMPLES: usize = 3;
+const SAMPLED_TARGETS: usize = 3;
 /// Load, in thousandths of its batch, up to which a target keeps its prefixes.
-const AFFINITY_BOUND: u64 = 900;
+const AFFINITY_MAX_LOAD_PER_MILLE: u64 = 900;
 /// Penalty for a target in another zone, in thousandths of a batch.
-const ZONE_PENALTY: u64 = 20;
+const ZONE_PENALTY_PER_MILLE: u64 = 20;
 /// Age at which a report counts as much as own knowledge, in milliseconds.
-const HALF_TRUST_MS: u64 = 1_000;
+const REPORT_HALF_WEIGHT_AGE_MS: u64 = 1_000;
 /// Own work in flight is remembered this long, to correct reports of that age.
-const HISTORY: Millis = Millis(40_000);
+const HISTORY_SPAN: Millis = Millis(40_000);
 /// Grain of that memory.
 const HISTORY_STEP: Millis = Millis(100);
 
@@ -65,19 +65,19 @@
 }
 
 impl TargetView {
-    fn note(&mut self, now: Millis) {
+    fn record_in_flight(&mut self, now: Millis) {
         match self.history.back_mut() {
             Some((at, n)) if now.since(*at) < HISTORY_STEP => *n = self.in_flight,
             _ => self.history.push_back((now, self.in_flight)),
         }
-        while self.history.len() > 1 && now.since(self.history[0].0) > HISTORY {
+        while self.history.len() > 1 && now.since(self.history[0].0) > HISTORY_SPAN {
             self.history.pop_front();
         }
     }
 
     fn in_flight_at(&self, at: Millis) -> u32 {
-        let place = self.history.partition_point(|(t, _)| *t <= at);
-        if place == 0 { 0 } else { self.history[place - 1].1 }
+        let index = self.history.partition_point(|(t, _)| *t <= at);
+        if index == 0 { 0 } else { self.history[index - 1].1 }
     }
 
     /// Load in thousandths of the batch.
@@ -87,13 +87,15 @@
     /// it is; own work, which is known exactly, stands for theirs as it fades.
     fn load(&self, now: Millis, routers: u64) -> u64 {
         let age = now.since(self.reported).0 + self.report.age_ms;
-        let then = Millis(now.0.saturating_sub(age));
+        let measured_at = Millis(now.0.saturating_sub(age));
         let reported = u64::from(self.report.active + self.report.queued);
-        let others_then = reported.saturating_sub(u64::from(self.in_flight_at(then)));
+        let others_reported = reported.saturating_sub(u64::from(self.in_flight_at(measured_at)));
         let own = u64::from(self.in_flight);
-        let others_like_own = own * routers.saturating_sub(1);
-        let weight = HALF_TRUST_MS + age;
-        let others = (others_then * HALF_TRUST_MS * 1_000 + others_like_own * age * 1_000) / weight;
+        let others_estimated = own * routers.saturating_sub(1);
+        let weight = REPORT_HALF_WEIGHT_AGE_MS + age;
+        let others = (others_reported * REPORT_HALF_WEIGHT_AGE_MS * 1_000
+            + others_estimated * age * 1_000)
+            / weight;
         (own * 1_000 + others) / u64::from(self.report.slots.max(1))
     }
 
@@ -129,13 +131,13 @@
     /// Targets by what they serve, rebuilt when a report changes it.
     serving: Vec<(CompactString, Vec<u32>)>,
     ring: Vec<(u64, u32)>,
-    turn: usize,
+    round_robin_turn: usize,
     rng: fastrand::Rng,
 }
 
 /// A target as membership knows it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Listed {
+pub struct ListedTarget {
     /// Its name.
     pub id: TargetId,
     /// `ip:port`.
@@ -146,7 +148,7 @@
     pub leaving: bool,
 }
 
-fn mix(n: u64) -> u64 {
+fn mix_hash(n: u64) -> u64 {
     let n = (n ^ (n >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     (n ^ (n >> 29)).wrapping_mul(0xBF58_476D_1CE4_E5B9) ^ (n >> 32)
 }
@@ -161,7 +163,7 @@
             targets: Vec::new(),
             serving: Vec::new(),
             ring: Vec::new(),
-            turn: 0,
+            round_robin_turn: 0,
             rng: fastrand::Rng::with_seed(seed),
         }
     }
@@ -178,14 +180,14 @@
 
     /// Takes a new list. Targets that stay keep what is known of them; those that are gone but
     /// still run something stay as leaving.
-    pub fn set_list(&mut self, mut list: Vec<Listed>) {
+    pub fn set_list(&mut self, mut list: Vec<ListedTarget>) {
         list.sort_by(|a, b| a.id.cmp(&b.id));
         let mut old = std::mem::take(&mut self.targets);
         for l in list {
             let known = old.iter().position(|t| t.id == l.id && t.addr == l.addr);
             self.targets.push(match known {
-                Some(place) => {
-                    let mut t = old.swap_remove(place);
+                Some(index) => {
+                    let mut t = old.swap_remove(index);
                     t.leaving |= l.leaving;
                     t
                 }
@@ -206,18 +208,20 @@
         self.ring.clear();
         for (i, t) in self.targets.iter().enumerate() {
             let word = Digest::of(t.id.as_str().as_bytes()).word();
-            self.ring.extend((0..RING_POINTS).map(|p| (mix(word ^ mix(p)), i as u32)));
+            self.ring.extend(
+                (0..RING_POINTS_PER_TARGET).map(|p| (mix_hash(word ^ mix_hash(p)), i as u32)),
+            );
             for name in &t.report.serves {
                 match self.serving.binary_search_by(|(n, _)| n.cmp(name)) {
-                    Ok(place) => self.serving[place].1.push(i as u32),
-                    Err(place) => self.serving.insert(place, (name.clone(), vec![i as u32])),
+                    Ok(index) => self.serving[index].1.push(i as u32),
+                    Err(index) => self.serving.insert(index, (name.clone(), vec![i as u32])),
                 }
             }
         }
         self.ring.sort_unstable();
     }
 
-    fn place(&self, id: &TargetId) -> Option<usize> {
+    fn target_index(&self, id: &TargetId) -> Option<usize> {
         self.targets.binary_search_by(|t| t.id.cmp(id)).ok()
     }
 
@@ -228,55 +232,55 @@
 
     /// Address of a target, if it is known.
     pub fn addr(&self, id: &TargetId) -> Option<CompactString> {
-        Some(self.targets[self.place(id)?].addr.clone())
+        Some(self.targets[self.target_index(id)?].addr.clone())
     }
 
     /// A report arrived.
     pub fn reported(&mut self, now: Millis, id: &TargetId, report: LoadReport) {
-        let Some(place) = self.place(id) else { return };
-        let t = &mut self.targets[place];
+        let Some(target_index) = self.target_index(id) else { return };
+        let t = &mut self.targets[target_index];
         t.reported = now;
         t.leaving |= report.leaving;
-        let moved = t.report.serves != report.serves;
+        let serves_changed = t.report.serves != report.serves;
         t.report = report;
-        if moved {
+        if serves_changed {
             self.rebuild();
         }
     }
 
     /// A target leaves: it gets nothing new from now on, and does not come back under this
     /// address, so that a list that lags cannot undo it.
-    pub fn left(&mut self, id: &TargetId) {
-        if let Some(place) = self.place(id) {
-            self.targets[place].leaving = true;
+    pub fn mark_leaving(&mut self, id: &TargetId) {
+        if let Some(target_index) = self.target_index(id) {
+            self.targets[target_index].leaving = true;
         }
     }
 
     /// A run starts at a target.
     pub fn started(&mut self, now: Millis, id: &TargetId) {
-        let Some(place) = self.place(id) else { return };
-        self.targets[place].in_flight += 1;
-        self.targets[place].note(now);
+        let Some(target_index) = self.target_index(id) else { return };
+        self.targets[target_index].in_flight += 1;
+        self.targets[target_index].record_in_flight(now);
     }
 
     /// A run ended; `ok` tells whether the target did its part.
     pub fn ended(&mut self, now: Millis, id: &TargetId, ok: bool) {
-        let Some(place) = self.place(id) else { return };
-        let t = &mut self.targets[place];
+        let Some(target_index) = self.target_index(id) else { return };
+        let t = &mut self.targets[target_index];
         t.in_flight = t.in_flight.saturating_sub(1);
-        t.note(now);
+        t.record_in_flight(now);
         if ok {
             t.failures = 0;
             t.ejections = 0;
             return;
         }
         t.failures += 1;
-        if t.failures >= EJECT_AFTER && !t.is_ejected(now) {
+        if t.failures >= EJECT_AFTER_FAILURES && !t.is_ejected(now) {
             let span = Millis(MIN_EJECTION.0 << t.ejections.min(8));
             t.ejected_until = Millis(now.0 + span.0.min(MAX_EJECTION.0));
             t.ejections += 1;
             t.failures = 0;
-            log::warn!("eject target={} span={span} failures_in_row={EJECT_AFTER}", t.id);
+            log::warn!("eject target={} span={span} failures_in_row={EJECT_AFTER_FAILURES}", t.id);
         }
     }
 
@@ -289,9 +293,9 @@
     /// ignored: one cause that fails all of them must not leave nobody to ask.
     fn candidates(&self, now: Millis, name: &str, tried: &[TargetId]) -> Vec<u32> {
         let found = self.serving.binary_search_by(|(n, _)| n.as_str().cmp(name));
-        let Ok(place) = found else { return Vec::new() };
+        let Ok(index) = found else { return Vec::new() };
         let view = |i: &u32| &self.targets[*i as usize];
-        let all = self.serving[place]
+        let all = self.serving[index]
             .1
             .iter()
             .filter(|i| !view(i).leaving && !tried.contains(&view(i).id));
@@ -314,23 +318,24 @@
         if candidates.is_empty() {
             return None;
         }
-        let scored = match self.policy {
+        let ranked = match self.policy {
             Policy::Sampled => self.sample(now, &candidates, prefix),
             Policy::RoundRobin => {
-                self.turn += 1;
-                vec![(0, candidates[self.turn % candidates.len()], false)]
+                self.round_robin_turn += 1;
+                vec![(0, candidates[self.round_robin_turn % candidates.len()], false)]
             }
             Policy::LeastReported => self.score(&candidates, |t| {
                 u64::from(t.report.active + t.report.queued) * 1_000
                     / u64::from(t.report.slots.max(1))
             }),
             Policy::WeightedActive => self.score(&candidates, |t| {
-                let health = u64::from(EJECT_AFTER - t.failures.min(EJECT_AFTER - 1));
+                let health =
+                    u64::from(EJECT_AFTER_FAILURES - t.failures.min(EJECT_AFTER_FAILURES - 1));
                 u64::from(t.in_flight) * 1_000_000 / (u64::from(t.report.slots.max(1)) * health)
             }),
         };
-        let (load, best, affinity) = *scored.first()?;
-        let next = scored.get(1).map(|(s, i, _)| (self.targets[*i as usize].id.clone(), *s));
+        let (load, best, affinity) = *ranked.first()?;
+        let next = ranked.get(1).map(|(s, i, _)| (self.targets[*i as usize].id.clone(), *s));
         let t = &self.targets[best as usize];
         let candidates = candidates.len();
         Some(Choice { id: t.id.clone(), addr: t.addr.clone(), load, affinity, next, candidates })
@@ -349,41 +354,41 @@
     }
 
     fn sample(&mut self, now: Millis, candidates: &[u32], prefix: u64) -> Vec<(u64, u32, bool)> {
-        let mut out: Vec<(u64, u32, bool)> = Vec::with_capacity(SAMPLES + 1);
-        for _ in 0..SAMPLES.min(candidates.len()) {
+        let mut out: Vec<(u64, u32, bool)> = Vec::with_capacity(SAMPLED_TARGETS + 1);
+        for _ in 0..SAMPLED_TARGETS.min(candidates.len()) {
             let i = candidates[self.rng.usize(..candidates.len())];
             if !out.iter().any(|(_, seen, _)| *seen == i) {
-                out.push((self.full_load(now, i), i, false));
+                out.push((self.load_with_zone_penalty(now, i), i, false));
             }
         }
         out.sort_by_key(|(s, _, _)| *s);
-        if let Some(near) = self.near(candidates, prefix) {
-            let load = self.full_load(now, near);
-            if load <= AFFINITY_BOUND {
-                out.retain(|(_, i, _)| *i != near);
-                out.insert(0, (load, near, true));
+        if let Some(affinity_target) = self.affinity_target(candidates, prefix) {
+            let load = self.load_with_zone_penalty(now, affinity_target);
+            if load <= AFFINITY_MAX_LOAD_PER_MILLE {
+                out.retain(|(_, i, _)| *i != affinity_target);
+                out.insert(0, (load, affinity_target, true));
             }
         }
         out
     }
 
-    fn full_load(&self, now: Millis, i: u32) -> u64 {
+    fn load_with_zone_penalty(&self, now: Millis, i: u32) -> u64 {
         let t = &self.targets[i as usize];
-        t.load(now, self.routers) + if t.zone == self.zone { 0 } else { ZONE_PENALTY }
+        t.load(now, self.routers) + if t.zone == self.zone { 0 } else { ZONE_PENALTY_PER_MILLE }
     }
 
     /// The candidate that follows the prefix on the ring.
-    fn near(&self, candidates: &[u32], prefix: u64) -> Option<u32> {
+    fn affinity_target(&self, candidates: &[u32], prefix: u64) -> Option<u32> {
         if prefix == 0 {
             return None;
         }
-        let from = self.ring.partition_point(|(h, _)| *h < mix(prefix));
+        let from = self.ring.partition_point(|(h, _)| *h < mix_hash(prefix));
         let points = self.ring[from..].iter().chain(&self.ring[..from]);
         points.map(|(_, i)| *i).find(|i| candidates.binary_search(i).is_ok())
     }
 }
 
-fn new_view(l: Listed) -> TargetView {
+fn new_view(l: ListedTarget) -> TargetView {
     TargetView {
         id: l.id,
         addr: l.addr,
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -16,8 +16,8 @@
 use crate::ids::{Digest, OrganisationId, RequestKey, RunId, TargetId, Tokens};
 use crate::membership::view::Entry;
 use crate::membership::wire::{Ask, Found, Mesh, Reply};
-use crate::request::answer::Taken;
-use crate::request::runs::{End, Run};
+use crate::request::answer::PieceResult;
+use crate::request::runs::{Run, RunEnd};
 use crate::request::stage::{Next, Repeatable, Stage, after_failure};
 use crate::route::picker::Choice;
 use crate::table::Platform;
@@ -123,12 +123,12 @@
     let end = attempt.run_to_end().await;
     node.gates.leave(node.now(), &job.visitor, node.now().since(entered));
     Counts::add(match &end {
-        End::Failed(_) => &node.counts.refused,
+        RunEnd::Failed(_) => &node.counts.refused,
         _ => &node.counts.answered,
     });
     // A metrics sink that fails must not fail a request.
     let _ = node.metrics.time("request.total", node.now().since(began).0);
-    if let End::Failed(e) = &end {
+    if let RunEnd::Failed(e) = &end {
         log::info!(
             "request=failed org={} key={} kind={} error={:?}",
             run.organisation,
@@ -143,7 +143,7 @@
 fn refuse<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>, run: &Run, e: Error) {
     Counts::add(&node.counts.refused);
     log::info!("request=refused org={} key={} kind={}", run.organisation, run.key, e.kind);
-    run.end(End::Failed(e));
+    run.end(RunEnd::Failed(e));
 }
 
 /// Joins a run that another router admitted. Whether the request is dealt with.
@@ -166,7 +166,7 @@
         {
             Counts::add(&node.counts.joined);
             Counts::add(&node.counts.answered);
-            run.end(End::Whole(usage, run.digest()));
+            run.end(RunEnd::Complete(usage, run.digest()));
             return true;
         }
         tokio::time::sleep(FIND_PAUSE).await;
@@ -198,7 +198,7 @@
         let broke = || Error::new(Kind::TargetFailed, "the stream broke off");
         let silent = |_| Error::new(Kind::TargetFailed, "the target went silent");
         let part = timeout(SILENCE, parts.next()).await.map_err(silent)??.ok_or_else(broke)?;
-        if let Taken::Whole(usage) = run.take(id, part)? {
+        if let PieceResult::Complete(usage) = run.append_part(id, part)? {
             return Ok(usage);
         }
         if run.followers() > 0 {
@@ -242,7 +242,7 @@
 }
 
 impl<P: Platform, E: Engine, M: Mesh> Attempt<'_, P, E, M> {
-    async fn run_to_end(&mut self) -> End {
+    async fn run_to_end(&mut self) -> RunEnd {
         let late = |_| Error::new(Kind::Timeout, "the answer was not whole before its deadline");
         let ended = timeout_at(self.deadline, self.attempts()).await.map_err(late).flatten();
         let reserved = self.held.take();
@@ -251,11 +251,11 @@
                 if let Some(r) = reserved {
                     r.settle(usage).await;
                 }
-                End::Whole(usage, self.run.digest())
+                RunEnd::Complete(usage, self.run.digest())
             }
             Err(e) => {
                 self.clean_up(reserved, &e).await;
-                End::Failed(e)
+                RunEnd::Failed(e)
             }
         }
     }
@@ -263,7 +263,7 @@
     /// A request without a whole answer costs nothing, except one that its caller left: that is
     /// billed as far as it ran.
     async fn clean_up(&self, reserved: Option<Reserved<P, M>>, e: &Error) {
-        let stopped = match self.run.place() {
+        let stopped = match self.run.execution() {
             Some((id, target)) => self.stop_run(&id, &target).await,
             None => None,
         };
@@ -302,7 +302,7 @@
             }
             self.tried.push(choice.id);
             let more = self.tried.len() < MAX_ATTEMPTS;
-            let budget = more && self.node.retries.lock().expect("never poisoned").take();
+            let budget = more && self.node.retries.lock().expect("never poisoned").try_spend();
             match after_failure(stage, Repeatable::Yes, e.kind, budget) {
                 Next::Retry => Counts::add(&self.node.counts.retries),
                 Next::GiveUp(kind) => return Err(Error::new(kind, e.message)),
--- a/src/router/drive_call.rs
+++ b/src/router/drive_call.rs
@@ -16,7 +16,7 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Incarnation, RunId, TargetId, Tokens};
 use crate::membership::wire::Mesh;
-use crate::request::runs::{End, Run};
+use crate::request::runs::{Run, RunEnd};
 use crate::request::stage::{Next, Repeatable, Stage, after_failure};
 use crate::route::picker::Choice;
 use crate::table::{Mutation, Platform, RowKey, Version, read_one};
@@ -98,7 +98,7 @@
     match end {
         Ok(answer) => {
             Counts::add(&node.counts.answered);
-            run.end(End::Service(answer));
+            run.end(RunEnd::Service(answer));
         }
         Err(e) => {
             Counts::add(&node.counts.refused);
@@ -109,7 +109,7 @@
                 e.kind,
                 e.message
             );
-            run.end(End::Failed(e));
+            run.end(RunEnd::Failed(e));
         }
     }
 }
@@ -272,9 +272,9 @@
             );
             tried.push(choice.id.clone());
             let more = tried.len() < MAX_ATTEMPTS;
-            let budget = more && self.node.retries.lock().expect("never poisoned").take();
+            let budget = more && self.node.retries.lock().expect("never poisoned").try_spend();
             let next = after_failure(Stage::Dispatched, self.job.repeatable, e.kind, budget);
-            let stage = if e.kind == Kind::NoTarget { Stage::Covered } else { Stage::Dispatched };
+            let stage = if e.kind == Kind::NoTarget { Stage::Protected } else { Stage::Dispatched };
             match (next, self.choose(&tried)) {
                 (Next::Retry, Ok(other)) => choice = other,
                 (Next::Retry, Err(none)) if e.kind == Kind::NoTarget => return (stage, Err(none)),
--- a/src/router/gates.rs
+++ b/src/router/gates.rs
@@ -6,7 +6,7 @@
 
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Millis, OrganisationId, ServiceId};
-use crate::route::gate::{Entry, Gate, Ticket};
+use crate::route::gate::{Gate, GateDecision, Ticket};
 
 /// Longest time in a queue.
 pub const MAX_WAIT: Millis = Millis(10_000);
@@ -58,7 +58,7 @@
         let mut doors = self.lock();
         let door = Self::door(&mut doors, service);
         door.gate.set_capacity(capacity);
-        let called = door.gate.call(now);
+        let called = door.gate.start_waiting(now);
         wake(&mut door.waiting, called);
     }
 
@@ -71,9 +71,9 @@
             let mut doors = self.lock();
             let door = Self::door(&mut doors, &v.service);
             match door.gate.enter(now, &v.organisation, v.weight, v.limit, v.priority) {
-                Entry::Pass => return Ok(()),
-                Entry::Refused(kind) => return Err(refused(kind)),
-                Entry::Wait(ticket) => {
+                GateDecision::Pass => return Ok(()),
+                GateDecision::Refused(kind) => return Err(refused(kind)),
+                GateDecision::Wait(ticket) => {
                     let (tx, rx) = oneshot::channel();
                     door.waiting.push((ticket, tx));
                     (ticket, rx)
@@ -88,7 +88,7 @@
         match door.waiting.iter().position(|(t, _)| *t == ticket) {
             Some(place) => {
                 door.waiting.remove(place);
-                door.gate.give_up(ticket);
+                door.gate.cancel(ticket);
                 Err(refused(Kind::Shed))
             }
             // Called in the same moment: it is in.
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -9,7 +9,7 @@
 use crate::ids::{OrganisationId, RequestKey, Revision, Tokens};
 use crate::membership::link::Answerer;
 use crate::membership::wire::{Ask, Found, Mesh, Reply};
-use crate::request::runs::{End, Run};
+use crate::request::runs::{Run, RunEnd};
 use crate::table::Platform;
 
 /// Answers questions about a node.
@@ -120,7 +120,7 @@
             }
             Ask::Revisions(from) => Ok(Reply::Revisions(self.revisions(from).await)),
             Ask::TargetLeaves(target) => {
-                node.lock_picker().left(&target);
+                node.lock_picker().mark_leaving(&target);
                 Ok(Reply::Done)
             }
         }
@@ -143,9 +143,9 @@
     let view = run.view(usize::MAX);
     let service = match view.end {
         // What failed here is no reason to fail elsewhere.
-        Some(End::Failed(_)) => return None,
-        Some(End::Service(answer)) => Some(answer),
+        Some(RunEnd::Failed(_)) => return None,
+        Some(RunEnd::Service(answer)) => Some(answer),
         _ => None,
     };
-    Some(Found { content: run.content, run: run.place(), service })
+    Some(Found { content: run.content, run: run.execution(), service })
 }
--- a/src/router/tasks.rs
+++ b/src/router/tasks.rs
@@ -20,7 +20,7 @@
 use crate::membership::entry::{backup, witness};
 use crate::membership::view::Entry;
 use crate::membership::wire::{Ask, Mesh, Reply};
-use crate::route::picker::Listed;
+use crate::route::picker::ListedTarget;
 use crate::table::{InstanceState, Platform, scan_all};
 
 /// Others that get each heartbeat besides the witness.
@@ -215,7 +215,7 @@
         };
         let listed = list.into_iter().filter_map(|i| {
             let id = i.name.parse().ok()?;
-            Some(Listed {
+            Some(ListedTarget {
                 id,
                 addr: i.addr,
                 zone: i.zone,
--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -22,7 +22,7 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Millis, OrganisationId, RequestKey, Revision, ServiceId, Tokens, ZoneId};
 use crate::membership::entry::answer;
-use crate::request::runs::{End, Run};
+use crate::request::runs::{Run, RunEnd};
 use crate::request::stage::Repeatable;
 use crate::route::picker::Policy;
 use crate::router::boot::{Boot, Booted, boot};
@@ -344,9 +344,9 @@
             first.get_or_insert_with(|| began.elapsed());
         });
         match end.await? {
-            End::Whole(usage, _) => {
+            RunEnd::Complete(usage, _) => {
                 let total = began.elapsed();
-                if let Some((id, target)) = run.place() {
+                if let Some((id, target)) = run.execution() {
                     log::info!(
                         "caller=answered key={} run={id} target={target} tokens={}",
                         run.key,
@@ -356,8 +356,8 @@
                 let text = run.tokens().concat();
                 Ok(LocalAnswer { usage, text, first: first.unwrap_or(total), total, attempts: 1 })
             }
-            End::Failed(e) => Err(e),
-            End::Service(_) => Err(Error::new(Kind::KeyReused, "the key belongs to a call")),
+            RunEnd::Failed(e) => Err(e),
+            RunEnd::Service(_) => Err(Error::new(Kind::KeyReused, "the key belongs to a call")),
         }
     }
 
@@ -368,7 +368,7 @@
         }
     }
 
-    async fn wait(&self, at: usize, run: &Run, mut progress: impl FnMut()) -> Result<End> {
+    async fn wait(&self, at: usize, run: &Run, mut progress: impl FnMut()) -> Result<RunEnd> {
         let mut rx = run.follow();
         let until = Instant::now() + ATTEMPT;
         while Instant::now() < until {
@@ -450,9 +450,11 @@
         let new = Run::new(organisation.clone(), key.clone(), Digest::of(b"body"), budget);
         let run = open_call(node, new, job)?;
         match self.wait(*at, &run, || {}).await? {
-            End::Service(a) => Ok(a),
-            End::Failed(e) => Err(e),
-            End::Whole(..) => Err(Error::new(Kind::KeyReused, "the key belongs to a request")),
+            RunEnd::Service(a) => Ok(a),
+            RunEnd::Failed(e) => Err(e),
+            RunEnd::Complete(..) => {
+                Err(Error::new(Kind::KeyReused, "the key belongs to a request"))
+            }
         }
     }
 }
--- a/tests/test_answer.rs
+++ b/tests/test_answer.rs
@@ -2,7 +2,7 @@
 
 use kingcupwall::engine::{Part, Piece, RunUsage};
 use kingcupwall::error::{Kind, NotRun};
-use kingcupwall::request::answer::{Assembler, Taken};
+use kingcupwall::request::answer::{AnswerAssembler, PieceResult};
 use kingcupwall::request::stage::{Next, Repeatable, Stage, after_failure, not_run};
 use rstest::rstest;
 
@@ -21,16 +21,16 @@
     // A caller sees words twice, or another caller's words in its answer.
     // A target sends a piece again after a reconnect, then one of another run, and then goes on.
     // The pieces carry run and offset, so both are dropped and counted.
-    let mut a = Assembler::default();
+    let mut a = AnswerAssembler::default();
     let run = name("r1");
-    assert_eq!(a.take(&run, token("r1", 0)), Ok(Taken::Grew));
-    assert_eq!(a.take(&run, token("r1", 0)), Ok(Taken::Dropped));
-    assert_eq!(a.take(&run, token("r2", 1)), Ok(Taken::Dropped));
-    assert_eq!(a.take(&run, token("r1", 1)), Ok(Taken::Grew));
+    assert_eq!(a.append_part(&run, token("r1", 0)), Ok(PieceResult::Appended));
+    assert_eq!(a.append_part(&run, token("r1", 0)), Ok(PieceResult::Dropped));
+    assert_eq!(a.append_part(&run, token("r2", 1)), Ok(PieceResult::Dropped));
+    assert_eq!(a.append_part(&run, token("r1", 1)), Ok(PieceResult::Appended));
     assert_eq!(a.tokens().concat(), " t0 t1");
     assert_eq!(a.dropped, 2);
     let usage = RunUsage { prompt_tokens: 3, tokens: 2 };
-    assert_eq!(a.take(&run, end("r1", 2)), Ok(Taken::Whole(usage)));
+    assert_eq!(a.append_part(&run, end("r1", 2)), Ok(PieceResult::Complete(usage)));
 }
 
 #[test]
@@ -38,24 +38,24 @@
     // A caller gets an answer with words missing in the middle and believes it whole.
     // A target resumes a stream one token too late.
     // The hole shows in the offset, and the stream is refused.
-    let mut a = Assembler::default();
-    a.take(&name("r1"), token("r1", 0)).unwrap();
-    let e = a.take(&name("r1"), token("r1", 2)).unwrap_err();
+    let mut a = AnswerAssembler::default();
+    a.append_part(&name("r1"), token("r1", 0)).unwrap();
+    let e = a.append_part(&name("r1"), token("r1", 2)).unwrap_err();
     assert_eq!(e.kind, Kind::TargetFailed);
     assert_eq!(a.tokens().len(), 1);
 }
 
 #[test]
 fn take_early_end() {
-    let mut a = Assembler::default();
-    a.take(&name("r1"), token("r1", 0)).unwrap();
-    assert_eq!(a.take(&name("r1"), end("r1", 5)).unwrap_err().kind, Kind::TargetFailed);
+    let mut a = AnswerAssembler::default();
+    a.append_part(&name("r1"), token("r1", 0)).unwrap();
+    assert_eq!(a.append_part(&name("r1"), end("r1", 5)).unwrap_err().kind, Kind::TargetFailed);
 }
 
 #[rstest]
 #[case(Stage::Held, NotRun::Yes)]
 #[case(Stage::Claimed, NotRun::Yes)]
-#[case(Stage::Covered, NotRun::Yes)]
+#[case(Stage::Protected, NotRun::Yes)]
 #[case(Stage::Dispatched, NotRun::Unknown)]
 #[case(Stage::Streaming, NotRun::No)]
 #[case(Stage::Billed, NotRun::No)]
