--- a/src/budget/actor.rs
+++ b/src/budget/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns a router's grants: drives [`Holder`] and does its I/O.
+//! Actor that owns the grants of a router: drives [`Holder`] and performs its I/O.
 
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
@@ -21,20 +21,20 @@
 use crate::table::committer::Committer;
 use crate::table::{Row, RowKey, Table, Version};
 
-/// Pause between looks at idle grants.
+/// Interval between checks for idle grants and due flushes.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest pause between attempts to read the ledger.
+/// Maximum delay between attempts to read the ledger, and the delay between attempts to write it.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// What the keeper tells the rest of the router.
+/// Receives events of a [`GrantActor`].
 pub trait GrantListener: Clone + Send + Sync + 'static {
-    /// The table has these holds' bills.
+    /// The bills of these holds are recorded in the table.
     fn recorded(&self, holds: Vec<HoldId>);
-    /// This incarnation was sealed by its witness: it holds nothing any more.
+    /// This incarnation was sealed by its witness and no longer holds any grants.
     fn fenced(&self);
 }
 
-/// The keeper of one incarnation's grants.
+/// Owns the grants of one incarnation of a router.
 pub struct GrantActor<T: Table, L: GrantListener> {
     me: ActorRef<GrantActor<T, L>>,
     deps: GrantActorArgs<T, L>,
@@ -44,26 +44,26 @@
     waiting: Vec<(HoldId, ReplySender<Result<HoldId>>)>,
 }
 
-/// What a keeper is made of.
+/// Dependencies and initial state of a [`GrantActor`].
 #[derive(Clone)]
 pub struct GrantActorArgs<T: Table, L: GrantListener> {
-    /// Reads the ledger.
+    /// Table that holds the ledger, for reads.
     pub table: T,
-    /// Writes the ledger.
+    /// Group committer for writes to the ledger.
     pub committer: Committer,
     /// The incarnation that holds the grants.
     pub incarnation: Incarnation,
-    /// Version of its holder row.
+    /// Version of the incarnation's holder row.
     pub version: Version,
-    /// The configuration in force.
+    /// The active configuration.
     pub cfg: Arc<RwLock<Config>>,
-    /// Time.
+    /// Source of the current time.
     pub clock: Clock,
-    /// Where news go.
+    /// Receives the events of the actor.
     pub grant_listener: L,
-    /// Overrides the sizing policy, for experiments.
+    /// Overrides the configured sizing policy, for experiments.
     pub sizing: Option<Sizing>,
-    /// Routers that may hold parts of one budget.
+    /// Number of routers that may hold parts of one budget.
     pub holders: u64,
 }
 
@@ -99,76 +99,78 @@
     }
 }
 
-/// Holds tokens for a request.
+/// Message: reserves tokens of a budget for a request.
 #[derive(Clone, Debug)]
 pub struct RequestHold {
-    /// Whose tokens.
+    /// The budget to reserve from.
     pub budget: BudgetId,
-    /// The largest cost.
+    /// Largest possible cost of the request.
     pub amount: Tokens,
-    /// Whether to wait for a grant.
+    /// Whether to wait for an extension of the grant if it is too small.
     pub wait_for_grant: bool,
 }
 
-/// A held request turned out not to run, or nobody waits for the hold any more.
+/// Message: releases a hold whose request did not run or no longer waits for it.
 #[derive(Clone, Copy, Debug)]
 pub struct CancelHold(pub HoldId);
 
-/// A request ended with this bill.
+/// Message: replaces the hold of an ended request by its bill. Replies with the excess of the cost
+/// over the held amount.
 #[derive(Clone, Debug)]
 pub struct SettleHold {
-    /// Its hold.
+    /// Hold of the request.
     pub hold: HoldId,
-    /// Its cost, and who pays.
+    /// Bill of the request.
     pub bill: Bill,
 }
 
-/// No witness keeps a copy of this hold; may it go on the solo part?
+/// Message: moves a hold that no witness keeps a copy of to the solo part of the grant. Replies
+/// whether it fits.
 #[derive(Clone, Copy, Debug)]
 pub struct MoveToSolo(pub HoldId);
 
-/// Gives back everything that is free.
+/// Message: releases the free tokens of all budgets.
 #[derive(Clone, Copy, Debug)]
 pub struct ReleaseAll;
 
-/// Gives back what is free of one budget.
+/// Message: releases the free tokens of one budget.
 #[derive(Clone, Debug)]
 pub struct Release(pub BudgetId);
 
-/// The holder row was written again.
+/// Message: the holder row was rewritten and now has this version.
 #[derive(Clone, Copy, Debug)]
 pub struct HolderRowVersion(pub Version);
 
-/// How many routers there are.
+/// Message: sets the number of routers.
 #[derive(Clone, Copy, Debug)]
 pub struct SetRouterCounts {
-    /// All that write to the ledger.
+    /// Routers that write to the ledger.
     pub routers: u64,
-    /// Those that hold parts of one budget.
+    /// Routers that may hold parts of one budget.
     pub holders: u64,
 }
 
-/// What is held of a budget.
+/// Message: replies with the usage of a budget at this router.
 #[derive(Clone, Debug)]
 pub struct GetUsage(pub BudgetId);
 
-/// State of the whole keeper.
+/// Message: replies with the totals of this actor.
 #[derive(Clone, Copy, Debug)]
 pub struct GetTotals;
 
-/// Counts for reports and for a graceful stop.
+/// Totals for reports and for a graceful stop.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(kameo::Reply)]
 pub struct GrantTotals {
-    /// Budgets with state here.
+    /// Number of budgets with state at this router.
     pub budgets: usize,
-    /// Requests that hold tokens.
+    /// Number of requests that hold tokens.
     pub holds: usize,
-    /// Bills the table does not have yet.
+    /// Number of bills not yet recorded in the table.
     pub pending_bills: usize,
 }
 
-/// The witness sealed this incarnation.
+/// Message: the witness sealed this incarnation.
 #[derive(Clone, Copy, Debug)]
 pub struct Fence;
 
@@ -205,7 +207,7 @@
 
     fn reply_to_waiter(&mut self, ticket: HoldId, refused: Option<Kind>) {
         let Ok(index) = self.waiting.binary_search_by(|(t, _)| t.cmp(&ticket)) else {
-            // Who waited is gone: the tokens must not stay held for nobody.
+            // The request no longer waits, so its tokens must not stay reserved.
             return self.holder.cancel(ticket);
         };
         let (_, tx) = self.waiting.remove(index);
@@ -220,7 +222,7 @@
         let bills = self.holder.pending_bills_of(&id);
         tokio::spawn(async move {
             let (rows, version) = read_rows_with_retry(&deps, &id, &bills).await;
-            // A keeper that is gone needs no rows.
+            // Sending fails only if the actor has stopped and no longer needs the rows.
             let _ = me.tell(RowsRead(id, rows, version)).await;
         });
     }
@@ -275,8 +277,9 @@
     Error::new(kind, message)
 }
 
-/// Reads a budget's rows, again and again while the table is away: a pocket whose rows are
-/// unknown can do nothing else. Pauses carry jitter against a stampede on return.
+/// Reads the rows of a budget and retries until the table answers, because nothing can be done for
+/// a budget whose rows are unknown. Delays are jittered so that routers don't all retry at once
+/// when the table is available again.
 async fn read_rows_with_retry<T: Table, L: GrantListener>(
     deps: &GrantActorArgs<T, L>,
     id: &BudgetId,
@@ -315,7 +318,11 @@
     Ok((loaded, Some(version)))
 }
 
-/// A row with its version, or the default for none.
+/// Decodes a row together with its version. A missing row gives the default and no version.
+///
+/// # Errors
+///
+/// Returns an error if the row cannot be decoded.
 pub fn versioned<'a, R: Default + serde::Deserialize<'a>>(
     row: Option<&'a Row>,
 ) -> Result<Versioned<R>> {
@@ -353,7 +360,7 @@
         );
         match admit {
             Admission::Held(id) => tx.send(Ok(id)),
-            // Without the table it is not known whether the budget is exhausted.
+            // While the table cannot be written, it is unknown whether the budget is exhausted.
             Admission::Refused(_) if ledger_unavailable => {
                 tx.send(Err(refusal(Kind::PlatformAway)))
             }
--- a/src/budget/budget_state.rs
+++ b/src/budget/budget_state.rs
@@ -1,4 +1,4 @@
-//! One budget as a router holds it: what is granted, held, billed and waited for.
+//! State of one budget at a router: its grant, holds, pending bills and waiting requests.
 
 use std::collections::VecDeque;
 
@@ -7,12 +7,13 @@
 use super::sizing::Rate;
 use crate::ids::{BudgetId, Millis, Tokens};
 
-/// Who covers a hold if this router dies.
+/// How a hold survives a crash of this router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Protection {
-    /// A witness keeps a copy.
+    /// A witness keeps a copy of the hold.
     Witness,
-    /// Nobody: the tokens come out of the grant's solo part.
+    /// There is no copy; the tokens are taken from the solo part of the grant, which is never
+    /// reclaimed.
     Solo,
 }
 
@@ -38,24 +39,24 @@
     pub(super) bill: Bill,
 }
 
-/// One budget as this router holds it.
+/// State of one budget at this router.
 #[derive(Debug)]
 pub(super) struct BudgetState {
     pub(super) id: BudgetId,
     pub(super) budget: Versioned<BudgetRow>,
     pub(super) grant: Versioned<GrantRow>,
-    /// Whether `budget` and `grant` were read from the table at all.
+    /// Whether `budget` and `grant` reflect the table and need not be read again.
     pub(super) rows_known: bool,
     pub(super) limit: Limit,
     pub(super) held: Tokens,
-    /// Bills made but not recorded.
+    /// Total cost of bills that are not yet recorded.
     pub(super) unrecorded: Tokens,
-    /// Held or billed without a witness, and not recorded.
+    /// Part of the solo part that is held or billed but not yet recorded.
     pub(super) solo_used: Tokens,
     pub(super) waiting: VecDeque<Waiting>,
     pub(super) pending: VecDeque<PendingBill>,
     pub(super) in_flight: Option<GrantChange>,
-    /// The last change lost a race: it is made again at once, not with the next record.
+    /// The last change failed on a guard. It is retried at once rather than at the next flush.
     pub(super) retry: bool,
     pub(super) rate: Rate,
     pub(super) last_used: Millis,
@@ -81,18 +82,22 @@
         }
     }
 
-    /// What may still be held. Tokens that a change in flight gives back are already gone, and
-    /// those that it adds are not there yet: either way the smaller amount counts until the
-    /// table has answered.
+    /// Returns the tokens available for new holds.
+    ///
+    /// While a change is in flight, the lower amount applies: tokens that it releases are already
+    /// subtracted and tokens that it adds are not yet counted.
     pub(super) fn free(&self) -> Tokens {
         let releasing = self.in_flight.as_ref().map_or(Tokens::ZERO, |c| c.release);
         let out = self.grant.row.settled.plus(self.unrecorded).plus(self.held);
         self.grant.row.granted.minus(releasing).minus(out)
     }
 
-    /// Guards against an older revision's larger amount after a lowering: overspend would show as
-    /// `committed` past the prepaid amount. The row names the revision of the last lowering, and
-    /// nothing is granted under an older one.
+    /// Returns the total amount that may be granted to all holders.
+    ///
+    /// After the prepaid amount was lowered, a router on an older revision would grant up to the
+    /// old, larger amount and `committed` would exceed the prepaid amount. The budget's row
+    /// therefore names the revision of the last lowering, and nothing is granted under an older
+    /// one.
     pub(super) fn grantable(&self) -> Tokens {
         if self.budget.row.floor > self.limit.revision { Tokens::ZERO } else { self.limit.prepaid }
     }
--- a/src/budget/holder.rs
+++ b/src/budget/holder.rs
@@ -1,4 +1,5 @@
-//! The grants of one router, as a pure state machine: event in, effects out, no clock, no I/O.
+//! State machine for the grants of one router. Events go in, effects come out; it has no clock and
+//! does no I/O.
 
 use std::collections::VecDeque;
 
@@ -10,80 +11,83 @@
 use crate::ids::{BudgetId, Millis, Revision, Tokens};
 use crate::table::Version;
 
-/// Bills that wait to be recorded, at most. Past that nothing is admitted: a bill is never
-/// dropped, so the queue has to be bounded at its entrance.
+/// Maximum number of bills that wait to be recorded. Above this limit no request is admitted: bills
+/// are never dropped, so the queue can only be bounded at admission.
 pub const MAX_PENDING_BILLS: usize = 50_000;
-/// Bills in one change, at most.
+/// Maximum number of bills in one change.
 const MAX_BILLS_PER_CHANGE: usize = 200;
-/// Shortest pause between records of bills: one transaction then carries those of all budgets.
-/// Until then the witness has them.
+/// Minimum time between two flushes of bills, so that one transaction carries the bills of all
+/// budgets. Until a bill is recorded, the witness keeps a copy of it.
 const MIN_FLUSH_INTERVAL: Millis = Millis(3_000);
-/// Pause added for each router, so that the fleet's records together stay within what the table
-/// takes.
+/// Flush interval per router in the fleet. The interval grows with the fleet so that the combined
+/// write rate stays within what the table can take.
 const FLUSH_INTERVAL_PER_ROUTER: Millis = Millis(10);
-/// Unused time after which what is free of a grant goes back.
+/// Time without requests after which the free part of a grant is released.
 const IDLE_TIMEOUT: Millis = Millis(60_000);
 
-/// Number of a hold within its incarnation.
+/// Identifies a hold within one incarnation of a router.
+///
+/// A hold reserves the largest possible cost of a request until the request is billed or canceled.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(transparent)]
 pub struct HoldId(pub u64);
 
-/// What the configuration allows, and the revision that says so.
+/// Prepaid amount of a budget according to the configuration.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Limit {
-    /// Everything ever prepaid.
+    /// Total amount ever prepaid.
     pub prepaid: Tokens,
-    /// The revision it was read from.
+    /// Revision of the configuration that `prepaid` was read from.
     pub revision: Revision,
 }
 
-/// The answer to a request for a hold.
+/// Result of a request for a hold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// The tokens are held.
+    /// The tokens are reserved.
     Held(HoldId),
-    /// A grant is being fetched; the verdict comes later under this number.
+    /// The grant has to be extended first. The result follows as an [`Effect::Notify`] with this
+    /// id.
     Wait(HoldId),
-    /// Not held.
+    /// The tokens are not reserved, for this reason.
     Refused(Kind),
 }
 
-/// A verdict on an earlier [`Admission::Wait`].
+/// Result of an earlier [`Admission::Wait`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WaitResult {
-    /// The number given before; it is the hold's number when `refused` is `None`.
+    /// Id from [`Admission::Wait`]. If `refused` is `None`, this is the id of the hold.
     pub ticket: HoldId,
-    /// Why not, if not.
+    /// Reason for a refusal; `None` if the tokens are reserved.
     pub refused: Option<Kind>,
 }
 
-/// What the driver has to do.
+/// I/O for the driver of the state machine to perform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Read the rows of this budget and answer with [`Holder::loaded`].
+    /// Read the rows of this budget, then call [`Holder::loaded`].
     Load(BudgetId),
-    /// Write this change and answer with [`Holder::changed`].
+    /// Write this change, guarded by the versions of the two rows, then call [`Holder::changed`].
     Write(BudgetId, GrantChange, Versioned<BudgetRow>, Versioned<GrantRow>),
-    /// Tell a waiting request.
+    /// Send this result to the request that waits for it.
     Notify(WaitResult),
-    /// These holds are recorded: the witness may forget them.
+    /// The bills of these holds are recorded; the witness may drop its copies.
     Recorded(Vec<HoldId>),
 }
 
-/// Rows read for a budget.
+/// Rows read from the ledger for one budget.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct LoadedRows {
-    /// The budget's row.
+    /// Row of the budget.
     pub budget: Versioned<BudgetRow>,
-    /// This holder's grant.
+    /// Row of this holder's grant.
     pub grant: Versioned<GrantRow>,
-    /// Of the pending bills: those whose row exists already.
+    /// Pending bills whose row already exists in the table.
     pub billed: Vec<Bill>,
 }
 
-/// Everything a router holds.
+/// Grants, holds and pending bills of one router.
 #[derive(Debug)]
 pub struct Holder {
     sizing: Sizing,
@@ -102,22 +106,22 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(kameo::Reply)]
 pub struct Usage {
-    /// The grant as the table has it.
+    /// Size of the grant as recorded in the table.
     pub granted: Tokens,
-    /// Held for running requests.
+    /// Reserved for running requests.
     pub held: Tokens,
-    /// Billed and not yet recorded.
+    /// Billed but not yet recorded in the table.
     pub unrecorded: Tokens,
-    /// Recorded.
+    /// Billed and recorded in the table.
     pub settled: Tokens,
-    /// Free to hold.
+    /// Available for new holds.
     pub free: Tokens,
-    /// Left to grant in the table, when it was last read.
+    /// Tokens that the budget could still grant when its row was last read or written.
     pub left: Tokens,
 }
 
 impl Holder {
-    /// A holder with nothing.
+    /// Creates a holder without grants.
     pub fn new(sizing: Sizing) -> Holder {
         Holder {
             sizing,
@@ -133,24 +137,25 @@
         }
     }
 
-    /// Sets policy: the solo share, the sizing, and how many routers may hold the same budget.
+    /// Sets the sizing policy, the solo share of each extension in thousandths, and the number of
+    /// routers that may hold parts of the same budget.
     pub fn set_policy(&mut self, sizing: Sizing, solo_per_mille: u32, holders: u64) {
         self.sizing = sizing;
         self.solo_per_mille = solo_per_mille;
         self.holders = holders;
     }
 
-    /// Bills not yet recorded.
+    /// Number of bills not yet recorded.
     pub fn pending_bills(&self) -> usize {
         self.pending
     }
 
-    /// How many routers write to the ledger: each records the less often, the more there are.
+    /// Sets the number of routers that write to the ledger. The flush interval grows with it.
     pub fn set_routers(&mut self, routers: u64) {
         self.routers = routers;
     }
 
-    /// The bills of one budget that are not yet recorded.
+    /// Returns the bills of one budget that are not yet recorded, at most one change's worth.
     pub fn pending_bills_of(&self, id: &BudgetId) -> Vec<Bill> {
         let Ok(index) = self.find(id) else { return Vec::new() };
         self.budgets[index]
@@ -161,17 +166,17 @@
             .collect()
     }
 
-    /// Holds of requests that still run.
+    /// Number of holds of running requests.
     pub fn holds(&self) -> usize {
         self.holds.len()
     }
 
-    /// Budgets with state here.
+    /// Number of budgets with state at this router.
     pub fn budgets(&self) -> usize {
         self.budgets.len()
     }
 
-    /// Usage of a budget.
+    /// Returns the usage of a budget; all zero if the budget has no state here.
     pub fn usage(&self, id: &BudgetId) -> Usage {
         let Ok(index) = self.find(id) else { return Usage::default() };
         let p = &self.budgets[index];
@@ -207,7 +212,10 @@
         self.holds.insert(index, Hold { id, budget, amount, protection });
     }
 
-    /// A request wants `amount` held. Without `wait_for_grant` it does not wait for a grant.
+    /// Reserves `amount` tokens of a budget for a request.
+    ///
+    /// If the grant is too small, the request waits for an extension if `wait_for_grant` is set and
+    /// is refused otherwise.
     pub fn admit(
         &mut self,
         now: Millis,
@@ -241,7 +249,7 @@
         (admit, effects)
     }
 
-    /// A waiting request went away, or a hold turned out not to be needed: nothing ran.
+    /// Cancels a waiting request, or releases a hold whose request did not run.
     pub fn cancel(&mut self, ticket: HoldId) {
         for p in &mut self.budgets {
             p.waiting.retain(|w| w.ticket != ticket);
@@ -262,7 +270,8 @@
         Some(hold)
     }
 
-    /// No witness can be reached: the hold moves to the solo part, if that has room.
+    /// Moves a hold to the solo part of the grant, for when no witness can be reached. Returns
+    /// whether the solo part had enough room.
     pub fn move_to_solo(&mut self, id: HoldId) -> bool {
         let Ok(index) = self.holds.binary_search_by(|h| h.id.cmp(&id)) else { return false };
         let (budget, amount) = (self.holds[index].budget.clone(), self.holds[index].amount);
@@ -276,7 +285,7 @@
         true
     }
 
-    /// A witness took over the cover of a hold.
+    /// Records that a witness keeps a copy of this hold, which frees its share of the solo part.
     pub fn mark_witnessed(&mut self, id: HoldId) {
         let Ok(index) = self.holds.binary_search_by(|h| h.id.cmp(&id)) else { return };
         let hold = &mut self.holds[index];
@@ -291,8 +300,11 @@
         }
     }
 
-    /// A request ended: its hold becomes a bill. The cost is capped at the hold, so that a target
-    /// that reports too much cannot overspend a budget; the excess is returned.
+    /// Turns the hold of an ended request into a bill.
+    ///
+    /// The cost is capped at the held amount, so that a target that reports too many tokens cannot
+    /// overspend the budget. Returns the excess over that cap. A hold that was already settled or
+    /// canceled is ignored.
     pub fn settle(&mut self, now: Millis, id: HoldId, mut bill: Bill) -> (Tokens, Vec<Effect>) {
         let Some(hold) = self.drop_hold(id) else { return (Tokens::ZERO, Vec::new()) };
         let excess = bill.cost.minus(hold.amount);
@@ -309,7 +321,7 @@
         (excess, effects)
     }
 
-    /// Rows of a budget were read.
+    /// Handles the rows of a budget read for [`Effect::Load`].
     pub fn loaded(&mut self, now: Millis, id: &BudgetId, rows: LoadedRows) -> Vec<Effect> {
         let Ok(index) = self.find(id) else { return Vec::new() };
         let p = &mut self.budgets[index];
@@ -332,7 +344,8 @@
         effects
     }
 
-    /// A change was written at `version`, or failed on a guard (`None`).
+    /// Handles the outcome of an [`Effect::Write`]: the version at which the change was written, or
+    /// `None` if a guard failed.
     pub fn changed(&mut self, now: Millis, id: &BudgetId, version: Option<Version>) -> Vec<Effect> {
         let Ok(index) = self.find(id) else { return Vec::new() };
         let p = &mut self.budgets[index];
@@ -365,7 +378,8 @@
         effects
     }
 
-    /// Time passed: idle grants go back, empty pockets are dropped.
+    /// Releases idle grants, flushes bills when the flush interval is over, and drops the state of
+    /// unused budgets.
     pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
         let ids: Vec<BudgetId> = self.budgets.iter().map(|p| p.id.clone()).collect();
         self.flushing = now >= self.next_flush;
@@ -378,7 +392,8 @@
         effects
     }
 
-    /// Gives everything free back now, for a stop or at a peer's request.
+    /// Releases the free tokens of one budget now, for a shutdown or at the request of another
+    /// router.
     pub fn release(&mut self, now: Millis, id: &BudgetId) -> Vec<Effect> {
         if let Ok(index) = self.find(id) {
             self.budgets[index].last_used = Millis(0);
@@ -389,14 +404,14 @@
         effects
     }
 
-    /// Gives back everything free of every budget.
+    /// Releases the free tokens of all budgets.
     pub fn release_all(&mut self, now: Millis) -> Vec<Effect> {
         self.budgets.iter_mut().for_each(|p| p.last_used = Millis(0));
         self.next_flush = now;
         self.tick(now)
     }
 
-    /// Serves waiting requests, then starts the next change if one is due.
+    /// Admits waiting requests, then starts the next change if one is due.
     fn advance(&mut self, now: Millis, id: &BudgetId) -> Vec<Effect> {
         let Ok(index) = self.find(id) else { return Vec::new() };
         let mut effects = self.admit_waiting(index);
@@ -435,24 +450,27 @@
         out
     }
 
-    /// With the table's rows known, nothing in flight and no change to make, the first waiting
-    /// request cannot be served: it learns so at once. Smaller ones behind it get their chance.
+    /// Refuses the waiting requests that cannot be admitted.
+    ///
+    /// Called when the rows are known, no change is in flight and none is to be made, so waiting
+    /// longer would not help. After each refusal, smaller requests further back in the queue are
+    /// admitted if they fit.
     fn refuse_waiting(&mut self, index: usize) -> Vec<Effect> {
         let mut out = Vec::new();
         while let Some(w) = self.budgets[index].waiting.pop_front() {
             let refused = Some(Kind::BudgetExhausted);
             out.push(Effect::Notify(WaitResult { ticket: w.ticket, refused }));
-            // The row may be stale by the next request: it is read again then.
+            // The row may be stale by the time of the next request, so it is read again then.
             self.budgets[index].rows_known = false;
             out.extend(self.admit_waiting(index));
         }
         out
     }
 
-    /// The next change of a grant, if one is worth a write now.
+    /// Returns the next change of a grant, if there is one worth a write now.
     ///
-    /// Only a waiting request has its grant extended at once. Prefetches, returns and bills wait
-    /// for the next common record, so that one transaction carries those of all budgets.
+    /// A grant is extended at once only for a waiting request. Prefetches, releases and bills wait
+    /// for the next flush, so that one transaction carries the changes of all budgets.
     fn next_change(&mut self, now: Millis, index: usize) -> Option<GrantChange> {
         let p = &mut self.budgets[index];
         let waiting = p.waiting.iter().fold(Tokens::ZERO, |sum, w| sum.plus(w.amount));
@@ -485,7 +503,7 @@
         now.since(self.budgets[index].last_used) >= IDLE_TIMEOUT
     }
 
-    /// Whether what is free would not last half the horizon.
+    /// Returns whether the free tokens would last less than half of the horizon.
     fn is_low(&mut self, now: Millis, index: usize) -> bool {
         let Sizing::ByRate { horizon } = self.sizing else { return false };
         let p = &mut self.budgets[index];
--- a/src/budget/ledger.rs
+++ b/src/budget/ledger.rs
@@ -1,4 +1,8 @@
-//! Rows of the ledger, and the mutations that change them.
+//! Rows of the budget ledger, and the mutations that change them.
+//!
+//! The ledger is part of the table that all routers share. It has one row per budget, per holder
+//! (an incarnation of a router), per grant (the part of a budget that a holder may spend) and per
+//! bill.
 
 use compact_str::{CompactString, format_compact};
 use serde::{Deserialize, Serialize};
@@ -8,28 +12,28 @@
 };
 use crate::table::{Mutation, RowKey, Version};
 
-/// What is out of one budget.
+/// Totals of one budget.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct BudgetRow {
-    /// `closed` plus everything granted to holders; never more than the prepaid amount.
+    /// `closed` plus everything granted to holders. Never exceeds the prepaid amount.
     pub committed: Tokens,
-    /// Settled cost of grants that are closed and gone.
+    /// Settled cost of grants whose rows have been removed.
     pub closed: Tokens,
-    /// The revision that last lowered the prepaid amount. A router that runs an older revision
-    /// knows too large an amount and must not grant.
+    /// Revision that last lowered the prepaid amount. A router on an older revision still has the
+    /// larger amount and must not extend grants.
     pub floor: Revision,
 }
 
-/// One holder's part of one budget.
+/// Part of one budget that one holder may spend.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct GrantRow {
-    /// Everything this holder may ever bill to the budget.
+    /// Upper bound for everything this holder bills to the budget.
     pub granted: Tokens,
-    /// The part of it that may be spent without a witness.
+    /// Part of `granted` that may be spent without a witness.
     pub solo: Tokens,
-    /// Bills recorded.
+    /// Total cost of the recorded bills.
     pub settled: Tokens,
 }
 
@@ -40,9 +44,9 @@
 pub enum HolderState {
     /// May be granted tokens.
     Live,
-    /// Went away and gave everything back.
+    /// Has stopped and released all its grants.
     Left,
-    /// Reclaimed by its witness: nothing may be granted to it again.
+    /// Reclaimed by its witness. Must not be granted tokens again.
     Sealed,
 }
 
@@ -50,104 +54,105 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct HolderRow {
-    /// Its availability zone.
+    /// Availability zone of the router.
     pub zone: ZoneId,
-    /// Its listener for callers.
+    /// Listener address for callers.
     pub api: CompactString,
-    /// Its listener for routers.
+    /// Listener address for other routers.
     pub peer: CompactString,
-    /// The incarnation that keeps copies of its holds, and settles them after its death.
+    /// Incarnation that keeps copies of this holder's holds and settles them if the holder crashes.
     pub witness: Option<Incarnation>,
-    /// Another that may have copies: while the witness cannot be reached, its word is enough.
+    /// Second incarnation that may keep copies. A copy there is sufficient while the witness cannot
+    /// be reached.
     #[serde(default)]
     pub backup: Option<Incarnation>,
-    /// May it hold grants?
+    /// Whether the incarnation may hold grants.
     pub state: HolderState,
 }
 
-/// The settled cost of one request. Its row is inserted once, whoever tries.
+/// Settled cost of one request. Its row is inserted at most once, no matter how many routers try.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Bill {
-    /// Who pays.
+    /// The organisation that pays.
     pub organisation: OrganisationId,
-    /// The caller's key.
+    /// Idempotency key of the request.
     pub key: RequestKey,
     /// Digest of the request's content.
     pub content: Digest,
-    /// The budget charged.
+    /// Budget that is charged.
     pub budget: BudgetId,
-    /// The execution that is paid for.
+    /// The run that is billed.
     pub run: RunId,
     /// Cost in tokens.
     pub cost: Tokens,
 }
 
-/// Row of a budget.
+/// Key of a budget's row.
 pub fn budget_key(id: &BudgetId) -> RowKey {
     format_compact!("budget/{id}")
 }
 
-/// Row of a holder's grant.
+/// Key of the row of a holder's grant.
 pub fn grant_key(holder: &Incarnation, id: &BudgetId) -> RowKey {
     format_compact!("grant/{holder}/{id}")
 }
 
-/// Prefix of all grants of a holder.
+/// Key prefix of all grants of a holder.
 pub fn grants_prefix(holder: &Incarnation) -> RowKey {
     format_compact!("grant/{holder}/")
 }
 
-/// Prefix of all holders.
+/// Key prefix of all holders.
 pub const HOLDERS_PREFIX: &str = "holder/";
 
-/// Row of a holder.
+/// Key of a holder's row.
 pub fn holder_key(holder: &Incarnation) -> RowKey {
     format_compact!("{HOLDERS_PREFIX}{holder}")
 }
 
-/// Prefix of all bills of an organisation.
+/// Key prefix of all bills of an organisation.
 pub fn bills_prefix(organisation: &OrganisationId) -> RowKey {
     format_compact!("bill/{organisation}/")
 }
 
-/// Row of a bill. The content is part of the key, so that a key used again for other content
-/// much later is another bill.
+/// Key of a bill's row. The key contains the content digest, so that an idempotency key reused much
+/// later with other content gives a separate bill.
 pub fn bill_key(bill: &Bill) -> RowKey {
     format_compact!("bill/{}/{}/{}", bill.organisation, bill.key, bill.content)
 }
 
-/// A row as last seen, with its version; `None` for one that does not exist.
+/// A row as last read or written, with its version.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Versioned<T> {
-    /// Version of the row.
+    /// Version of the row; `None` if the row does not exist.
     pub version: Option<Version>,
-    /// Its content, or the default.
+    /// Content of the row, or the default if the row does not exist.
     pub row: T,
 }
 
-/// One change of a grant: bills recorded, tokens added or given back, all in one mutation.
+/// One change of a grant. Bills, extension and release are written in one mutation.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct GrantChange {
-    /// Bills to insert and settle.
+    /// Bills to insert and add to the settled cost.
     pub bills: Vec<Bill>,
     /// Tokens to add to the grant.
     pub extend: Tokens,
-    /// Tokens to give back.
+    /// Tokens to return to the budget.
     pub release: Tokens,
-    /// Part of the extension that needs no witness.
+    /// Part of the extension that may be spent without a witness.
     pub solo: Tokens,
-    /// Remove the grant row; everything left must be settled.
+    /// Whether to remove the grant's row. All tokens that remain in the grant must be settled.
     pub close: bool,
 }
 
 impl GrantChange {
-    /// Whether the budget's row takes part.
+    /// Returns whether the change also modifies the budget's row.
     pub fn changes_budget_row(&self) -> bool {
         self.extend > Tokens::ZERO || self.release > Tokens::ZERO || self.close
     }
 
-    /// The rows after the change.
+    /// Returns both rows as they are after the change.
     pub fn after(&self, budget: BudgetRow, grant: GrantRow) -> (BudgetRow, GrantRow) {
         let cost = self.bills.iter().fold(Tokens::ZERO, |sum, b| sum.plus(b.cost));
         let granted = grant.granted.plus(self.extend).minus(self.release);
@@ -158,12 +163,13 @@
         (BudgetRow { committed, closed, ..budget }, after)
     }
 
-    /// The mutation that makes the change.
+    /// Builds the mutation that applies the change.
     ///
-    /// The guard on the holder's row is the fence against a holder that was paused, reclaimed by
-    /// its witness, and woke: its next change fails, whatever it believes. Each bill's row must
-    /// be absent, so that a request run twice is billed once. `fence` is the version of the
-    /// holder's row; its witness, which seals that row first, needs none.
+    /// `fence` is the expected version of the holder's row. It fences off a holder that was paused
+    /// and meanwhile reclaimed by its witness: sealing changed the row's version, so any later
+    /// change by that holder fails. The witness itself seals the row first and passes no fence.
+    ///
+    /// Each bill's row must not exist yet, so that a request that ran twice is billed once.
     pub fn mutation(
         &self,
         holder: &Incarnation,
--- a/src/budget/mod.rs
+++ b/src/budget/mod.rs
@@ -1,6 +1,11 @@
-//! Who may spend: the ledger in the table, grants held by routers, holds, bills, witnesses.
+//! Prepaid budgets: the shared ledger, the grants of each router, holds, bills and witnesses.
 //!
-//! Two invariants give "never past what was prepaid" without any clock:
+//! A router gets a grant, a part of a budget, from the ledger and spends it locally. Before a
+//! request is dispatched, its largest possible cost is reserved as a hold; afterwards the hold is
+//! replaced by a bill. Another router, the witness, keeps copies of the holds and settles them if
+//! the router crashes.
+//!
+//! Two invariants ensure that no budget is overspent. Neither depends on a clock:
 //! - in the table, per budget: `closed + sum of granted <= prepaid`;
 //! - in a holder, per grant: `sum of bills + sum of holds <= granted`.
 
--- a/src/budget/reclaim.rs
+++ b/src/budget/reclaim.rs
@@ -1,4 +1,4 @@
-//! Settling the grants of a holder that died, out of its witness's copies.
+//! Reclaims and settles the grants of a crashed holder from the copies that its witness keeps.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -18,25 +18,28 @@
 use crate::table::committer::Committer;
 use crate::table::{Mutation, Table, read_one, scan_all};
 
-/// Pause between attempts to learn what became of a run.
+/// Interval between attempts to determine the outcome of a run, and between attempts to settle a
+/// grant.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Bills recorded in one change.
+/// Maximum number of bills recorded in one change.
 const MAX_BILLS_PER_SETTLEMENT: usize = 100;
-/// Attempts before a run is left in doubt.
+/// Maximum number of attempts to determine the outcome of a run. After that, its hold stays counted
+/// as spent.
 const MAX_QUERY_ATTEMPTS: u32 = 240;
 
-/// Finds a target's address.
+/// Resolves targets to addresses.
 pub trait AddressLookup: Clone + Send + Sync + 'static {
-    /// `ip:port` of a target, while it is known.
+    /// Returns the `ip:port` of a target, or `None` if the target is unknown.
     fn addr(&self, target: &TargetId) -> Option<compact_str::CompactString>;
 }
 
-/// Asks backups for their seals.
+/// Seals holders at their backups.
 pub trait BackupSealer: Clone + Send + Sync + 'static {
-    /// Has `backup` refuse all later copies of `holder`, and tell those it has.
+    /// Makes `backup` refuse all further copies of `holder` and returns the copies it has.
     ///
     /// # Errors
-    /// `Io` or `Timeout`: it may still take copies.
+    ///
+    /// Returns `Io` or `Timeout` if the backup did not confirm. It may then still accept copies.
     fn seal_at(
         &self,
         backup: &Incarnation,
@@ -44,29 +47,29 @@
     ) -> impl Future<Output = Result<Vec<HoldCopy>>> + Send;
 }
 
-/// A witness at work for its dead wards.
+/// Reclaims the grants of crashed holders on behalf of their witness.
 #[derive(Clone)]
 pub struct Reclaimer<T: Table, E: Engine, A: AddressLookup, S: BackupSealer> {
-    /// Other routers.
+    /// Seals holders at their backups.
     pub sealer: S,
-    /// The ledger.
+    /// Table that holds the ledger, for reads.
     pub table: T,
-    /// Writes the ledger.
+    /// Group committer for writes to the ledger.
     pub committer: Committer,
-    /// Asked what became of runs.
+    /// Client for queries to targets about runs.
     pub engine: E,
-    /// Where targets are.
+    /// Addresses of the targets.
     pub addresses: A,
-    /// The copies.
+    /// Copies of the holds of other routers.
     pub witness: Arc<Mutex<Witness>>,
-    /// The incarnation that is the witness.
+    /// Incarnation of this router, which is the witness.
     pub own_incarnation: Incarnation,
 }
 
-/// A hold whose end is known.
+/// A hold whose outcome is known.
 struct ResolvedHold {
     copy: HoldCopy,
-    /// Its bill; `None`: it never ran, or is billed already.
+    /// The bill to record; `None` if the run never started or is already billed.
     bill: Option<Bill>,
 }
 
@@ -74,7 +77,7 @@
     RunUsage { prompt_tokens: 0, tokens: copy.bill.cost.0 }
 }
 
-/// What is known of a run after asking.
+/// What is known about a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum RunStatus {
     Ended(RunUsage),
@@ -83,23 +86,29 @@
 }
 
 impl<T: Table, E: Engine, A: AddressLookup, S: BackupSealer> Reclaimer<T, E, A, S> {
-    /// Seals `holder`, gives back what was provably unspent of its grants, and settles its runs
-    /// one by one as evidence comes. Whether the holder was this witness's to reclaim.
+    /// Seals `holder`, releases the provably unspent part of its grants, and settles its runs as
+    /// their outcomes become known. Returns whether this router is the holder's witness and has
+    /// sealed it.
     ///
-    /// The order matters. Witness and backup refuse the holder's copies first, so from then on it
-    /// can dispatch nothing new, paused or not; only then is the rest of its grants given back.
-    /// Without the backup's seal nothing is: a cut-off holder may go on with its word.
+    /// The order of the steps matters. Witness and backup first refuse further copies from the
+    /// holder, so that it cannot dispatch anything new, even if it was only paused. Only then is
+    /// the unspent part released. Without the backup's seal nothing is released, because a holder
+    /// that is cut off from its witness may keep running with copies at its backup alone.
     ///
     /// # Errors
-    /// `PlatformAway`, `Io` or `Timeout`: nothing is given back until table and backup answer.
+    ///
+    /// Returns `PlatformAway`, `Io` or `Timeout` if the table or the backup does not answer.
+    /// Nothing is released before both have answered.
     pub async fn reclaim(&self, holder: &Incarnation) -> Result<bool> {
         let Some(row) = self.assigned_row(holder).await? else {
-            // As its backup this router may have sealed it for the witness: that must stand.
+            // This router may have sealed the holder as its backup, on behalf of the witness. That
+            // seal has to stay.
             self.lock_witness().drop_unsealed(holder);
             return Ok(false);
         };
-        // The backup first: while it cannot be reached, the holder may be well beside it, and
-        // must find its witness open when the zones see each other again.
+        // The backup is sealed first. While it cannot be reached, the holder may still be running
+        // next to it, and the witness must still accept its copies once the network partition is
+        // over.
         let backup_copies = match &row.backup {
             Some(backup) => self.sealer.seal_at(backup, holder).await?,
             None => Vec::new(),
@@ -126,21 +135,22 @@
     }
 
     fn lock_witness(&self) -> std::sync::MutexGuard<'_, Witness> {
-        self.witness.lock().expect("no code panics while it holds the witness")
+        self.witness.lock().expect("the witness lock is never poisoned")
     }
 
     fn is_assigned(&self, row: &HolderRow) -> bool {
         row.witness.as_ref() == Some(&self.own_incarnation) && row.state != HolderState::Left
     }
 
-    /// The holder's row, if it names this witness.
+    /// Returns the row of the holder if it names this router as the witness.
     async fn assigned_row(&self, holder: &Incarnation) -> Result<Option<HolderRow>> {
         let Some(row) = read_one(&self.table, holder_key(holder)).await? else { return Ok(None) };
         let row: HolderRow = row.decode()?;
         Ok(self.is_assigned(&row).then_some(row))
     }
 
-    /// Marks the holder as sealed. From then on every change of its own fails on its guard.
+    /// Marks the holder's row as sealed, after which the guard of every change by the holder fails.
+    /// Returns `false` if the row is gone or names other witnesses.
     async fn seal_row(&self, holder: &Incarnation, backup: Option<&Incarnation>) -> Result<bool> {
         loop {
             let Some(row) = read_one(&self.table, holder_key(holder)).await? else {
@@ -167,8 +177,8 @@
         rows.iter().map(|r| r.key[prefix.len()..].parse()).collect()
     }
 
-    /// Settles all ended runs of one grant together: one by one, each would wait for the write
-    /// of the one before, as they change the same row.
+    /// Settles all ended runs of one grant in batches. They all change the same row, so settling
+    /// them one by one would make each wait for the previous write.
     async fn settle_ended_runs(
         &self,
         holder: &Incarnation,
@@ -186,8 +196,8 @@
         self.settle_grant(holder, budget, &[], &[]).await
     }
 
-    /// Records `bills`, of the holds `ended`, and brings a grant down to what is settled,
-    /// outstanding or solo.
+    /// Records `bills`, which belong to the holds `ended`, and shrinks the grant to its settled,
+    /// outstanding and solo tokens.
     async fn settle_grant(
         &self,
         holder: &Incarnation,
@@ -228,13 +238,16 @@
 
     async fn resolve_hold(&self, copy: HoldCopy, tx: mpsc::UnboundedSender<ResolvedHold>) {
         if let Some(bill) = self.outcome(&copy).await {
-            // The other end lives as long as this one.
+            // The receiving task runs until all senders are dropped, so this cannot fail.
             let _ = tx.send(ResolvedHold { copy, bill });
         }
     }
 
-    /// Finds out what became of a run whose router died: its bill, or that there is none to make
-    /// (`Some(None)`). Without evidence, `None`: the hold stays counted as spent.
+    /// Determines the outcome of a run whose router crashed.
+    ///
+    /// Returns `Some(Some(bill))` for a run to be billed, `Some(None)` if there is nothing to bill,
+    /// and `None` if the outcome could not be determined. In the last case the hold stays counted
+    /// as spent.
     pub async fn outcome(&self, copy: &HoldCopy) -> Option<Option<Bill>> {
         for _ in 0..MAX_QUERY_ATTEMPTS {
             match self.query_run(copy).await {
@@ -249,10 +262,11 @@
         None
     }
 
-    /// Settles holds as evidence comes, all that is there together: each changes the same row.
+    /// Settles holds as their outcomes arrive. Those available at the same time are settled
+    /// together per budget, because they change the same row.
     ///
-    /// A copy stays until its bill is recorded: another fold would otherwise give its tokens back
-    /// and close the grant before the bill.
+    /// A copy is kept until its bill is recorded. Otherwise another settlement of the same grant
+    /// could release its tokens and close the grant before the bill is written.
     async fn settle_resolved(
         &self,
         holder: &Incarnation,
@@ -295,7 +309,7 @@
         if copy.ended {
             return Ok(RunStatus::Ended(ended_usage(copy)));
         }
-        // Another router ran the same request and billed it: this run is paid for.
+        // Another router ran the same request and billed it, so there is nothing left to bill.
         if read_one(&self.table, bill_key(&copy.bill)).await?.is_some() {
             return Ok(RunStatus::NeverRan);
         }
@@ -306,7 +320,7 @@
         }
     }
 
-    /// Follows a run to its end.
+    /// Reads the stream of a run to its end.
     async fn follow_to_end(&self, addr: &str, run: &RunId) -> Result<RunStatus> {
         let mut parts = self.engine.resume(addr, run, 0).await?;
         while let Some(part) = parts.next().await? {
@@ -314,11 +328,12 @@
                 return Ok(RunStatus::Ended(usage));
             }
         }
-        Err(Error::new(Kind::RunLost, "the run broke off"))
+        Err(Error::new(Kind::RunLost, "the stream of the run ended without its usage"))
     }
 
-    /// The target does not know the run. Before its tokens are released, the target is told never
-    /// to start it: a holder that was paused before its dispatch may still send it.
+    /// Cancels a run that the target does not know, before the tokens of the run are released. From
+    /// then on the target refuses to start it, because a holder that was paused before its dispatch
+    /// may still send the request.
     async fn cancel_run(&self, addr: &str, run: &RunId) -> Result<RunStatus> {
         Ok(match self.engine.cancel(addr, run).await? {
             Cancelled::NeverRan => RunStatus::NeverRan,
--- a/src/budget/sizing.rs
+++ b/src/budget/sizing.rs
@@ -1,31 +1,33 @@
-//! How large a grant should be.
+//! Sizes of grants.
 
 use crate::ids::{Millis, Tokens};
 
-/// Weight of a new sample in the rate, in percent.
+/// Weight of a new sample in the moving average, in percent.
 const SAMPLE_WEIGHT_PERCENT: u64 = 30;
-/// Span over which one sample is taken.
+/// Minimum duration of one sample.
 const MIN_SAMPLE_SPAN: Millis = Millis(500);
-/// Part of an equal share of what is left that one grant may take.
+/// An extension beyond the waiting requests is limited to a holder's equal share of the remaining
+/// tokens, divided by this number.
 const TAIL_DIVISOR: u64 = 1;
 
-/// How grants are sized. The other policies exist to be measured against.
+/// Policy for the size of an extension. Policies other than [`Sizing::ByRate`] serve as baselines
+/// in experiments.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Sizing {
-    /// By observed rate over a horizon, smaller as the budget ends.
+    /// Covers the expected use over a horizon, at most a share of what is left of the budget.
     ByRate {
-        /// Time that a grant should last.
+        /// Time that an extension should last.
         horizon: Millis,
     },
-    /// Always this much, or what is left.
+    /// This amount, or more if the waiting requests need more; limited to what is left.
     Fixed(Tokens),
-    /// One of so many equal parts of the whole, taken once.
+    /// An equal part of the prepaid amount, granted once. The value is the number of parts.
     EqualSplit(u64),
-    /// Exactly what a request needs.
+    /// The amount that the waiting requests need.
     PerRequest,
 }
 
-/// An observed rate of spending.
+/// Rate at which tokens are reserved, as a moving average.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
     per_second: u64,
@@ -34,13 +36,13 @@
 }
 
 impl Rate {
-    /// Counts tokens taken at `now`.
+    /// Counts `amount` tokens reserved at `now`.
     pub fn count(&mut self, now: Millis, amount: Tokens) {
         self.close_sample(now);
         self.sample = self.sample.saturating_add(amount.0);
     }
 
-    /// Closes the sample when its span is over.
+    /// Adds the current sample to the average if it has lasted long enough.
     fn close_sample(&mut self, now: Millis) {
         let span = now.since(self.since);
         if span < MIN_SAMPLE_SPAN {
@@ -49,13 +51,13 @@
         let new = self.sample.saturating_mul(1_000) / span.0;
         let old = u128::from(self.per_second) * u128::from(100 - SAMPLE_WEIGHT_PERCENT);
         let mixed = (old + u128::from(new) * u128::from(SAMPLE_WEIGHT_PERCENT)) / 100;
-        // A crowd that arrives at once must not wait for the average to follow.
+        // The rate follows a sudden burst at once rather than with the lag of the average.
         self.per_second = new.max(u64::try_from(mixed).unwrap_or(u64::MAX));
         self.sample = 0;
         self.since = now;
     }
 
-    /// Tokens that `span` will take at this rate.
+    /// Returns the number of tokens expected to be reserved within `span` at the current rate.
     pub fn expected_over(&mut self, now: Millis, span: Millis) -> Tokens {
         self.close_sample(now);
         let ahead = self.per_second.max(self.sample);
@@ -63,30 +65,32 @@
     }
 }
 
-/// What a grant is sized from.
+/// Inputs for the size of an extension.
 #[derive(Clone, Copy, Debug)]
 pub struct SizingInputs {
-    /// What waits for it now.
+    /// Tokens that waiting requests need beyond the free ones.
     pub shortfall: Tokens,
-    /// What the horizon will take.
+    /// Tokens expected to be used within the horizon.
     pub upcoming: Tokens,
-    /// What the next records will take: a prefetch of less is not worth a write.
+    /// Tokens expected to be used within the next two flush intervals. A prefetch of less is not
+    /// worth a write.
     pub min_prefetch: Tokens,
-    /// What the holder has free.
+    /// Tokens that the holder has available.
     pub free: Tokens,
-    /// The whole prepaid amount.
+    /// Prepaid amount of the budget.
     pub prepaid: Tokens,
-    /// What is committed of it.
+    /// Part of the prepaid amount that is already committed.
     pub committed: Tokens,
-    /// Routers that may hold parts of the same budget.
+    /// Number of routers that may hold parts of the budget.
     pub holders: u64,
 }
 
 impl Sizing {
-    /// Tokens to ask for; zero when nothing is needed or nothing is left.
+    /// Returns the number of tokens to request, which is zero if none are needed or left.
     ///
-    /// Near the end of a budget the tail must not be stranded in many holders, so beyond what
-    /// waits a grant takes at most a holder's share of half the rest.
+    /// When a budget is nearly exhausted, the remaining tokens must not be stranded across many
+    /// holders. Beyond what waiting requests need, an extension is therefore limited to one
+    /// holder's equal share of the remaining tokens.
     pub fn extension(self, inputs: SizingInputs) -> Tokens {
         let left = inputs.prepaid.minus(inputs.committed);
         let wanted = match self {
--- a/src/budget/witness.rs
+++ b/src/budget/witness.rs
@@ -1,8 +1,8 @@
-//! Copies of other routers' holds, kept until the table has the bills.
+//! Copies of the holds of other routers, kept until their bills are recorded in the table.
 //!
-//! A transient buffer in front of the platform, not a store: nothing is read from it while its
-//! holder lives, nothing is lost with it (a grant whose holder and witness both die stays counted
-//! as spent), and everything leaves it as soon as the table has it.
+//! This is a transient buffer in front of the table rather than a store. Grants are settled from it
+//! only after their holder has crashed, and copies are dropped as soon as the bills are recorded.
+//! Losing it is safe: if holder and witness both crash, the grant stays counted as spent.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,27 +11,27 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Incarnation, OrganisationId, RequestKey, TargetId, Tokens};
 
-/// Copies kept for one holder, at most.
+/// Maximum number of copies kept for one holder.
 pub const MAX_COPIES_PER_HOLDER: usize = 20_000;
 
-/// What a witness knows of one hold.
+/// Copy of one hold.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct HoldCopy {
-    /// Number of the hold at its holder.
+    /// Id of the hold at its holder.
     pub hold: HoldId,
-    /// The largest cost.
+    /// Reserved amount, the largest possible cost.
     pub amount: Tokens,
-    /// The bill as it would be; its cost is final only when `ended`.
+    /// Bill of the request. Its cost is final only if `ended` is set.
     pub bill: Bill,
-    /// Where the request runs.
+    /// Target that runs the request.
     pub target: TargetId,
-    /// Whether the run ended with that cost.
+    /// Whether the run has ended and the cost in `bill` is final.
     pub ended: bool,
 }
 
 impl HoldCopy {
-    /// What the copy stands for in the grant.
+    /// Returns the tokens of the grant that this copy accounts for.
     pub fn outstanding(&self) -> Tokens {
         if self.ended { self.bill.cost } else { self.amount }
     }
@@ -44,7 +44,7 @@
     copies: Vec<HoldCopy>,
 }
 
-/// All copies kept here.
+/// Copies of the holds of all holders that this router is a witness or backup for.
 #[derive(Debug, Default)]
 pub struct Witness {
     entries: Vec<WitnessedHolder>,
@@ -62,10 +62,11 @@
         &mut self.entries[index]
     }
 
-    /// Refuses a sealed holder.
+    /// Checks that a holder is not sealed.
     ///
     /// # Errors
-    /// `Fenced` once the holder is sealed.
+    ///
+    /// Returns `Fenced` if the holder is sealed.
     pub fn check(&mut self, holder: &Incarnation) -> Result<()> {
         match self.witnessed(holder).sealed {
             true => Err(Error::new(Kind::Fenced, format!("{holder} is sealed"))),
@@ -73,12 +74,15 @@
         }
     }
 
-    /// Keeps a copy, or replaces the one of that number.
+    /// Stores a copy, replacing an earlier copy of the same hold.
     ///
     /// # Errors
-    /// `Fenced` once the holder is sealed. This is what stops a holder that was paused while its
-    /// grants were reclaimed: it cannot dispatch without this answer.
-    /// `PlatformAway` when too many copies wait for the table.
+    ///
+    /// Returns `Fenced` if the holder is sealed. A holder may dispatch a request only after its
+    /// copy was accepted, so this stops a holder that was paused while its grants were reclaimed.
+    ///
+    /// Returns `PlatformAway` if too many copies of this holder are waiting for their bills to be
+    /// recorded.
     pub fn keep(&mut self, holder: &Incarnation, copy: HoldCopy) -> Result<()> {
         self.check(holder)?;
         let witnessed = self.witnessed(holder);
@@ -92,19 +96,20 @@
         Ok(())
     }
 
-    /// Forgets holds that the table has, or that ended without a run.
+    /// Drops the copies of holds that are recorded in the table or whose requests did not run.
     pub fn forget(&mut self, holder: &Incarnation, holds: &[HoldId]) {
         self.witnessed(holder).copies.retain(|c| !holds.contains(&c.hold));
     }
 
-    /// Refuses all later copies of `holder`, and tells what is known.
+    /// Refuses all further copies of `holder` and returns the existing ones.
     pub fn seal(&mut self, holder: &Incarnation) -> Vec<HoldCopy> {
         let witnessed = self.witnessed(holder);
         witnessed.sealed = true;
         witnessed.copies.clone()
     }
 
-    /// Adds what a backup knows of a sealed holder. An ended copy tells more than a running one.
+    /// Adds the copies that a backup has of a sealed holder. A copy of an ended run takes
+    /// precedence over one of a running request.
     pub fn merge(&mut self, holder: &Incarnation, copies: Vec<HoldCopy>) {
         let witnessed = self.witnessed(holder);
         for copy in copies {
@@ -116,37 +121,40 @@
         }
     }
 
-    /// Forgets a holder that has other witnesses by now, unless it is sealed.
+    /// Drops all state of a holder that has other witnesses now, unless it is sealed.
     ///
-    /// Guards against a backup that opens again for a holder which the witness has reclaimed: a
-    /// cut-off holder then found cover for new requests, and the budget was spent twice.
+    /// A seal has to stay: a backup that accepted copies again for a holder already reclaimed by
+    /// the witness would let a cut-off holder dispatch new requests, and the budget would be spent
+    /// twice.
     pub fn drop_unsealed(&mut self, holder: &Incarnation) {
         self.entries.retain(|w| w.sealed || w.holder != *holder);
     }
 
-    /// Takes back a seal that the table did not accept: the holder has another witness by now.
+    /// Reverts a seal that was not confirmed by the table because the holder has another witness
+    /// now.
     pub fn unseal(&mut self, holder: &Incarnation) {
         self.entries.retain(|w| w.holder != *holder);
     }
 
-    /// Holders with copies here.
+    /// Returns the holders known to this witness.
     pub fn holders(&self) -> Vec<Incarnation> {
         self.entries.iter().map(|w| w.holder.clone()).collect()
     }
 
-    /// Copies of a holder.
+    /// Returns the copies of a holder.
     pub fn copies(&self, holder: &Incarnation) -> &[HoldCopy] {
         let found = self.entries.binary_search_by(|w| w.holder.cmp(holder));
         found.map_or(&[], |index| &self.entries[index].copies)
     }
 
-    /// The copy for a caller's key.
+    /// Returns the copy for an idempotency key of an organisation.
     pub fn find(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<&HoldCopy> {
         let same = |c: &&HoldCopy| c.bill.organisation == *organisation && c.bill.key == *key;
         self.entries.iter().flat_map(|w| &w.copies).find(same)
     }
 
-    /// Outstanding tokens of a holder's grant of `budget`, those of `except` left out.
+    /// Returns the outstanding tokens of a holder's grant of `budget`, without those of the holds
+    /// in `except`.
     pub fn outstanding(
         &self,
         holder: &Incarnation,
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! An answer as it grows, checked piece by piece.
+//! Assembles an answer from its parts and checks each of them.
 
 use compact_str::CompactString;
 
@@ -6,36 +6,37 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, RunId};
 
-/// What a piece did to the answer.
+/// Effect of a part on the answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PieceResult {
-    /// The answer grew.
+    /// The part was the next token and was appended.
     Appended,
-    /// The piece is of another run, or was here already. Dropped.
+    /// The part belongs to another run or repeats an earlier token, and was dropped.
     Dropped,
-    /// The answer is whole.
+    /// The answer is complete.
     Complete(RunUsage),
 }
 
-/// The tokens of one answer, in order, without holes.
+/// The tokens of one answer, in order and without gaps.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerAssembler {
     tokens: Vec<CompactString>,
-    /// Pieces that were late, doubled or of another run.
+    /// Number of dropped parts: duplicates, late ones, and those of other runs.
     pub dropped: u64,
 }
 
 impl AnswerAssembler {
-    /// The tokens so far.
+    /// Returns the tokens received so far.
     pub fn tokens(&self) -> &[CompactString] {
         &self.tokens
     }
 
-    /// Takes a piece of `run`.
+    /// Adds a part of `run`.
     ///
     /// # Errors
-    /// `TargetFailed` for a hole, or an end that does not match the tokens: the stream cannot be
-    /// trusted and has to be fetched again.
+    ///
+    /// Returns `TargetFailed` if a token is missing, or if the token count at the end does not
+    /// match. The stream cannot be trusted then and has to be fetched again.
     pub fn append_part(&mut self, run: &RunId, part: Part) -> Result<PieceResult> {
         if part.run != *run {
             self.dropped += 1;
@@ -64,13 +65,14 @@
         }
     }
 
-    /// Digest of the whole text, so that a caller can tell a whole answer from a cut one.
+    /// Returns the digest of the answer's text, with which a caller can tell a complete answer from
+    /// a truncated one.
     pub fn digest(&self) -> Digest {
         answer_digest(&self.tokens)
     }
 }
 
-/// Digest of an answer's text.
+/// Returns the digest of an answer's text, the concatenation of its tokens.
 pub fn answer_digest(tokens: &[CompactString]) -> Digest {
     Digest::of(tokens.concat().as_bytes())
 }
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What becomes of one request: its stages, its answer, and the table of runs.
+//! Life cycle of a request: its stages, the assembly of its answer, and the requests known by key.
 
 pub mod answer;
 pub mod runs;
--- a/src/request/runs.rs
+++ b/src/request/runs.rs
@@ -1,4 +1,5 @@
-//! The requests of one router by key: running ones can be joined, ended ones replayed.
+//! Requests of one router by idempotency key. Callers can join a running request and replay an
+//! ended one.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -10,19 +11,19 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, Millis, OrganisationId, RequestKey, RunId, TargetId};
 
-/// Ended requests are kept this long for callers that retry.
+/// Time, from their start, for which ended requests are kept for callers that retry.
 const ENDED_RUN_RETENTION: Millis = Millis(120_000);
-/// Bytes of ended answers kept at most, oldest dropped first.
+/// Maximum total size of the answers kept. Beyond it, the oldest ended requests are dropped first.
 const MAX_RETAINED_BYTES: usize = 64 << 20;
 
 /// How a request ended.
 #[derive(Clone, Debug)]
 pub enum RunEnd {
-    /// A whole model answer.
+    /// With a complete answer of a model.
     Complete(RunUsage, Digest),
-    /// A plain service's answer.
+    /// With the answer of a plain service.
     Service(ServiceAnswer),
-    /// No answer.
+    /// Without an answer.
     Failed(Error),
 }
 
@@ -34,34 +35,34 @@
     run: Option<RunId>,
 }
 
-/// One request, shared between its driver and any number of callers.
+/// One request, shared between the task that drives it and any number of callers.
 #[derive(Debug)]
 pub struct Run {
-    /// Who asks.
+    /// Organisation that sent the request.
     pub organisation: OrganisationId,
-    /// The caller's key, or one that was made up.
+    /// Idempotency key from the caller, or a generated one.
     pub key: RequestKey,
-    /// Digest of the content.
+    /// Digest of the request's content.
     pub content: Digest,
-    /// The budget that pays.
+    /// Budget that pays for the request.
     pub budget: BudgetId,
     progress: Mutex<Progress>,
     version: watch::Sender<u64>,
 }
 
-/// A view of a run's progress from some token on.
+/// Progress of a request from a given token on.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// Tokens from there on.
+    /// Tokens from the requested offset on.
     pub tokens: Vec<CompactString>,
-    /// The end, once there is one.
+    /// How the request ended; `None` while it is running.
     pub end: Option<RunEnd>,
-    /// The execution behind it, once there is one.
+    /// Id of the current run at a target; `None` before the first dispatch.
     pub run: Option<RunId>,
 }
 
 impl Run {
-    /// A request that has not begun.
+    /// Creates a request that is not dispatched yet.
     pub fn new(
         organisation: OrganisationId,
         key: RequestKey,
@@ -80,56 +81,58 @@
         self.version.send_modify(|n| *n += 1);
     }
 
-    /// Follows the progress. Callers read at their own pace from the one copy of the answer, so
-    /// a slow one costs no memory beyond it.
+    /// Subscribes to changes of the progress. Callers read at their own pace from one shared copy
+    /// of the answer, so a slow caller needs no buffer of its own.
     pub fn follow(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// Callers that follow.
+    /// Number of callers that follow the request.
     pub fn followers(&self) -> usize {
         self.version.receiver_count()
     }
 
-    /// The progress from a token on.
+    /// Returns the progress from token `from` on.
     pub fn view(&self, from: usize) -> View {
         let p = self.lock();
         let tokens = p.answer.tokens().get(from..).unwrap_or_default().to_vec();
         View { tokens, end: p.end.clone(), run: p.run.clone() }
     }
 
-    /// Where it executes.
+    /// Returns the current run and its target; `None` before the first dispatch.
     pub fn execution(&self) -> Option<(RunId, TargetId)> {
         let p = self.lock();
         Some((p.run.clone()?, p.target.clone()?))
     }
 
-    /// Tokens so far.
+    /// Returns the tokens received so far.
     pub fn tokens(&self) -> Vec<CompactString> {
         self.lock().answer.tokens().to_vec()
     }
 
-    /// How many tokens there are.
+    /// Returns the number of tokens received so far.
     pub fn len(&self) -> usize {
         self.lock().answer.tokens().len()
     }
 
-    /// Whether no token has come.
+    /// Returns whether no token has been received yet.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// It executes at `target` as `run` from now on.
+    /// Records that the request now runs at `target` as `run`.
     pub fn dispatched(&self, run: &RunId, target: &TargetId) {
         let mut p = self.lock();
         p.run = Some(run.clone());
         p.target = Some(target.clone());
     }
 
-    /// Takes a piece. An end is not shown to callers yet: that is for [`Run::end`], after the bill.
+    /// Adds a part of `run` to the answer. The end of the answer becomes visible to callers only
+    /// with [`Run::end`], after the bill is safe.
     ///
     /// # Errors
-    /// As [`AnswerAssembler::append_part`].
+    ///
+    /// Same as [`AnswerAssembler::append_part`].
     pub fn append_part(&self, run: &RunId, part: Part) -> Result<PieceResult> {
         let result = self.lock().answer.append_part(run, part)?;
         if result == PieceResult::Appended {
@@ -138,23 +141,24 @@
         Ok(result)
     }
 
-    /// Digest of the answer.
+    /// Returns the digest of the answer's text.
     pub fn digest(&self) -> Digest {
         self.lock().answer.digest()
     }
 
-    /// Pieces that were dropped.
+    /// Returns the number of dropped parts.
     pub fn dropped(&self) -> u64 {
         self.lock().answer.dropped
     }
 
-    /// Shows the end to all callers.
+    /// Ends the request and makes the end visible to all callers. Only the first call has an
+    /// effect.
     pub fn end(&self, end: RunEnd) {
         self.lock().end.get_or_insert(end);
         self.notify_followers();
     }
 
-    /// Whether it ended.
+    /// Returns whether the request has ended.
     pub fn has_ended(&self) -> bool {
         self.lock().end.is_some()
     }
@@ -170,18 +174,18 @@
     since: Millis,
 }
 
-/// All requests that this router knows.
+/// All requests known to this router, sorted by organisation and key.
 #[derive(Debug, Default)]
 pub struct Runs {
     known_runs: Vec<RunEntry>,
 }
 
-/// What a key leads to.
+/// Result of [`Runs::open`].
 #[derive(Debug)]
 pub enum Lookup {
-    /// A new request; its driver has to be started.
+    /// The request was added, and the caller has to start the task that drives it.
     New(Arc<Run>),
-    /// A known one.
+    /// The request was already known.
     Known(Arc<Run>),
 }
 
@@ -195,16 +199,17 @@
             .binary_search_by(|k| (&k.run.organisation, &k.run.key).cmp(&(organisation, key)))
     }
 
-    /// The run of a key, if it is known.
+    /// Returns the request with this key, if it is known.
     pub fn get(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Arc<Run>> {
         self.find(organisation, key).ok().map(|index| self.known_runs[index].run.clone())
     }
 
-    /// Finds the request of that key, or adds it. One that ended with an error that can be
-    /// retried is replaced.
+    /// Returns the request with the key of `new`, or adds `new`. A known request that ended with a
+    /// retryable error is replaced.
     ///
     /// # Errors
-    /// `KeyReused` when the key belongs to other content.
+    ///
+    /// Returns `KeyReused` if the key belongs to a request with other content.
     pub fn open(&mut self, now: Millis, new: Run) -> Result<Lookup> {
         match self.find(&new.organisation, &new.key) {
             Ok(index) if self.known_runs[index].run.content != new.content => {
@@ -225,7 +230,8 @@
         }
     }
 
-    /// Forgets ended requests that are old, or that take too much memory together.
+    /// Drops ended requests that are older than the retention time, and the oldest ones while the
+    /// answers exceed the memory limit.
     pub fn expire(&mut self, now: Millis) {
         self.known_runs.retain(|k| !k.run.has_ended() || now.since(k.since) < ENDED_RUN_RETENTION);
         let size = |k: &RunEntry| k.run.len() * size_of::<CompactString>();
@@ -244,17 +250,17 @@
         }
     }
 
-    /// Requests that have not ended.
+    /// Number of requests that have not ended.
     pub fn running(&self) -> usize {
         self.known_runs.iter().filter(|k| !k.run.has_ended()).count()
     }
 
-    /// All requests known, ended ones too.
+    /// Number of known requests, including ended ones.
     pub fn len(&self) -> usize {
         self.known_runs.len()
     }
 
-    /// Whether none is known.
+    /// Returns whether no request is known.
     pub fn is_empty(&self) -> bool {
         self.known_runs.is_empty()
     }
--- a/src/request/stage.rs
+++ b/src/request/stage.rs
@@ -1,47 +1,47 @@
-//! The stages of a request, and what may be said and done after a failure at each.
+//! Stages of a request, and how a failure at each stage is handled and reported.
 
 use crate::error::{Kind, NotRun};
 
-/// How far a request has come.
+/// How far a request has progressed.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Stage {
-    /// Parsed, and its organisation known.
+    /// Parsed, and its organisation identified.
     Received,
-    /// Its largest cost is held.
+    /// Its largest possible cost is reserved.
     Held,
-    /// Its key is claimed in the table; only for calls that must not be repeated.
+    /// Its key is claimed in the table. Only for calls that must not run twice.
     Claimed,
-    /// A copy of its hold is safe from this router's death.
+    /// Its hold survives a crash of this router.
     Protected,
-    /// The first byte towards a target may have left.
+    /// Its first byte may have been sent to a target.
     Dispatched,
-    /// Part of the answer is here.
+    /// Part of the answer has been received.
     Streaming,
-    /// The whole answer is here.
+    /// The complete answer has been received.
     Ended,
-    /// The bill is safe from this router's death.
+    /// Its bill survives a crash of this router.
     Billed,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Repeatable {
-    /// Another run does no harm.
+    /// Running it again is harmless.
     Yes,
-    /// At most one dispatch, ever.
+    /// It may be dispatched at most once.
     No,
 }
 
-/// What to do after an attempt failed.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Next {
     /// Dispatch to another target.
     Retry,
-    /// Tell the caller.
+    /// Return this error to the caller.
     GiveUp(Kind),
 }
 
-/// What is known about execution at a stage.
+/// Returns what is known at a stage about whether the request ran.
 pub fn not_run(stage: Stage) -> NotRun {
     match stage {
         Stage::Received | Stage::Held | Stage::Claimed | Stage::Protected => NotRun::Yes,
@@ -50,11 +50,12 @@
     }
 }
 
-/// Decides after a failure of `kind` at `stage`.
+/// Decides what to do after a failure of `kind` at `stage`. `has_budget` tells whether the retry
+/// budget allows another attempt.
 ///
-/// `NoTarget` from an attempt is the proof that no byte left, so even a call that must not be
-/// repeated may go elsewhere. Any other failure after dispatch leaves it unknown whether the
-/// call ran: then there is no second dispatch and no "not run".
+/// An attempt fails with `NoTarget` only if no byte was sent, so even a call that must not run
+/// twice may be dispatched to another target. After any other failure past dispatch it is unknown
+/// whether the call ran, so it is not dispatched again and not reported as "not run".
 pub fn after_failure(stage: Stage, repeatable: Repeatable, kind: Kind, has_budget: bool) -> Next {
     let provably_unsent = kind == Kind::NoTarget && stage <= Stage::Dispatched;
     match (repeatable, provably_unsent) {
--- a/src/route/gate.rs
+++ b/src/route/gate.rs
@@ -1,26 +1,27 @@
-//! Admission to the targets: at most so many requests in flight, the rest in a bounded queue that
-//! is fair among organisations.
+//! Admission control for targets: limits the requests in flight and queues the rest in a bounded
+//! queue that is fair among organisations (weighted fair queueing).
 
 use crate::error::Kind;
 use crate::ids::{Millis, OrganisationId};
 
-/// Waiting requests of one organisation, in multiples of its allowance in flight.
+/// Maximum number of queued requests of an organisation, per request that it may have in flight.
 const QUEUE_SLOTS_PER_IN_FLIGHT: usize = 4;
-/// Cost of one request in virtual time, divided by the organisation's weight.
+/// Virtual time that one request costs an organisation of weight 1.
 const REQUEST_VIRTUAL_COST: u64 = 1_000_000;
 
-/// Number of a waiting request.
+/// Identifies a queued request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// The gate's answer.
+/// Decision about a new request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GateDecision {
-    /// Go on.
+    /// The request may proceed.
     Pass,
-    /// Wait for this number to be called.
+    /// The request is queued and proceeds when its ticket is returned by [`Gate::leave`] or
+    /// [`Gate::start_waiting`].
     Wait(Ticket),
-    /// Too much waits already.
+    /// The request is refused because too many others are waiting: `OrganisationLimit` or `Shed`.
     Refused(Kind),
 }
 
@@ -28,7 +29,8 @@
 struct Queued {
     ticket: Ticket,
     priority: u8,
-    /// Virtual time at which the request would end if every organisation got its weight.
+    /// Virtual time at which the request would finish if every organisation got a share of the
+    /// capacity proportional to its weight.
     finish: u64,
     since: Millis,
 }
@@ -43,7 +45,7 @@
     queue: Vec<Queued>,
 }
 
-/// The gate of one service at one router.
+/// Admission control for one service at one router.
 #[derive(Debug)]
 pub struct Gate {
     capacity: u32,
@@ -52,12 +54,13 @@
     next: u64,
     max_wait: Millis,
     queues: Vec<OrganisationQueue>,
-    /// Service time of recent requests, in milliseconds, as a moving average.
+    /// Moving average of the service times of recent requests, in milliseconds.
     service_ms: u64,
 }
 
 impl Gate {
-    /// A gate of `capacity` requests at a time, that queues none longer than `max_wait`.
+    /// Creates a gate that admits up to `capacity` requests at a time and refuses those that would
+    /// wait longer than `max_wait`.
     pub fn new(capacity: u32, max_wait: Millis) -> Gate {
         Gate {
             capacity,
@@ -70,12 +73,12 @@
         }
     }
 
-    /// Changes the capacity; whatever is in flight stays.
+    /// Changes the capacity. Requests in flight are not affected.
     pub fn set_capacity(&mut self, capacity: u32) {
         self.capacity = capacity.max(1);
     }
 
-    /// Requests in flight and waiting.
+    /// Returns the numbers of requests in flight and queued.
     pub fn load(&self) -> (u32, usize) {
         (self.in_flight, self.queues.iter().map(|org| org.queue.len()).sum())
     }
@@ -96,10 +99,10 @@
         index
     }
 
-    /// A request arrives.
+    /// Admits, queues or refuses a new request.
     ///
-    /// One that would wait past the bound is refused now: holding it back would cost the caller
-    /// the time and the queue the room.
+    /// A request that would wait longer than `max_wait` is refused at once. Queueing it would only
+    /// cost the caller time and take up room in the queue.
     pub fn enter(
         &mut self,
         now: Millis,
@@ -133,8 +136,8 @@
         GateDecision::Wait(ticket)
     }
 
-    /// How long a new request of this organisation would wait: its own queue ahead of it, served
-    /// at its share of the gate.
+    /// Estimates how long a new request of this organisation would wait behind its own queue, which
+    /// is served at the organisation's share of the capacity.
     fn expected_wait(&self, index: usize) -> Millis {
         let waiting = |org: &&OrganisationQueue| !org.queue.is_empty();
         let weights: u64 =
@@ -152,7 +155,8 @@
         self.in_flight += 1;
     }
 
-    /// A request that passed is over, after `service` in flight. Those called now.
+    /// Completes an admitted request that was in flight for `service`. Returns the tickets of the
+    /// queued requests that may proceed now.
     pub fn leave(&mut self, now: Millis, id: &OrganisationId, service: Millis) -> Vec<Ticket> {
         self.service_ms =
             if self.service_ms == 0 { service.0 } else { (self.service_ms * 15 + service.0) / 16 };
@@ -166,7 +170,8 @@
         started
     }
 
-    /// Starts whatever may start: the highest priority first, then the earliest virtual finish.
+    /// Admits queued requests while there is capacity, by highest priority and then by earliest
+    /// virtual finish time. Returns their tickets.
     pub fn start_waiting(&mut self, now: Millis) -> Vec<Ticket> {
         let mut started = Vec::new();
         while self.in_flight < self.capacity {
@@ -185,7 +190,7 @@
         started
     }
 
-    /// A waiting request gave up.
+    /// Removes a queued request that no longer waits.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.queues.iter_mut().for_each(|org| org.queue.retain(|q| q.ticket != ticket));
         self.queues.retain(|org| org.in_flight > 0 || !org.queue.is_empty());
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -1,5 +1,5 @@
-//! Where a request goes: target choice, health, fair queueing, retry budgets. All pure: state,
-//! event and time in, decision out.
+//! Routing decisions: target selection, health, fair queueing and retry budgets. The code is pure:
+//! state, events and time go in, decisions come out.
 
 pub mod gate;
 pub mod picker;
--- a/src/route/picker.rs
+++ b/src/route/picker.rs
@@ -1,4 +1,5 @@
-//! Target choice from lagging load reports, own work in flight, prefix affinity and health.
+//! Target selection from stale load reports, this router's own requests in flight, prefix affinity
+//! and health.
 
 use std::collections::VecDeque;
 
@@ -7,60 +8,64 @@
 use crate::engine::LoadReport;
 use crate::ids::{Digest, Millis, TargetId, ZoneId};
 
-/// Failures in a row that eject a target.
+/// Number of consecutive failures after which a target is ejected.
 const EJECT_AFTER_FAILURES: u32 = 3;
-/// First ejection; doubles with each further one up to [`MAX_EJECTION`].
+/// Duration of the first ejection. It doubles with each further ejection up to [`MAX_EJECTION`].
 const MIN_EJECTION: Millis = Millis(2_000);
-/// Longest ejection.
+/// Maximum duration of an ejection.
 const MAX_EJECTION: Millis = Millis(30_000);
-/// Points of each target on the affinity ring.
+/// Number of points of each target on the consistent-hashing ring used for affinity.
 const RING_POINTS_PER_TARGET: u64 = 16;
-/// Targets looked at besides the one with affinity.
+/// Number of random samples taken per choice, besides the target with affinity.
 const SAMPLED_TARGETS: usize = 3;
-/// Load, in thousandths of its batch, up to which a target keeps its prefixes.
+/// Highest load, in thousandths of its batch, at which the target with affinity is chosen.
 const AFFINITY_MAX_LOAD_PER_MILLE: u64 = 900;
-/// Penalty for a target in another zone, in thousandths of a batch.
+/// Penalty for a target in another zone, in thousandths of its batch.
 const ZONE_PENALTY_PER_MILLE: u64 = 20;
-/// Age at which a report counts as much as own knowledge, in milliseconds.
+/// Age of a load report, in milliseconds, at which it has the same weight as the estimate from this
+/// router's own requests.
 const REPORT_HALF_WEIGHT_AGE_MS: u64 = 1_000;
-/// Own work in flight is remembered this long, to correct reports of that age.
+/// Time for which the number of own requests in flight is remembered, to subtract them from reports
+/// of that age.
 const HISTORY_SPAN: Millis = Millis(40_000);
-/// Grain of that memory.
+/// Resolution of that history.
 const HISTORY_STEP: Millis = Millis(100);
 
-/// How a target is chosen. The others exist to be measured against [`Policy::Sampled`].
+/// Policy for choosing a target. Policies other than [`Policy::Sampled`] serve as baselines in
+/// experiments.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Policy {
-    /// Sampled candidates by corrected load, with bounded affinity.
+    /// Least estimated load of some randomly sampled candidates, with affinity up to a load limit.
     Sampled,
-    /// One after the other.
+    /// Each candidate in turn.
     RoundRobin,
-    /// The least load as reported.
+    /// Least load according to the last reports.
     LeastReported,
-    /// Active-count goals from weight and health, after the sysplex paper's weighted active
-    /// distribution: the candidate furthest below its goal.
+    /// Weighted active distribution, as in the sysplex paper: each target has a goal for its number
+    /// of active requests, derived from its weight and health, and the candidate furthest below its
+    /// goal is chosen.
     WeightedActive,
 }
 
-/// What a router knows of one target.
+/// State of one target as known to this router.
 #[derive(Debug)]
 pub struct TargetView {
-    /// Its name.
+    /// Id of the target.
     pub id: TargetId,
     /// `ip:port`.
     pub addr: CompactString,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Its last report.
+    /// The last load report.
     pub report: LoadReport,
     reported: Millis,
-    /// Runs of this router at it.
+    /// Number of requests of this router in flight at the target.
     pub in_flight: u32,
     history: VecDeque<(Millis, u32)>,
     failures: u32,
     ejections: u32,
     ejected_until: Millis,
-    /// Told to leave, by whatever source.
+    /// Whether the target is shutting down, according to any source.
     pub leaving: bool,
 }
 
@@ -80,11 +85,13 @@
         if index == 0 { 0 } else { self.history[index - 1].1 }
     }
 
-    /// Load in thousandths of the batch.
+    /// Estimates the load in thousandths of the batch.
     ///
-    /// A report tells the past, so all routers at once would follow it to the emptiest target
-    /// and then to the next. What of it was others' work at that time counts the less the older
-    /// it is; own work, which is known exactly, stands for theirs as it fades.
+    /// Reports are stale. Routers that relied on them alone would all send to the least loaded
+    /// target at once and then move on to the next. The load of other routers is therefore a
+    /// weighted mean: the reported load minus this router's own requests at that time, and an
+    /// estimate that assumes that the other routers have as many requests in flight as this one.
+    /// The older the report, the more the estimate counts.
     fn load(&self, now: Millis, routers: u64) -> u64 {
         let age = now.since(self.reported).0 + self.report.age_ms;
         let measured_at = Millis(now.0.saturating_sub(age));
@@ -104,47 +111,47 @@
     }
 }
 
-/// A choice, with what is needed to tell why.
+/// A chosen target, with the data needed to log the reason for the choice.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Choice {
-    /// The target.
+    /// Id of the target.
     pub id: TargetId,
     /// `ip:port`.
     pub addr: CompactString,
-    /// Its load in thousandths of its batch.
+    /// Score of the target: load in thousandths of its batch for [`Policy::Sampled`].
     pub load: u64,
-    /// Whether affinity decided.
+    /// Whether the target was chosen for its affinity.
     pub affinity: bool,
     /// The next best candidate and its score.
     pub next: Option<(TargetId, u64)>,
-    /// Targets that could have served.
+    /// Number of targets that could have served the request.
     pub candidates: usize,
 }
 
-/// All targets as one router sees them.
+/// The targets known to one router.
 #[derive(Debug)]
 pub struct Picker {
     policy: Policy,
     zone: ZoneId,
     routers: u64,
     targets: Vec<TargetView>,
-    /// Targets by what they serve, rebuilt when a report changes it.
+    /// Indexes of the targets by the name that they serve, rebuilt when a report changes it.
     serving: Vec<(CompactString, Vec<u32>)>,
     ring: Vec<(u64, u32)>,
     round_robin_turn: usize,
     rng: fastrand::Rng,
 }
 
-/// A target as membership knows it.
+/// A target as listed by the membership.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListedTarget {
-    /// Its name.
+    /// Id of the target.
     pub id: TargetId,
     /// `ip:port`.
     pub addr: CompactString,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Whether the platform says that it leaves.
+    /// Whether the platform reports that the target is shutting down.
     pub leaving: bool,
 }
 
@@ -154,7 +161,7 @@
 }
 
 impl Picker {
-    /// A picker for a router in `zone`.
+    /// Creates a picker for a router in `zone`.
     pub fn new(policy: Policy, zone: ZoneId, seed: u64) -> Picker {
         Picker {
             policy,
@@ -168,18 +175,18 @@
         }
     }
 
-    /// How many routers share the targets.
+    /// Sets the number of routers that share the targets, at least 1.
     pub fn set_routers(&mut self, routers: u64) {
         self.routers = routers.max(1);
     }
 
-    /// Routers that share the targets.
+    /// Returns the number of routers that share the targets.
     pub fn routers(&self) -> u64 {
         self.routers
     }
 
-    /// Takes a new list. Targets that stay keep what is known of them; those that are gone but
-    /// still run something stay as leaving.
+    /// Replaces the list of targets. Known targets keep their state. Targets that are no longer
+    /// listed but still have requests in flight are kept as leaving.
     pub fn set_list(&mut self, mut list: Vec<ListedTarget>) {
         list.sort_by(|a, b| a.id.cmp(&b.id));
         let mut old = std::mem::take(&mut self.targets);
@@ -225,17 +232,17 @@
         self.targets.binary_search_by(|t| t.id.cmp(id)).ok()
     }
 
-    /// The targets.
+    /// Returns the targets, sorted by id.
     pub fn targets(&self) -> &[TargetView] {
         &self.targets
     }
 
-    /// Address of a target, if it is known.
+    /// Returns the address of a target, if it is known.
     pub fn addr(&self, id: &TargetId) -> Option<CompactString> {
         Some(self.targets[self.target_index(id)?].addr.clone())
     }
 
-    /// A report arrived.
+    /// Records a load report of a target.
     pub fn reported(&mut self, now: Millis, id: &TargetId, report: LoadReport) {
         let Some(target_index) = self.target_index(id) else { return };
         let t = &mut self.targets[target_index];
@@ -248,22 +255,23 @@
         }
     }
 
-    /// A target leaves: it gets nothing new from now on, and does not come back under this
-    /// address, so that a list that lags cannot undo it.
+    /// Marks a target as leaving, so that it gets no new requests. The mark stays for as long as
+    /// the target has this address; a stale list cannot revert it.
     pub fn mark_leaving(&mut self, id: &TargetId) {
         if let Some(target_index) = self.target_index(id) {
             self.targets[target_index].leaving = true;
         }
     }
 
-    /// A run starts at a target.
+    /// Records that a request was dispatched to a target.
     pub fn started(&mut self, now: Millis, id: &TargetId) {
         let Some(target_index) = self.target_index(id) else { return };
         self.targets[target_index].in_flight += 1;
         self.targets[target_index].record_in_flight(now);
     }
 
-    /// A run ended; `ok` tells whether the target did its part.
+    /// Records that a request at a target ended. If `ok` is false, it counts as a failure of the
+    /// target.
     pub fn ended(&mut self, now: Millis, id: &TargetId, ok: bool) {
         let Some(target_index) = self.target_index(id) else { return };
         let t = &mut self.targets[target_index];
@@ -284,13 +292,15 @@
         }
     }
 
-    /// Places in the batches of the targets that serve `name`.
+    /// Returns the total batch size of the targets that serve `name`.
     pub fn slots(&self, now: Millis, name: &str) -> u32 {
         self.candidates(now, name, &[]).iter().map(|i| self.targets[*i as usize].report.slots).sum()
     }
 
-    /// Targets that can serve `name`. When more than half of them are ejected, ejection is
-    /// ignored: one cause that fails all of them must not leave nobody to ask.
+    /// Returns the indexes of the targets that can serve `name`, without those in `tried`.
+    ///
+    /// If more than half of them are ejected, ejections are ignored: a common cause that makes all
+    /// targets fail must not leave none to choose from.
     fn candidates(&self, now: Millis, name: &str, tried: &[TargetId]) -> Vec<u32> {
         let found = self.serving.binary_search_by(|(n, _)| n.as_str().cmp(name));
         let Ok(index) = found else { return Vec::new() };
@@ -305,8 +315,8 @@
         if healthy.len() * 2 < staying.len() { staying } else { healthy }
     }
 
-    /// Chooses a target that serves `name`, none of `tried`. `prefix` is the digest of the
-    /// prompt's leading part.
+    /// Chooses a target that serves `name` and is not in `tried`. `prefix` is the digest of the
+    /// leading part of the prompt; 0 means no affinity.
     pub fn pick(
         &mut self,
         now: Millis,
@@ -377,7 +387,7 @@
         t.load(now, self.routers) + if t.zone == self.zone { 0 } else { ZONE_PENALTY_PER_MILLE }
     }
 
-    /// The candidate that follows the prefix on the ring.
+    /// Returns the first candidate on the ring at or after the hash of the prefix.
     fn affinity_target(&self, candidates: &[u32], prefix: u64) -> Option<u32> {
         if prefix == 0 {
             return None;
