--- a/tests/test_answer.rs
+++ b/tests/test_answer.rs
@@ -1,4 +1,4 @@
-//! Answers piece by piece.
+//! Assembly of answers, and decisions after failed attempts.
 
 use kingcupwall::engine::{Part, Piece, RunUsage};
 use kingcupwall::error::{Kind, NotRun};
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn take_repeated_and_crossed_pieces() {
-    // A caller sees words twice, or another caller's words in its answer.
-    // A target sends a piece again after a reconnect, then one of another run, and then goes on.
-    // The pieces carry run and offset, so both are dropped and counted.
+fn append_part_duplicate_or_of_other_run() {
+    // Guards against an answer with duplicate tokens or tokens of another request. A target repeats
+    // a part after a reconnect and then sends a part of another run. Parts carry their run and
+    // offset, so both are dropped and counted.
     let mut a = AnswerAssembler::default();
     let run = name("r1");
     assert_eq!(a.append_part(&run, token("r1", 0)), Ok(PieceResult::Appended));
@@ -34,10 +34,9 @@
 }
 
 #[test]
-fn take_hole_in_stream() {
-    // A caller gets an answer with words missing in the middle and believes it whole.
-    // A target resumes a stream one token too late.
-    // The hole shows in the offset, and the stream is refused.
+fn append_part_missing_token() {
+    // Guards against an answer with tokens missing in the middle that looks complete. A target
+    // resumes a stream one token too late. The offset shows the gap, and the stream is rejected.
     let mut a = AnswerAssembler::default();
     a.append_part(&name("r1"), token("r1", 0)).unwrap();
     let e = a.append_part(&name("r1"), token("r1", 2)).unwrap_err();
@@ -46,7 +45,7 @@
 }
 
 #[test]
-fn take_early_end() {
+fn append_part_early_end() {
     let mut a = AnswerAssembler::default();
     a.append_part(&name("r1"), token("r1", 0)).unwrap();
     assert_eq!(a.append_part(&name("r1"), end("r1", 5)).unwrap_err().kind, Kind::TargetFailed);
@@ -85,7 +84,7 @@
     true,
     Next::GiveUp(Kind::OutcomeUnknown)
 )]
-#[case::repeatable_goes_on(
+#[case::repeatable_is_retried(
     Stage::Streaming,
     Repeatable::Yes,
     Kind::TargetFailed,
@@ -99,7 +98,7 @@
     false,
     Next::GiveUp(Kind::TargetFailed)
 )]
-#[case::nobody_connects(
+#[case::no_target_and_no_retry_budget(
     Stage::Dispatched,
     Repeatable::No,
     Kind::NoTarget,
--- a/tests/test_budget_holder.rs
+++ b/tests/test_budget_holder.rs
@@ -1,4 +1,4 @@
-//! The grants of one router, event by event.
+//! Event by event tests of the grants of one router.
 
 use kingcupwall::budget::holder::{
     Admission, Effect, HoldId, Holder, Limit, LoadedRows, Protection, WaitResult,
@@ -26,8 +26,9 @@
     Holder::new(Sizing::ByRate { horizon: Millis(1_000) })
 }
 
-/// Carries out effects against a ledger that accepts everything, and returns the verdicts.
-fn carry_out(h: &mut Holder, mut effects: Vec<Effect>, rows: &LoadedRows) -> Vec<WaitResult> {
+/// Performs effects against a ledger that accepts every change. Returns the results for waiting
+/// requests.
+fn run_effects(h: &mut Holder, mut effects: Vec<Effect>, rows: &LoadedRows) -> Vec<WaitResult> {
     let mut out = Vec::new();
     while !effects.is_empty() {
         for e in std::mem::take(&mut effects) {
@@ -45,12 +46,15 @@
 fn admit(h: &mut Holder, prepaid: u64, amount: u64, rows: &LoadedRows) -> Result<HoldId, Kind> {
     let (admit, effects) =
         h.admit(NOW, &id(), limit(prepaid), Tokens(amount), Protection::Witness, true);
-    let told = carry_out(h, effects, rows);
+    let results = run_effects(h, effects, rows);
     match admit {
         Admission::Held(hold) => Ok(hold),
         Admission::Refused(kind) => Err(kind),
         Admission::Wait(ticket) => {
-            let v = told.iter().find(|v| v.ticket == ticket).expect("every wait gets a verdict");
+            let v = results
+                .iter()
+                .find(|v| v.ticket == ticket)
+                .expect("every waiting request gets a result");
             v.refused.map_or(Ok(ticket), Err)
         }
     }
@@ -77,9 +81,9 @@
 
 #[test]
 fn admit_under_older_revision() {
-    // An organisation spends past its lowered budget.
-    // The prepaid amount is lowered, and a router that has not heard of it grants under the old.
-    // The budget's row names the lowering revision, and nothing is granted under an older one.
+    // Guards against overspending a budget after its prepaid amount was lowered, by a router that
+    // is still on the older revision. The budget's row names the revision of the lowering, and
+    // nothing is granted under an older one.
     let row = BudgetRow { committed: Tokens(50), closed: Tokens(50), floor: Revision(2) };
     let rows = LoadedRows {
         budget: Versioned { version: Some(Version(9)), row },
@@ -90,7 +94,7 @@
 
 #[test]
 fn settle_capped_at_hold() {
-    // A target that reports more tokens than were asked for must not overspend the budget.
+    // Guards against overspending by a target that reports more tokens than were reserved.
     let mut h = holder();
     let hold = admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     let (excess, _) = h.settle(NOW, hold, bill("k", "r", 25));
@@ -100,7 +104,7 @@
 
 #[test]
 fn settle_twice() {
-    // A repeated end must not free or bill anything again.
+    // Guards against billing or releasing a hold twice when its request ends twice.
     let mut h = holder();
     let hold = admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     h.settle(NOW, hold, bill("k", "r", 4));
@@ -111,8 +115,9 @@
 }
 
 #[test]
-fn go_solo_within_share() {
-    // A router cut off from its witness may spend its solo part, and not a token more.
+fn move_to_solo_within_share() {
+    // Guards against overspending by a router that cannot reach its witness: it may spend no more
+    // than the solo part of its grant.
     let mut h = holder();
     h.set_policy(Sizing::Fixed(Tokens(200)), 500, 1);
     let a = admit(&mut h, 1_000, 80, &LoadedRows::default()).unwrap();
@@ -121,14 +126,14 @@
     assert!(h.move_to_solo(a));
     assert!(!h.move_to_solo(b), "80 and 30 are more than the solo part of 100");
     h.mark_witnessed(a);
-    assert!(h.move_to_solo(b), "a witness has the first one now");
+    assert!(h.move_to_solo(b), "a witness keeps a copy of the first hold");
 }
 
 #[test]
 fn loaded_with_bill_of_another_router() {
-    // One request is billed twice.
-    // Two routers ran it; the other's bill is in the table when this one's is written.
-    // The insert's guard fails, the row is found, and the cost comes back as free.
+    // Guards against billing a request twice when two routers ran it and the other one's bill is
+    // recorded first. The guard on the insert fails, the bill's row is found, and the tokens are
+    // free again.
     let mut h = holder();
     let hold = admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     let free = h.usage(&id()).free;
@@ -150,35 +155,36 @@
 }
 
 #[test]
-fn tick_idle_budget_is_dropped() {
-    // 290,000 budgets, ten thousand in use: the others must cost nothing.
+fn tick_drops_idle_budget() {
+    // Guards against state that grows with the number of budgets: of 290,000 budgets only ten
+    // thousand are in use, and the others must not take up memory or writes.
     let mut h = holder();
     let hold = admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     let (_, effects) = h.settle(NOW, hold, bill("k", "r", 4));
-    carry_out(&mut h, effects, &LoadedRows::default());
+    run_effects(&mut h, effects, &LoadedRows::default());
     for s in 1..80 {
         let effects = h.tick(Millis(NOW.0 + s * 1_000));
-        carry_out(&mut h, effects, &LoadedRows::default());
+        run_effects(&mut h, effects, &LoadedRows::default());
     }
     assert_eq!((h.budgets(), h.holds(), h.pending_bills()), (0, 0, 0));
 }
 
 #[test]
 fn admit_clock_steps_back() {
-    // An instance's clock steps back an hour; admission goes on as before.
+    // Guards against refusals after the clock of the instance steps back by an hour.
     let mut h = holder();
     admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     let earlier = Millis(NOW.0 - 3_600_000);
     let (a, effects) = h.admit(earlier, &id(), limit(1_000), Tokens(10), Protection::Witness, true);
-    carry_out(&mut h, effects, &LoadedRows::default());
+    run_effects(&mut h, effects, &LoadedRows::default());
     assert!(!matches!(a, Admission::Refused(_)));
 }
 
 #[test]
-fn loaded_after_lost_race() {
-    // Bills of served requests are missing from the table for many seconds.
-    // Routers that extend grants of one budget at the same time undo each other's records, and
-    // each waits for its next common record. Who lost a race tries again at once.
+fn loaded_after_guard_failure() {
+    // Guards against bills that are missing from the table for many seconds. Routers that extend
+    // grants of one budget at the same time fail each other's guards and would wait for the next
+    // flush each time. A change that failed on a guard is retried at once.
     let mut h = holder();
     let hold = admit(&mut h, 1_000, 10, &LoadedRows::default()).unwrap();
     h.settle(NOW, hold, bill("k", "r", 4));
--- a/tests/test_budget_reclaim.rs
+++ b/tests/test_budget_reclaim.rs
@@ -1,4 +1,4 @@
-//! A holder's death, pause and return, settled by its witness.
+//! Crash, pause and return of a holder whose grants are reclaimed by its witness.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -38,7 +38,8 @@
     }
 }
 
-/// A holder with a grant of 100 tokens, 20 of them solo when asked for, watched by `w@1`.
+/// Creates a holder with a grant of 100 tokens, of which `solo` are solo, and with `w@1` as its
+/// witness.
 async fn world(solo: u64) -> World {
     let memory = Memory::default();
     let (holder, budget): (Incarnation, BudgetId) = (name("h@1"), name("acme/main"));
@@ -99,9 +100,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn reclaim_open_stream_and_unbilled_hold() {
-    // An organisation loses tokens, or gets an answer for nothing.
-    // A router is killed while one run streams, one has ended unbilled and one never left.
-    // The witness asks the target: what ran is billed once, the rest goes back.
+    // Guards against lost tokens and unbilled answers. A router crashes while one run streams, one
+    // has ended unbilled and one was never dispatched. The witness queries the target, bills once
+    // what ran, and releases the rest.
     let w = world(0).await;
     w.keep(copy(1, "k1", "h@1.1", 30)).unwrap();
     w.keep(copy(2, "k2", "h@1.2", 30)).unwrap();
@@ -118,9 +119,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn keep_after_seal() {
-    // A budget is spent twice: by whoever got the reclaimed part, and by its old holder.
-    // The holder is paused after its hold, reclaimed, and wakes before its dispatch.
-    // It cannot dispatch without a copy at the witness, and the sealed witness takes none.
+    // Guards against spending tokens twice, once after they were reclaimed and once by their old
+    // holder. The holder is paused between its hold and its dispatch and reclaimed meanwhile. It
+    // cannot dispatch without a copy at the witness, which is sealed and refuses it.
     let w = world(0).await;
     w.keep(copy(1, "k1", "h@1.1", 30)).unwrap();
     w.reclaim_and_settle().await;
@@ -128,11 +129,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn forbid_run_of_paused_holder() {
-    // A request runs although its tokens were given back.
-    // The holder is paused between the copy and the dispatch, and dispatches after the witness
-    // asked the target and heard that the run is not known.
-    // The target is told first never to start that run.
+async fn cancel_run_of_paused_holder() {
+    // Guards against a run whose tokens were already released. The holder is paused between copy
+    // and dispatch, and dispatches after the target reported the run as unknown. The target is
+    // first told to refuse that run.
     let w = world(0).await;
     w.keep(copy(1, "k1", "h@1.1", 30)).unwrap();
     w.reclaim_and_settle().await;
@@ -142,8 +142,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn write_after_seal() {
-    // A sealed holder wakes and extends its grant: tokens that nobody would ever reclaim.
-    // Every change of its own is guarded by its row, which the seal has written.
+    // Guards against tokens that are never reclaimed because a sealed holder resumes and extends
+    // its grant. Every change by a holder is guarded by its row, which sealing has rewritten.
     let w = world(0).await;
     let row = read_one(&w.memory, holder_key(&w.holder)).await.unwrap().unwrap();
     w.reclaim_and_settle().await;
@@ -157,7 +157,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn reclaim_keeps_solo_part() {
-    // A cut-off holder spends its solo part while the other side reclaims: both count it.
+    // Guards against granting the solo part of a holder to others while the holder, cut off from
+    // its witness, may still spend it.
     let w = world(20).await;
     w.reclaim_and_settle().await;
     assert_eq!(w.budget_row().await.committed, Tokens(20));
@@ -165,10 +166,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn reclaim_target_away() {
-    // Tokens of a run that may have happened are handed out again.
-    // Holder and target die together with their zone.
-    // Without evidence the hold stays counted as spent; with it, it is settled.
+async fn reclaim_with_unreachable_target() {
+    // Guards against releasing the tokens of a run that may have happened. Holder and target crash
+    // together with their zone. The hold stays counted as spent until the outcome of the run is
+    // known.
     let w = world(0).await;
     w.keep(copy(1, "k1", "h@1.1", 30)).unwrap();
     *w.engine.away.lock().unwrap() = true;
@@ -183,9 +184,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn reclaim_request_billed_elsewhere() {
-    // One request is billed twice.
-    // Its router dies, the caller retries elsewhere and is billed there, then the witness settles.
-    // The bill's row exists, so the dead router's hold is simply given back.
+    // Guards against billing a request twice. Its router crashes, the caller retries at another
+    // router and is billed there, then the witness settles. The bill's row already exists, so the
+    // hold of the crashed router is only released.
     let w = world(0).await;
     w.keep(copy(1, "k1", "h@1.1", 30)).unwrap();
     w.engine.ended("h@1.1", 12);
@@ -197,10 +198,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn reclaim_witness_was_replaced() {
-    // A live holder loses its grants to a witness that it left.
-    // It chose another witness, whose copies it relies on; the old one then takes it for dead.
-    // Its row names the other, so the old one gives up and forgets.
+async fn reclaim_by_replaced_witness() {
+    // Guards against reclaiming a live holder by its former witness, which has no current copies
+    // and considers it dead. The holder's row names another witness, so the former one drops its
+    // copies and releases nothing.
     let w = world(0).await;
     w.keep(copy(1, "k1", "h@1.1", 30)).unwrap();
     let row = read_one(&w.memory, holder_key(&w.holder)).await.unwrap().unwrap();
@@ -214,10 +215,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn reclaim_table_away_and_answers_lost() {
-    // Tokens are given back twice.
-    // The table is away when the holder dies, then comes back and loses answers to writes.
-    // Nothing is released before it answers, and repeats find their first outcome.
+async fn reclaim_with_table_outage_and_lost_answers() {
+    // Guards against releasing tokens twice. The table is unavailable when the holder crashes, and
+    // then loses answers to writes. Nothing is released before the table answers, and repeated
+    // writes return their first outcome.
     let w = world(0).await;
     w.keep(copy(1, "k1", "h@1.1", 30)).unwrap();
     w.engine.ended("h@1.1", 12);
@@ -232,10 +233,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn reclaim_backup_cut_off() {
-    // A budget is spent twice: in a zone that is cut off, and outside of it.
-    // The holder goes on with its backup's word alone, while its witness takes it for dead.
-    // Without the backup's seal nothing is given back; with it, the backup's copies count.
+async fn reclaim_with_unreachable_backup() {
+    // Guards against spending tokens twice when a zone is cut off: the holder keeps running with
+    // copies at its backup while its witness considers it dead. Nothing is released before the
+    // backup is sealed too, and its copies are then settled.
     let w = world(0).await;
     let key = holder_key(&w.holder);
     let mut row: HolderRow =
@@ -247,7 +248,7 @@
     w.backup.witness.lock().unwrap().keep(&w.holder, copy(1, "k1", "h@1.1", 30)).unwrap();
     assert!(w.reclaimer.reclaim(&w.holder).await.is_err());
     assert_eq!(w.budget_row().await.committed, Tokens(100));
-    assert!(w.keep(copy(2, "k2", "h@1.2", 20)).is_ok(), "the witness is still open to it");
+    assert!(w.keep(copy(2, "k2", "h@1.2", 20)).is_ok(), "the witness still accepts its copies");
     *w.backup.away.lock().unwrap() = false;
     w.engine.ended("h@1.1", 12);
     w.reclaim_and_settle().await;
@@ -259,10 +260,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn reclaim_by_backup_keeps_seal() {
-    // A budget is overspent after a zone was cut off and mended.
-    // The witness reclaims a cut-off holder with its backup's seal. The backup, too, finds the
-    // holder dead, sees that it is not the witness, and forgets all about it, the seal as well.
-    // The holder comes back, and the backup's word lets it dispatch on tokens given away.
+    // Guards against overspending after a network partition. The witness has reclaimed the holder,
+    // sealed at this backup. The backup considers the holder dead too, but is not its witness;
+    // dropping the seal would let the holder dispatch on tokens that are no longer its own.
     let w = world(0).await;
     let key = holder_key(&w.holder);
     let mut row: HolderRow =
