--- a/src/route/gate.rs
+++ b/src/route/gate.rs
@@ -83,7 +83,7 @@
         (self.in_flight, self.queues.iter().map(|org| org.queue.len()).sum())
     }
 
-    fn queue_index(&mut self, id: &OrganisationId, weight: u32, limit: u32) -> usize {
+    fn upsert_queue(&mut self, id: &OrganisationId, weight: u32, limit: u32) -> usize {
         let index = self.queues.binary_search_by(|org| org.id.cmp(id)).unwrap_or_else(|index| {
             let last_finish = self.virtual_time;
             let queue = Vec::new();
@@ -111,7 +111,7 @@
         limit: u32,
         priority: u8,
     ) -> GateDecision {
-        let index = self.queue_index(id, weight, limit);
+        let index = self.upsert_queue(id, weight, limit);
         let org = &self.queues[index];
         let below_limit = org.in_flight < org.limit;
         if below_limit && org.queue.is_empty() && self.in_flight < self.capacity {
--- a/tests/test_budget_reclaim.rs
+++ b/tests/test_budget_reclaim.rs
@@ -130,9 +130,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn cancel_run_of_paused_holder() {
-    // Guards against a run whose tokens were already released. The holder is paused between copy
-    // and dispatch, and dispatches after the target reported the run as unknown. The target is
-    // first told to refuse that run.
+    // Guards against a run whose tokens were already released. The holder is paused between copy and
+    // dispatch, and dispatches after the target reported the run as unknown. The witness therefore
+    // cancels the run at the target first, which then refuses to start it.
     let w = world(0).await;
     w.keep(copy(1, "k1", "h@1.1", 30)).unwrap();
     w.reclaim_and_settle().await;
