--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -5,7 +5,7 @@
 
 use compact_str::CompactString;
 
-use super::reach::ZoneRegions;
+use super::zone_filter::ZoneRegions;
 
 /// Room that is left at the routers named, against the rate of the last moments: callers come in
 /// clumps, and an answer is kept for a while.
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -12,16 +12,16 @@
 use super::catalog::{Catalog, Route, RouteKind};
 use super::fingerprint::Fingerprint;
 use super::liveness::await_evidence;
-use super::outcome::{self, Ended, Final, Made, Next};
-use super::place::{Demand, Placement, place};
-use super::reach::{Barred, Reach};
+use super::placement::{Demand, Placement, place};
 use super::refusal::{COME_BACK, MOST_COME_BACK, Own, Unadmitted, cold_refusal, resting_refusal};
 use super::reply::Reply;
 use super::request::{Facts, Names, host, path};
+use super::retry_policy::{self, Ended, Final, Made, Next};
 use super::state::{Gateway, Platform};
 use super::stats::sent;
 use super::sync::confirm_config;
 use super::targets::{Found, PlaceRequest};
+use super::zone_filter::{Barred, Reach};
 use crate::allowance::{Asked, Hold, Refusal};
 use crate::http1::RequestHead;
 use crate::ids::Tokens;
@@ -298,17 +298,21 @@
             if ended.is_broken() {
                 await_evidence(self.broke_off(&backend)).await;
             }
-            let final_answer =
-                match outcome::next(self.route.kind, ended, self.made, self.route.max_attempts) {
-                    Next::SendAgain => continue,
-                    Next::Retry(or_else) => {
-                        if self.gw.retries.borrow_mut().take(&self.service) {
-                            continue;
-                        }
-                        or_else
+            let final_answer = match retry_policy::next(
+                self.route.kind,
+                ended,
+                self.made,
+                self.route.max_attempts,
+            ) {
+                Next::SendAgain => continue,
+                Next::Retry(or_else) => {
+                    if self.gw.retries.borrow_mut().take(&self.service) {
+                        continue;
                     }
-                    Next::Answer(answer) => answer,
-                };
+                    or_else
+                }
+                Next::Answer(answer) => answer,
+            };
             return match (final_answer, own_failure) {
                 (Final::TargetsOwn, Some(reply)) => Ok(reply),
                 (Final::NotRun, _) => Err(self.turned_away()),
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -4,7 +4,7 @@
 use compact_str::CompactString;
 
 use super::backend::Flight;
-use super::outcome::Ended;
+use super::retry_policy::Ended;
 use super::sse::{Events, Splitter};
 use crate::http1::{Conn, Decoder, ResponseHead};
 
--- a/src/gateway/stats.rs
+++ b/src/gateway/stats.rs
@@ -1,7 +1,7 @@
 //! Short cuts from outcomes to figures.
 
 use super::notice::{Notice, RetryAfter};
-use super::outcome::Ended;
+use super::retry_policy::Ended;
 use crate::stats::{EndLabels, Reason, Stats};
 
 /// Counts the end of a request.
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -7,9 +7,9 @@
 
 use super::catalog::{Catalog, Route};
 use super::feed::{Confirmation, Feed};
-use super::orders::ZoneOrder;
 use super::state::{Gateway, Platform};
 use super::targets::Change;
+use super::zone_orders::ZoneOrder;
 use crate::rows::{Page, Row, Ver};
 
 /// How long after the store's return entries that lapsed meanwhile may come back: the targets
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -10,10 +10,10 @@
 
 use super::backend::{Backend, StartedMs, TargetInfo, TargetState, millis};
 use super::notice::Standing;
-use super::place::Candidate;
-use super::reach::{Barred, Reach};
+use super::placement::Candidate;
 use super::request::Part;
 use super::timing::{FirstToken, Reading};
+use super::zone_filter::{Barred, Reach};
 use crate::ids::Digest;
 
 /// What an entry changed.
--- a/src/gateway/zones.rs
+++ b/src/gateway/zone_gossip.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::datagram::Topic;
-use super::orders::{ZoneOrder, ZoneOrders};
+use super::zone_orders::{ZoneOrder, ZoneOrders};
 use crate::oplog::Log;
 use crate::rows::Ver;
 use crate::stats::Stats;
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -11,9 +11,9 @@
 use crate::error::{Error, Kind, Result};
 use crate::gateway::catalog::{Engine, Share};
 use crate::gateway::cold::ColdBound;
-use crate::gateway::place::Weights;
-use crate::gateway::reach::ZoneRegions;
-use crate::gateway::retries::RetryAllowance;
+use crate::gateway::placement::Weights;
+use crate::gateway::retry_budget::RetryAllowance;
+use crate::gateway::zone_filter::ZoneRegions;
 use crate::gateway::{
     Catalog, CatalogParts, Limits, Names, Organisation, Platform, Route, RouteKind, Service,
     StartedMs, TargetInfo, TargetState,
--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -4,7 +4,7 @@
 
 use kingcupwall::gateway::CatalogParts;
 use kingcupwall::gateway::cold::{ADMISSION_LIFE, ColdBound, Meter, Owner, Pace, WarmUp, owner};
-use kingcupwall::gateway::place::{Candidate, Demand, Placement, Weights, place};
+use kingcupwall::gateway::placement::{Candidate, Demand, Placement, Weights, place};
 use kingcupwall::standin::gateway::{LocalPlatform, parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::StandinTarget;
--- a/tests/test_gateway_homes.rs
+++ b/tests/test_gateway_homes.rs
@@ -2,7 +2,7 @@
 
 use kingcupwall::gateway::CatalogParts;
 use kingcupwall::gateway::entry::{EntryView, RouterEntry};
-use kingcupwall::gateway::reach::ZoneRegions;
+use kingcupwall::gateway::zone_filter::ZoneRegions;
 use kingcupwall::standin::gateway::{LocalPlatform, parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::StandinTarget;
--- a/tests/test_gateway_orders.rs
+++ b/tests/test_gateway_orders.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use kingcupwall::gateway::datagram::Topic;
-use kingcupwall::gateway::orders::{ZoneOrder, ZoneOrders};
 use kingcupwall::gateway::peers::may_hear;
-use kingcupwall::gateway::reach::{Barred, Reach, ZoneRegions};
+use kingcupwall::gateway::zone_filter::{Barred, Reach, ZoneRegions};
+use kingcupwall::gateway::zone_orders::{ZoneOrder, ZoneOrders};
 use kingcupwall::rows::{Fault, Ver};
 use kingcupwall::standin::gateway::{LocalPlatform, parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
--- a/tests/test_gateway_targets.rs
+++ b/tests/test_gateway_targets.rs
@@ -6,10 +6,10 @@
 use kingcupwall::gateway::backend::target_word;
 use kingcupwall::gateway::backend::{Backend, Flight, Planned, StartedMs, TargetInfo, TargetState};
 use kingcupwall::gateway::notice::{Notice, RetryAfter, Standing};
-use kingcupwall::gateway::reach::Reach;
 use kingcupwall::gateway::request::Part;
 use kingcupwall::gateway::targets::{Change, PlaceRequest, Targets};
 use kingcupwall::gateway::timing::Reading;
+use kingcupwall::gateway::zone_filter::Reach;
 use rstest::rstest;
 use tokio::time::Instant;
 
