--- a/src/gateway/backend.rs
+++ b/src/gateway/backend.rs
@@ -177,7 +177,7 @@
         self.life.lives();
         let mut load = self.load.borrow_mut();
         load.failures = 0;
-        load.doubtful_until = None;
+        load.unhealthy_until = None;
     }
 
     /// A request got none, or a failure.
@@ -186,7 +186,7 @@
         load.failures += 1;
         if load.failures >= FAILURES {
             let doubled = DOUBT * 2_u32.pow((load.failures - FAILURES).min(4));
-            load.doubtful_until = Some(Instant::now() + doubled.min(MAX_DOUBT));
+            load.unhealthy_until = Some(Instant::now() + doubled.min(MAX_DOUBT));
         }
     }
 
@@ -217,7 +217,7 @@
     /// Notes a request that goes to `backend` now.
     pub fn begin(backend: &Rc<Backend>, plan: &Planned, now: Instant) -> Flight {
         let mut load = backend.load.borrow_mut();
-        load.running += 1;
+        load.in_flight_requests += 1;
         let unread = plan.engine.then(|| load.add(millis(plan.prefill_ms), now));
         drop(load);
         Flight { backend: backend.clone(), sent: now, plan: *plan, unread }
@@ -269,7 +269,7 @@
 impl Drop for Flight {
     fn drop(&mut self) {
         let mut load = self.backend.load.borrow_mut();
-        load.running -= 1;
+        load.in_flight_requests -= 1;
         if let Some(number) = self.unread {
             load.cancel(number);
         }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -12,16 +12,19 @@
 use super::catalog::{Catalog, Route, RouteKind};
 use super::fingerprint::Fingerprint;
 use super::liveness::await_evidence;
-use super::placement::{Demand, Placement, place};
-use super::refusal::{COME_BACK, MOST_COME_BACK, Own, Unadmitted, cold_refusal, resting_refusal};
+use super::placement::{Placement, PlacementGoal, place};
+use super::refusal::{
+    DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER, RejectedRequest, RouterResponse, backoff_refusal,
+    cold_refusal,
+};
 use super::reply::Reply;
 use super::request::{Facts, Names, host, path};
 use super::retry_policy::{self, Ended, Final, Made, Next};
 use super::state::{Gateway, Platform};
 use super::stats::sent;
 use super::sync::confirm_config;
-use super::targets::{Found, PlaceRequest};
-use super::zone_filter::{Barred, Reach};
+use super::targets::{PlacementCandidates, PlacementRequest};
+use super::zone_filter::{ExclusionReason, ZoneFilter};
 use crate::allowance::{Asked, Hold, Refusal};
 use crate::http1::RequestHead;
 use crate::ids::Tokens;
@@ -41,7 +44,7 @@
 /// Why a request has no target.
 enum Unplaced {
     /// It is refused.
-    Refused(Own),
+    Refused(RouterResponse),
     /// All targets that are left are cold; one has room in so long.
     Cold { room_in: Duration },
 }
@@ -93,10 +96,12 @@
     gw: &Gateway<P>,
     head: &RequestHead,
     facts: &Facts,
-) -> Result<(Rc<Catalog>, Route, Option<CompactString>), Own> {
-    let look = || -> Result<_, Own> {
-        let catalog = gw.config().ok_or(Own::refusal("no_configuration", COME_BACK))?;
-        let route = catalog.route(host(head), path(head)).ok_or(Own::new(404, "no_route"))?;
+) -> Result<(Rc<Catalog>, Route, Option<CompactString>), RouterResponse> {
+    let look = || -> Result<_, RouterResponse> {
+        let catalog =
+            gw.config().ok_or(RouterResponse::refusal("no_configuration", DEFAULT_RETRY_AFTER))?;
+        let route =
+            catalog.route(host(head), path(head)).ok_or(RouterResponse::new(404, "no_route"))?;
         let route = route.clone();
         let org = owner(&catalog, &route, facts)?;
         Ok((catalog, route, org))
@@ -104,7 +109,10 @@
     match look() {
         Err(own) if own.status != 503 => {
             if !confirm_config(gw).await {
-                return Err(Own::refusal("configuration_not_confirmed", COME_BACK));
+                return Err(RouterResponse::refusal(
+                    "configuration_not_confirmed",
+                    DEFAULT_RETRY_AFTER,
+                ));
             }
             look()
         }
@@ -112,12 +120,16 @@
     }
 }
 
-fn owner(catalog: &Catalog, route: &Route, facts: &Facts) -> Result<Option<CompactString>, Own> {
+fn owner(
+    catalog: &Catalog,
+    route: &Route,
+    facts: &Facts,
+) -> Result<Option<CompactString>, RouterResponse> {
     if !catalog.needs_keys() || route.public {
         return Ok(None);
     }
-    let key = facts.key.as_deref().ok_or(Own::new(401, "no_key"))?;
-    let org = catalog.organisation(key).ok_or(Own::new(401, "unknown_key"))?;
+    let key = facts.key.as_deref().ok_or(RouterResponse::new(401, "no_key"))?;
+    let org = catalog.organisation(key).ok_or(RouterResponse::new(401, "unknown_key"))?;
     Ok(Some(org.name.clone()))
 }
 
@@ -132,16 +144,21 @@
         body: Bytes,
         facts: Facts,
         started: Instant,
-    ) -> Result<Job<'a, P>, Unadmitted> {
-        let unknown = |own| Unadmitted { own, route: None, org: None };
+    ) -> Result<Job<'a, P>, RejectedRequest> {
+        let unknown = |response| RejectedRequest { response, route: None, org: None };
         let (catalog, route, org) = resolve(gw, head, &facts).await.map_err(unknown)?;
         let known = (route.name.clone(), org.clone());
-        let refused = |own| Unadmitted { own, route: Some(known.0.clone()), org: known.1.clone() };
+        let refused = |response| RejectedRequest {
+            response,
+            route: Some(known.0.clone()),
+            org: known.1.clone(),
+        };
         let wait = facts.time_left.map_or(route.timeout, |t| t.min(route.timeout));
         let until = started + wait;
         let draw = fastrand::f64();
         let service = route.service(draw).cloned();
-        let service = service.ok_or_else(|| refused(Own::refusal("no_service", COME_BACK)))?;
+        let service = service
+            .ok_or_else(|| refused(RouterResponse::refusal("no_service", DEFAULT_RETRY_AFTER)))?;
         gw.retries.borrow_mut().earn(&service);
         let mut job = Job {
             gw,
@@ -169,7 +186,7 @@
     }
 
     /// Takes the most that the request can cost out of its organisation's budget.
-    async fn take_budget(&mut self) -> Result<(), Own> {
+    async fn take_budget(&mut self) -> Result<(), RouterResponse> {
         let most = Tokens(self.facts.most());
         let Some(org) = self.org.as_deref().filter(|_| most.0 > 0) else { return Ok(()) };
         let prepaid = self.catalog.organisation(self.facts.key.as_deref().unwrap_or_default());
@@ -182,7 +199,7 @@
         if matches!(taken, Err(Refusal::Spent)) && confirm_config(self.gw).await {
             taken = keeper.hold_by(org, most, self.until).await;
             if matches!(taken, Err(Refusal::Spent)) {
-                let own = Own::new(402, "budget_spent");
+                let own = RouterResponse::new(402, "budget_spent");
                 return Err(self.no_budget(org, Asked::default(), own));
             }
         }
@@ -197,13 +214,13 @@
                     Refusal::Spent => Asked::default(),
                 };
                 let after = asked.room.unwrap_or(COME_BACK_BUDGET);
-                let after = after.clamp(COME_BACK, MOST_COME_BACK);
-                Err(self.no_budget(org, asked, Own::refusal("budget_not_here", after)))
+                let after = after.clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER);
+                Err(self.no_budget(org, asked, RouterResponse::refusal("budget_not_here", after)))
             }
         }
     }
 
-    fn no_budget(&self, org: &str, asked: Asked, own: Own) -> Own {
+    fn no_budget(&self, org: &str, asked: Asked, own: RouterResponse) -> RouterResponse {
         let state = self.gw.keeper.describe(org);
         let (id, most) = (&self.facts.id, self.facts.most());
         self.gw.log.note(
@@ -249,16 +266,22 @@
     ///
     /// # Errors
     /// The router's own answer.
-    pub async fn obtain(&mut self, resume_after: Option<CompactString>) -> Result<Reply, Own> {
+    pub async fn obtain(
+        &mut self,
+        resume_after: Option<CompactString>,
+    ) -> Result<Reply, RouterResponse> {
         let until = self.until;
         match timeout_at(until, self.obtain_untimed(resume_after)).await {
             Ok(reply) => reply,
-            Err(_) if self.may_have_run.get() => Err(Own::new(504, "timeout")),
-            Err(_) => Err(Own::refusal("timeout_before_send", COME_BACK)),
+            Err(_) if self.may_have_run.get() => Err(RouterResponse::new(504, "timeout")),
+            Err(_) => Err(RouterResponse::refusal("timeout_before_send", DEFAULT_RETRY_AFTER)),
         }
     }
 
-    async fn obtain_untimed(&mut self, resume_after: Option<CompactString>) -> Result<Reply, Own> {
+    async fn obtain_untimed(
+        &mut self,
+        resume_after: Option<CompactString>,
+    ) -> Result<Reply, RouterResponse> {
         let mut own_failure: Option<Reply> = None;
         loop {
             // Before each send, not only the first: the one before may have ended a target, and
@@ -278,7 +301,9 @@
                 Err(Unplaced::Refused(own)) => return own_failure.ok_or(self.after_runs(own)),
             };
             if self.until - Instant::now() < LEAST_TIME {
-                return own_failure.ok_or(self.after_runs(Own::refusal("no_time_left", COME_BACK)));
+                return own_failure.ok_or(
+                    self.after_runs(RouterResponse::refusal("no_time_left", DEFAULT_RETRY_AFTER)),
+                );
             }
             let ran_before = self.made.runs;
             let ended = match self.send(&backend, &plan, resume_after.as_deref()).await {
@@ -317,24 +342,28 @@
                 (Final::TargetsOwn, Some(reply)) => Ok(reply),
                 (Final::NotRun, _) => Err(self.turned_away()),
                 (_, Some(reply)) => Ok(reply),
-                _ => Err(Own::new(502, "target_failed")),
+                _ => Err(RouterResponse::new(502, "target_failed")),
             };
         }
     }
 
     /// The answer to a request that targets turned away and that may go to no other, with the time
     /// at which one is worth a try.
-    fn turned_away(&self) -> Own {
+    fn turned_away(&self) -> RouterResponse {
         match self.choose() {
-            Err(Unplaced::Refused(own)) => Own { reason: "target_refused", ..own },
+            Err(Unplaced::Refused(own)) => RouterResponse { reason: "target_refused", ..own },
             Err(Unplaced::Cold { room_in }) => cold_refusal(room_in),
-            Ok(_) => Own::refusal("target_refused", COME_BACK),
+            Ok(_) => RouterResponse::refusal("target_refused", DEFAULT_RETRY_AFTER),
         }
     }
 
     /// A refusal must not promise "not run" once a target may have run the request.
-    fn after_runs(&self, own: Own) -> Own {
-        if self.may_have_run.get() && own.status == 503 { Own::new(502, own.reason) } else { own }
+    fn after_runs(&self, own: RouterResponse) -> RouterResponse {
+        if self.may_have_run.get() && own.status == 503 {
+            RouterResponse::new(502, own.reason)
+        } else {
+            own
+        }
     }
 
     /// Whether a request waits here for room at a cold target: while it can still be in time.
@@ -353,28 +382,28 @@
         let engine = self.is_engine();
         let emptied = self.gw.zones.emptied();
         let org_homes = self.org.as_deref().map_or(&[][..], |o| self.catalog.homes_of(o));
-        let req = PlaceRequest {
+        let req = PlacementRequest {
             service: &self.service,
             zone: &self.gw.settings.zone,
             parts: &self.facts.parts,
             prompt: self.facts.prompt,
             engine,
             tried: &self.tried,
-            reach: Reach {
+            zone_filter: ZoneFilter {
                 emptied: &emptied,
                 homes: [&self.route.homes, org_homes],
                 regions: &self.gw.settings.regions,
             },
         };
-        let Found { candidates: found, barred } = self.gw.targets.candidates(&req);
+        let PlacementCandidates { candidates: found, exclusion } = self.gw.targets.candidates(&req);
         let facts: Vec<_> = found.iter().map(|(_, c)| *c).collect();
         let now = Instant::now();
-        let demand = Demand {
+        let goal = PlacementGoal {
             aim: self.route.aim.saturating_sub(now - self.started),
-            left: self.until.saturating_duration_since(now),
+            remaining: self.until.saturating_duration_since(now),
             engine,
         };
-        match place(&facts, &demand, &self.gw.settings.weights) {
+        match place(&facts, &goal, &self.gw.settings.weights) {
             Placement::Send { index, predicted_ms } => {
                 let chosen = &facts[index];
                 let plan = Planned {
@@ -388,16 +417,22 @@
                 };
                 Ok((found[index].0.clone(), plan))
             }
-            Placement::NoTarget => Err(Unplaced::Refused(match barred {
-                None => Own::refusal("no_target", COME_BACK),
-                Some(Barred::Emptied) => Own::refusal("zones_emptied", COME_BACK_EMPTIED),
-                Some(Barred::Abroad) => Own::refusal("no_target_at_home", COME_BACK),
+            Placement::NoTarget => Err(Unplaced::Refused(match exclusion {
+                None => RouterResponse::refusal("no_target", DEFAULT_RETRY_AFTER),
+                Some(ExclusionReason::Emptied) => {
+                    RouterResponse::refusal("zones_emptied", COME_BACK_EMPTIED)
+                }
+                Some(ExclusionReason::OutsideAllowedRegions) => {
+                    RouterResponse::refusal("no_target_at_home", DEFAULT_RETRY_AFTER)
+                }
             })),
             Placement::Cold { room_in } => Err(Unplaced::Cold { room_in }),
-            Placement::Resting { wants_in } => Err(Unplaced::Refused(resting_refusal(wants_in))),
+            Placement::BackingOff { retry_after } => {
+                Err(Unplaced::Refused(backoff_refusal(retry_after)))
+            }
             Placement::Busy { room_in_ms } => {
                 let after = Duration::from_secs_f64(room_in_ms / 1_000.0);
-                Err(Unplaced::Refused(Own::refusal("busy", after)))
+                Err(Unplaced::Refused(RouterResponse::refusal("busy", after)))
             }
         }
     }
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, timeout};
 
 use super::forward::{Job, label};
-use super::refusal::{Own, Unadmitted};
+use super::refusal::{RejectedRequest, RouterResponse};
 use super::relay::{Relayed, relay, write_own};
 use super::request::Facts;
 use super::state::{Gateway, Phase, Platform};
@@ -121,16 +121,16 @@
     if !matches!(more, Ok(Ok(true))) {
         return None;
     }
-    let own = match timeout(limits.head_time, conn.read_request(limits.head_bytes)).await {
+    let response = match timeout(limits.head_time, conn.read_request(limits.head_bytes)).await {
         Ok(Ok(head)) => return Some(head),
         Ok(Err(HeadError::Closed | HeadError::Broken(_))) => return None,
-        Ok(Err(HeadError::Bad(_))) => Own::new(400, "malformed_request"),
-        Ok(Err(HeadError::TooLong)) => Own::new(431, "head_too_long"),
-        Err(_) => Own::new(408, "head_too_slow"),
+        Ok(Err(HeadError::Bad(_))) => RouterResponse::new(400, "malformed_request"),
+        Ok(Err(HeadError::TooLong)) => RouterResponse::new(431, "head_too_long"),
+        Err(_) => RouterResponse::new(408, "head_too_slow"),
     };
-    gw.log.note("refused", format_args!("status={} reason={}", own.status, own.reason));
+    gw.log.note("refused", format_args!("status={} reason={}", response.status, response.reason));
     // The connection is closed either way.
-    let _ = write_own(conn, &own, false).await;
+    let _ = write_own(conn, &response, false).await;
     None
 }
 
@@ -140,18 +140,18 @@
     conn: &mut Conn,
     head: &RequestHead,
     facts: &Facts,
-) -> Result<Bytes, Option<Own>> {
+) -> Result<Bytes, Option<RouterResponse>> {
     if head.body.is_done() {
         return Ok(Bytes::new());
     }
     let max = gw.limits().body_bytes;
     if head.body.known_length().is_some_and(|n| n > max) {
-        return Err(Some(Own::new(413, "body_too_long")));
+        return Err(Some(RouterResponse::new(413, "body_too_long")));
     }
     let expected = head.body.known_length().unwrap_or(0);
     if gw.body_bytes.get() + expected > gw.settings.body_memory {
         let soon = Duration::from_millis(300);
-        return Err(Some(Own::refusal("no_memory_for_body", soon)));
+        return Err(Some(RouterResponse::refusal("no_memory_for_body", soon)));
     }
     if head.expects_continue && conn.is_drained() {
         conn.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(|_| None)?;
@@ -159,12 +159,12 @@
     let time = facts.time_left.unwrap_or(BODY_TIME);
     match timeout(time, conn.read_body(head.body, max)).await {
         Ok(Ok(Some(body))) => Ok(body),
-        Ok(Ok(None)) => Err(Some(Own::new(413, "body_too_long"))),
+        Ok(Ok(None)) => Err(Some(RouterResponse::new(413, "body_too_long"))),
         Ok(Err(e)) if e.kind() == std::io::ErrorKind::InvalidData => {
-            Err(Some(Own::new(400, "malformed_body")))
+            Err(Some(RouterResponse::new(400, "malformed_body")))
         }
         Ok(Err(_)) => Err(None),
-        Err(_) => Err(Some(Own::new(408, "body_too_slow"))),
+        Err(_) => Err(Some(RouterResponse::new(408, "body_too_slow"))),
     }
 }
 
@@ -178,14 +178,17 @@
     let facts = Facts::read(gw.platform.names(), &head.headers);
     let body = match read_body(gw, conn, head, &facts).await {
         Ok(body) => body,
-        Err(own) => {
-            if let Some(own) = own {
+        Err(response) => {
+            if let Some(response) = response {
                 gw.log.note(
                     "refused",
-                    format_args!("id={} status={} reason={}", facts.id, own.status, own.reason),
+                    format_args!(
+                        "id={} status={} reason={}",
+                        facts.id, response.status, response.reason
+                    ),
                 );
                 // The rest of the body is still on its way: the connection is closed.
-                let _ = write_own(conn, &own, false).await;
+                let _ = write_own(conn, &response, false).await;
             }
             return false;
         }
@@ -203,7 +206,7 @@
     let mut job = match admitted {
         Ok(job) => job,
         Err(unadmitted) => {
-            ended(&gw.stats, "unplaced", unadmitted.own.reason);
+            ended(&gw.stats, "unplaced", unadmitted.response.reason);
             return refuse(gw, conn, head, &id, &unadmitted, started).await;
         }
     };
@@ -225,10 +228,10 @@
             conclude(&job, relayed, status, &target);
             keep
         }
-        Err(own) => {
-            ended(&gw.stats, kind, own.reason);
+        Err(response) => {
+            ended(&gw.stats, kind, response.reason);
             let (route, org) = (Some(job.route.name.clone()), job.org.clone());
-            refuse(gw, conn, head, &id, &Unadmitted { own, route, org }, started).await
+            refuse(gw, conn, head, &id, &RejectedRequest { response, route, org }, started).await
         }
     }
 }
@@ -245,22 +248,22 @@
     conn: &mut Conn,
     head: &RequestHead,
     id: &str,
-    refused: &Unadmitted,
+    refused: &RejectedRequest,
     started: Instant,
 ) -> bool {
-    let Unadmitted { own, route, org } = refused;
+    let RejectedRequest { response, route, org } = refused;
     let (route, org) = (route.as_deref().unwrap_or("-"), org.as_deref().unwrap_or("-"));
     let keep = head.keep && *gw.phase.borrow() == Phase::Up;
     let ms = started.elapsed().as_millis();
-    let after = own.retry_after.map(|d| d.as_millis());
+    let after = response.retry_after.map(|d| d.as_millis());
     gw.log.note(
         "refused",
         format_args!(
             "id={id} route={route} org={org} status={} reason={} retry_after_ms={after:?} at_ms={ms}",
-            own.status, own.reason
+            response.status, response.reason
         ),
     );
-    write_own(conn, own, keep).await.is_ok() && keep
+    write_own(conn, response, keep).await.is_ok() && keep
 }
 
 fn conclude<P: Platform>(job: &Job<'_, P>, relayed: Relayed, status: u16, target: &str) {
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -67,7 +67,7 @@
 
 #[derive(Debug)]
 pub(super) struct Load {
-    pub(super) running: u32,
+    pub(super) in_flight_requests: u32,
     /// Prompts on their way, in the order in which they were sent by this router and, as far as
     /// they said so, by others.
     unread: Vec<Unread>,
@@ -78,20 +78,20 @@
     pub(super) pace: Pace,
     pub(super) cache: PartCache,
     pub(super) failures: u32,
-    pub(super) doubtful_until: Option<Instant>,
+    pub(super) unhealthy_until: Option<Instant>,
 }
 
 impl Load {
     pub(super) fn new(now: Instant) -> Load {
         Load {
-            running: 0,
+            in_flight_requests: 0,
             unread: Vec::new(),
             next_number: 0,
             read_by: now,
             pace: Pace::default(),
             cache: PartCache::default(),
             failures: 0,
-            doubtful_until: None,
+            unhealthy_until: None,
         }
     }
 
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// In this router's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Tokens of its prompt that the target has not cached.
     pub uncached: u64,
     /// Predicted time until the target begins with this request, ms.
@@ -18,16 +18,16 @@
     /// Predicted time for the part of its prompt that the target has not cached, ms.
     pub prefill_ms: f64,
     /// Requests of this router that run there.
-    pub running: u32,
+    pub in_flight_requests: u32,
     /// Requests that run there at once, by all routers.
     pub slots: u32,
     /// Place of the target in the request's order of preference, 0 first. The same at every
     /// router, so that all send a prompt's parts to where they are cached.
     pub rank: usize,
     /// It failed lately, or its entry lapsed: used only if nothing else is there.
-    pub doubtful: bool,
+    pub unhealthy: bool,
     /// Set if it turned a request away: how long it still wants none.
-    pub resting: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// Already tried for this request.
     pub tried: bool,
     /// Set for a cold target: when it has room for a request, as far as is known.
@@ -40,25 +40,25 @@
     }
 
     /// Whether it may get this request, now or once it has room.
-    fn is_open(&self) -> bool {
-        !self.tried && self.resting.is_none()
+    fn is_eligible(&self) -> bool {
+        !self.tried && self.backoff.is_none()
     }
 }
 
 /// What a request asks of a placement.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand {
+pub struct PlacementGoal {
     /// Time to the answer that the operator aims at, what has passed already taken off.
     pub aim: Duration,
-    /// Time that is left at all.
-    pub left: Duration,
+    /// Time that is remaining at all.
+    pub remaining: Duration,
     /// Whether it uses a model engine.
     pub engine: bool,
 }
 
-/// Weights of a choice.
+/// PlacementWeights of a choice.
 #[derive(Clone, Copy, Debug)]
-pub struct Weights {
+pub struct PlacementWeights {
     /// How much earlier a target in another zone must begin to be chosen, ms. Traffic between
     /// zones is paid for; 18 kB prompts make this the dearest part of a request after lateness.
     pub far_ms: f64,
@@ -72,13 +72,13 @@
     pub late_x: f64,
 }
 
-impl Default for Weights {
-    fn default() -> Weights {
-        Weights { far_ms: 12.0, prefill: 1.5, running_ms: 2.0, rank_ms: 6.0, late_x: 2.0 }
+impl Default for PlacementWeights {
+    fn default() -> PlacementWeights {
+        PlacementWeights { far_ms: 12.0, prefill: 1.5, running_ms: 2.0, rank_ms: 6.0, late_x: 2.0 }
     }
 }
 
-impl Weights {
+impl PlacementWeights {
     /// Sets one weight by its name.
     ///
     /// # Errors
@@ -119,15 +119,15 @@
     },
     /// No target is there at all.
     NoTarget,
-    /// What is left is cold, and has room in so long.
+    /// What is remaining is cold, and has room in so long.
     Cold {
         /// When one of them has.
         room_in: Duration,
     },
-    /// What is left has turned requests away, and wants the next one in so long.
-    Resting {
+    /// What is remaining has turned requests away, and wants the next one in so long.
+    BackingOff {
         /// When the first of them does.
-        wants_in: Duration,
+        retry_after: Duration,
     },
     /// All targets are too busy for it; room is expected in so many ms.
     Busy {
@@ -136,15 +136,15 @@
     },
 }
 
-fn cost(c: &Candidate, engine: bool, w: &Weights) -> f64 {
-    let far = if c.near { 0.0 } else { w.far_ms };
-    let place = f64::from(c.running) * w.running_ms;
+fn cost(c: &Candidate, engine: bool, w: &PlacementWeights) -> f64 {
+    let zone_cost = if c.same_zone { 0.0 } else { w.far_ms };
+    let load_cost = f64::from(c.in_flight_requests) * w.running_ms;
     if !engine {
-        let filled = f64::from(c.running) / f64::from(c.slots.max(1));
-        return far / 20.0 + filled * 100.0 + c.rank as f64 * 0.01;
+        let utilization = f64::from(c.in_flight_requests) / f64::from(c.slots.max(1));
+        return zone_cost / 20.0 + utilization * 100.0 + c.rank as f64 * 0.01;
     }
     let rank = c.rank.min(4) as f64 * w.rank_ms;
-    c.wait_ms + c.base_ms + c.prefill_ms * w.prefill + far + place + rank
+    c.wait_ms + c.base_ms + c.prefill_ms * w.prefill + zone_cost + load_cost + rank
 }
 
 /// Chooses among `candidates`.
@@ -153,28 +153,28 @@
 /// with the time at which room is expected. Admitting it would delay all that wait behind it
 /// and make those late as well: with callers that come faster than the engines read, every
 /// request would end up late.
-pub fn place(candidates: &[Candidate], demand: &Demand, w: &Weights) -> Placement {
-    let usable = |c: &Candidate| c.is_open() && !c.doubtful && c.has_room();
-    let second_best = |c: &Candidate| c.is_open() && c.has_room();
-    let best = best(candidates, demand.engine, w, usable)
-        .or_else(|| best(candidates, demand.engine, w, second_best));
+pub fn place(candidates: &[Candidate], goal: &PlacementGoal, w: &PlacementWeights) -> Placement {
+    let usable = |c: &Candidate| c.is_eligible() && !c.unhealthy && c.has_room();
+    let last_resort = |c: &Candidate| c.is_eligible() && c.has_room();
+    let best = best(candidates, goal.engine, w, usable)
+        .or_else(|| best(candidates, goal.engine, w, last_resort));
     let Some(index) = best else {
-        let cold = candidates.iter().filter(|c| c.is_open() && !c.has_room());
+        let cold = candidates.iter().filter(|c| c.is_eligible() && !c.has_room());
         if let Some(room_in) = cold.filter_map(|c| c.room_in).min() {
             return Placement::Cold { room_in };
         }
-        let resting = candidates.iter().filter_map(|c| c.resting);
-        let resting = resting.min().map(|wants_in| Placement::Resting { wants_in });
-        return resting.unwrap_or(Placement::NoTarget);
+        let backoff = candidates.iter().filter_map(|c| c.backoff);
+        let backoff = backoff.min().map(|retry_after| Placement::BackingOff { retry_after });
+        return backoff.unwrap_or(Placement::NoTarget);
     };
-    if !demand.engine {
+    if !goal.engine {
         return Placement::Send { index, predicted_ms: 0.0 };
     }
     let c = &candidates[index];
     let predicted_ms = c.wait_ms + c.base_ms + c.prefill_ms;
-    let bound = (demand.aim.as_secs_f64() * w.late_x).min(demand.left.as_secs_f64()) * 1_000.0;
-    if predicted_ms > bound && c.wait_ms > 0.0 {
-        let aim_ms = demand.aim.as_secs_f64() * 1_000.0;
+    let limit_ms = (goal.aim.as_secs_f64() * w.late_x).min(goal.remaining.as_secs_f64()) * 1_000.0;
+    if predicted_ms > limit_ms && c.wait_ms > 0.0 {
+        let aim_ms = goal.aim.as_secs_f64() * 1_000.0;
         return Placement::Busy { room_in_ms: (predicted_ms - aim_ms * 0.8).max(50.0) };
     }
     Placement::Send { index, predicted_ms }
@@ -183,7 +183,7 @@
 fn best(
     candidates: &[Candidate],
     engine: bool,
-    w: &Weights,
+    w: &PlacementWeights,
     usable: impl Fn(&Candidate) -> bool,
 ) -> Option<usize> {
     let eligible = candidates.iter().enumerate().filter(|(_, c)| usable(c));
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -5,20 +5,20 @@
 use compact_str::CompactString;
 
 /// When to come back after a refusal that names no better time.
-pub const COME_BACK: Duration = Duration::from_millis(400);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// The longest time to come back that is named while it is not known when there is room: a cut
 /// from the store can end at any moment.
-pub const MOST_COME_BACK: Duration = Duration::from_secs(3);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
 /// How far the times to come back for a cold target are spread, against the time itself.
-const COLD_SPREAD: f64 = 1.0;
+const COLD_JITTER: f64 = 1.0;
 /// The shortest time to come back to targets that rest: other callers take the first room.
-const RESTING_LEAST: Duration = Duration::from_millis(150);
+const MIN_BACKOFF_RETRY_AFTER: Duration = Duration::from_millis(150);
 /// How far the times to come back to targets that rest are spread, at most.
-const RESTING_SPREAD: Duration = Duration::from_millis(400);
+const MAX_BACKOFF_JITTER: Duration = Duration::from_millis(400);
 
 /// An answer of the router's own.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Own {
+pub struct RouterResponse {
     /// Status code. 408, 421, 429 and 503 promise that the request did not run and will not.
     pub status: u16,
     /// Why, for the caller and the log.
@@ -27,23 +27,23 @@
     pub retry_after: Option<Duration>,
 }
 
-impl Own {
+impl RouterResponse {
     /// An answer without a time to come back.
-    pub fn new(status: u16, reason: &'static str) -> Own {
-        Own { status, reason, retry_after: None }
+    pub fn new(status: u16, reason: &'static str) -> RouterResponse {
+        RouterResponse { status, reason, retry_after: None }
     }
 
     /// A refusal: not run, with the time to come back.
-    pub fn refusal(reason: &'static str, after: Duration) -> Own {
-        Own { status: 503, reason, retry_after: Some(after) }
+    pub fn refusal(reason: &'static str, after: Duration) -> RouterResponse {
+        RouterResponse { status: 503, reason, retry_after: Some(after) }
     }
 }
 
 /// A request that was not admitted, and as much of it as was known by then.
 #[derive(Clone, Debug)]
-pub struct Unadmitted {
+pub struct RejectedRequest {
     /// The answer.
-    pub own: Own,
+    pub response: RouterResponse,
     /// Name of its route.
     pub route: Option<CompactString>,
     /// Whose it is.
@@ -51,14 +51,14 @@
 }
 
 /// Callers come back when there is room, and not all at once.
-pub fn cold_refusal(room_in: Duration) -> Own {
-    let after = room_in.mul_f64(1.0 + COLD_SPREAD * fastrand::f64());
-    Own::refusal("cold", after.clamp(COME_BACK, MOST_COME_BACK))
+pub fn cold_refusal(room_in: Duration) -> RouterResponse {
+    let after = room_in.mul_f64(1.0 + COLD_JITTER * fastrand::f64());
+    RouterResponse::refusal("cold", after.clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER))
 }
 
 /// Callers come back when the first target wants requests again, and not all at once.
-pub fn resting_refusal(wants_in: Duration) -> Own {
-    let least = wants_in.max(RESTING_LEAST);
-    let spread = least.min(RESTING_SPREAD).mul_f64(fastrand::f64());
-    Own::refusal("targets_rest", least + spread)
+pub fn backoff_refusal(retry_after: Duration) -> RouterResponse {
+    let least = retry_after.max(MIN_BACKOFF_RETRY_AFTER);
+    let jitter = least.min(MAX_BACKOFF_JITTER).mul_f64(fastrand::f64());
+    RouterResponse::refusal("targets_rest", least + jitter)
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -9,7 +9,7 @@
 use super::catalog::RouteKind;
 use super::forward::Job;
 use super::liveness::await_evidence;
-use super::refusal::Own;
+use super::refusal::RouterResponse;
 use super::reply::{Reply, Rest};
 use super::request::{is_hop_by_hop, line};
 use super::state::{Phase, Platform};
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// `CallerLeft`.
-pub async fn write_own(caller: &mut Conn, own: &Own, keep: bool) -> Result<(), Relayed> {
+pub async fn write_own(caller: &mut Conn, own: &RouterResponse, keep: bool) -> Result<(), Relayed> {
     use std::io::Write;
     let body = format!("{{\"error\":\"{}\"}}", own.reason);
     let mut out = Vec::with_capacity(256);
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -15,7 +15,7 @@
 use super::entry::EntryView;
 use super::feed::{Confirmation, Feed, Reader};
 use super::hints::Hints;
-use super::placement::Weights;
+use super::placement::PlacementWeights;
 use super::request::Names;
 use super::retry_budget::{RetryAllowance, RetryShares};
 use super::targets::Targets;
@@ -77,7 +77,7 @@
     /// Settings of budgets.
     pub budgets: KeeperSettings,
     /// Weights of placement.
-    pub weights: Weights,
+    pub weights: PlacementWeights,
     /// Requests a second that this router is meant to take.
     pub capacity: u32,
     /// Lifetime of entry answers.
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -11,7 +11,7 @@
 use super::fingerprint::Fingerprint;
 use super::forward::Job;
 use super::quarantine::{Crash, EndedWell};
-use super::refusal::Own;
+use super::refusal::RouterResponse;
 use super::state::{Gateway, Platform};
 use crate::rows::StoreMs;
 
@@ -29,7 +29,7 @@
 
     /// Refuses a request that has ended targets: each further send ends one more, and with it
     /// dozens of others' answers.
-    pub(super) fn check_quarantine(&self) -> Result<(), Own> {
+    pub(super) fn check_quarantine(&self) -> Result<(), RouterResponse> {
         let known = &self.gw.crashes;
         if known.is_empty() {
             return Ok(());
@@ -46,7 +46,7 @@
                     format_args!("id={id} request={request} org={org} ended={ended}"),
                 );
                 let after = Duration::from_millis(until.0 - now.0);
-                Err(Own::refusal("ends_targets", after))
+                Err(RouterResponse::refusal("ends_targets", after))
             }
         }
     }
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -13,7 +13,7 @@
 use super::placement::Candidate;
 use super::request::Part;
 use super::timing::{FirstToken, Reading};
-use super::zone_filter::{Barred, Reach};
+use super::zone_filter::{ExclusionReason, ZoneFilter};
 use crate::ids::Digest;
 
 /// What an entry changed.
@@ -54,7 +54,7 @@
 
 /// A request as placement sees it.
 #[derive(Clone, Debug)]
-pub struct PlaceRequest<'a> {
+pub struct PlacementRequest<'a> {
     /// The service it goes to.
     pub service: &'a str,
     /// This router's zone.
@@ -68,16 +68,16 @@
     /// Targets that it was sent to before.
     pub tried: &'a [CompactString],
     /// Where it may go.
-    pub reach: Reach<'a>,
+    pub zone_filter: ZoneFilter<'a>,
 }
 
 /// What placement finds.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct PlacementCandidates {
     /// The targets that could take a request, with what a choice needs to know of them.
     pub candidates: Vec<(Rc<Backend>, Candidate)>,
     /// Whether targets of the service that are ready may not take it, and why.
-    pub barred: Option<Barred>,
+    pub exclusion: Option<ExclusionReason>,
 }
 
 impl Targets {
@@ -242,22 +242,22 @@
     }
 
     /// The targets that could take a request.
-    pub fn candidates(&self, req: &PlaceRequest<'_>) -> Found {
+    pub fn candidates(&self, req: &PlacementRequest<'_>) -> PlacementCandidates {
         let now = Instant::now();
         let all = self.all.borrow();
         let affinity = affinity_key(req.parts);
-        let mut barred = None;
+        let mut exclusion = None;
         let takes = |b: &&Rc<Backend>| {
             let info = b.info.borrow();
             if info.service != req.service || !b.is_expected_to_stay() {
                 return false;
             }
-            let bars = req.reach.bars(&info.zone);
+            let exclusion_reason = req.zone_filter.exclusion_reason(&info.zone);
             // An emptied zone comes back, a region does not.
-            if bars.is_some() && barred != Some(Barred::Emptied) {
-                barred = bars;
+            if exclusion_reason.is_some() && exclusion != Some(ExclusionReason::Emptied) {
+                exclusion = exclusion_reason;
             }
-            bars.is_none()
+            exclusion_reason.is_none()
         };
         let ranked = |b: &Rc<Backend>| {
             let far = b.info.borrow().zone != req.zone;
@@ -271,11 +271,14 @@
             let c = candidate(&b, req, rank, now);
             (b, c)
         };
-        Found { candidates: found.into_iter().enumerate().map(with_facts).collect(), barred }
+        PlacementCandidates {
+            candidates: found.into_iter().enumerate().map(with_facts).collect(),
+            exclusion,
+        }
     }
 }
 
-fn candidate(b: &Backend, req: &PlaceRequest<'_>, rank: usize, now: Instant) -> Candidate {
+fn candidate(b: &Backend, req: &PlacementRequest<'_>, rank: usize, now: Instant) -> Candidate {
     let info = b.info.borrow();
     let load = b.load.borrow();
     let uncached = req.prompt.saturating_sub(load.cache.cached(req.parts));
@@ -284,16 +287,16 @@
     let pace = load.pace.get();
     let wait_ms = load.read_by.saturating_duration_since(now).as_secs_f64() * 1_000.0;
     Candidate {
-        near: info.zone == req.zone,
+        same_zone: info.zone == req.zone,
         uncached,
         wait_ms,
         base_ms: estimate.map_or(0.0, |e| e.base_ms) * pace,
         prefill_ms: estimate.map_or(0.0, |e| e.prefill_ms(reading)) * pace,
-        running: load.running,
+        in_flight_requests: load.in_flight_requests,
         slots: info.slots,
         rank,
-        doubtful: b.lapsed.get() || load.doubtful_until.is_some_and(|t| t > now),
-        resting: b.standing.rests_for(now),
+        unhealthy: b.lapsed.get() || load.unhealthy_until.is_some_and(|t| t > now),
+        backoff: b.standing.rests_for(now),
         tried: req.tried.contains(&info.id),
         room_in: b.is_cold(now).then(|| {
             b.no_room_until.get().map_or(Duration::ZERO, |t| t.saturating_duration_since(now))
--- a/src/gateway/zone_filter.rs
+++ b/src/gateway/zone_filter.rs
@@ -27,16 +27,16 @@
 
 /// Why a zone's targets do not get a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Barred {
+pub enum ExclusionReason {
     /// The operator has the zone emptied.
     Emptied,
-    /// The zone lies outside the regions that the request may reach.
-    Abroad,
+    /// The zone lies outside the regions that the request may zone_filter.
+    OutsideAllowedRegions,
 }
 
 /// Where one request may go.
 #[derive(Clone, Copy, Debug)]
-pub struct Reach<'a> {
+pub struct ZoneFilter<'a> {
     /// Zones that are emptied, sorted.
     pub emptied: &'a [CompactString],
     /// Regions that the route, and the organisation, are bound to; an empty list binds to none.
@@ -47,23 +47,23 @@
 
 static NO_REGIONS: ZoneRegions = ZoneRegions(Vec::new());
 
-impl Reach<'static> {
+impl ZoneFilter<'static> {
     /// Any zone.
-    pub const ANYWHERE: Reach<'static> =
-        Reach { emptied: &[], homes: [&[], &[]], regions: &NO_REGIONS };
+    pub const ALL_ZONES: ZoneFilter<'static> =
+        ZoneFilter { emptied: &[], homes: [&[], &[]], regions: &NO_REGIONS };
 }
 
-impl Reach<'_> {
+impl ZoneFilter<'_> {
     /// Why a zone's targets may not get the request; `None` if they may. A zone whose region is not
     /// known is none of a bound request's homes.
-    pub fn bars(&self, zone: &str) -> Option<Barred> {
+    pub fn exclusion_reason(&self, zone: &str) -> Option<ExclusionReason> {
         let region = self.regions.region(zone);
         let allows =
             |homes: &[CompactString]| homes.is_empty() || region.is_some_and(|r| homes.contains(r));
         if !self.homes.iter().all(|h| allows(h)) {
-            return Some(Barred::Abroad);
+            return Some(ExclusionReason::OutsideAllowedRegions);
         }
         let emptied = self.emptied.binary_search_by(|z| z.as_str().cmp(zone)).is_ok();
-        emptied.then_some(Barred::Emptied)
+        emptied.then_some(ExclusionReason::Emptied)
     }
 }
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -11,7 +11,7 @@
 use crate::error::{Error, Kind, Result};
 use crate::gateway::catalog::{Engine, Share};
 use crate::gateway::cold::ColdBound;
-use crate::gateway::placement::Weights;
+use crate::gateway::placement::PlacementWeights;
 use crate::gateway::retry_budget::RetryAllowance;
 use crate::gateway::zone_filter::ZoneRegions;
 use crate::gateway::{
@@ -264,7 +264,7 @@
             horizon_ms: 10_000,
             patience: Duration::from_millis(500),
         },
-        weights: Weights::default(),
+        weights: PlacementWeights::default(),
         capacity: 100,
         entry_ttl: Duration::from_millis(100),
         grace: Duration::from_secs(5),
--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -4,7 +4,9 @@
 
 use kingcupwall::gateway::CatalogParts;
 use kingcupwall::gateway::cold::{ADMISSION_LIFE, ColdBound, Meter, Owner, Pace, WarmUp, owner};
-use kingcupwall::gateway::placement::{Candidate, Demand, Placement, Weights, place};
+use kingcupwall::gateway::placement::{
+    Candidate, Placement, PlacementGoal, PlacementWeights, place,
+};
 use kingcupwall::standin::gateway::{LocalPlatform, parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::StandinTarget;
@@ -94,33 +96,36 @@
 #[case::room(&[Some(0), None], 0)]
 #[case::no_room(&[Some(30), None], 1)]
 fn place_cold_with_room(#[case] room_in_ms: &[Option<u64>], #[case] expected: usize) {
-    let sent = place(&candidates(room_in_ms), &DEMAND, &Weights::default());
+    let sent = place(&candidates(room_in_ms), &GOAL, &PlacementWeights::default());
     assert!(matches!(sent, Placement::Send { index, .. } if index == expected), "{sent:?}");
 }
 
 #[test]
 fn place_all_cold_without_room() {
     // Guards against callers that are sent away without the time at which there is room.
-    let placement = place(&candidates(&[Some(70), Some(30)]), &DEMAND, &Weights::default());
+    let placement = place(&candidates(&[Some(70), Some(30)]), &GOAL, &PlacementWeights::default());
     assert_eq!(placement, Placement::Cold { room_in: Duration::from_millis(30) });
 }
 
-const DEMAND: Demand =
-    Demand { aim: Duration::from_millis(300), left: Duration::from_secs(5), engine: true };
+const GOAL: PlacementGoal = PlacementGoal {
+    aim: Duration::from_millis(300),
+    remaining: Duration::from_secs(5),
+    engine: true,
+};
 
 /// One candidate each, the first ones cheaper.
 fn candidates(room_in_ms: &[Option<u64>]) -> Vec<Candidate> {
     let candidate = |(i, ms): (usize, &Option<u64>)| Candidate {
-        near: true,
+        same_zone: true,
         uncached: 100,
         wait_ms: 50.0 * i as f64,
         base_ms: 0.0,
         prefill_ms: 10.0,
-        running: 0,
+        in_flight_requests: 0,
         slots: 8,
         rank: i,
-        doubtful: false,
-        resting: None,
+        unhealthy: false,
+        backoff: None,
         tried: false,
         room_in: ms.map(Duration::from_millis),
     };
--- a/tests/test_gateway_decisions.rs
+++ b/tests/test_gateway_decisions.rs
@@ -5,8 +5,10 @@
 use kingcupwall::gateway::catalog::{Catalog, RouteKind, Share};
 use kingcupwall::gateway::entry::{EntryView, RouterEntry, how_many};
 use kingcupwall::gateway::members::Reads;
-use kingcupwall::gateway::placement::{Candidate, Demand, Placement, Weights, place};
-use kingcupwall::gateway::refusal::resting_refusal;
+use kingcupwall::gateway::placement::{
+    Candidate, Placement, PlacementGoal, PlacementWeights, place,
+};
+use kingcupwall::gateway::refusal::backoff_refusal;
 use kingcupwall::gateway::retry_budget::{RetryAllowance, RetryShares};
 use kingcupwall::gateway::retry_policy::{Ended, Final, Made, Next, next};
 use kingcupwall::gateway::sse::Splitter;
@@ -85,23 +87,26 @@
 
 fn candidate() -> Candidate {
     Candidate {
-        near: true,
+        same_zone: true,
         uncached: 1_000,
         wait_ms: 10.0,
         base_ms: 0.0,
         prefill_ms: 50.0,
-        running: 0,
+        in_flight_requests: 0,
         slots: 8,
         rank: 0,
-        doubtful: false,
-        resting: None,
+        unhealthy: false,
+        backoff: None,
         tried: false,
         room_in: None,
     }
 }
 
-const DEMAND: Demand =
-    Demand { aim: Duration::from_millis(300), left: Duration::from_secs(5), engine: true };
+const GOAL: PlacementGoal = PlacementGoal {
+    aim: Duration::from_millis(300),
+    remaining: Duration::from_secs(5),
+    engine: true,
+};
 
 fn sent(placement: Placement) -> usize {
     let Placement::Send { index, .. } = placement else { panic!("{placement:?}") };
@@ -113,19 +118,20 @@
     // Reading a prompt's shared part again takes time that others wait for.
     let cached = Candidate { wait_ms: 40.0, prefill_ms: 20.0, ..candidate() };
     let idle = Candidate { prefill_ms: 120.0, ..candidate() };
-    assert_eq!(sent(place(&[idle, cached], &DEMAND, &Weights::default())), 1);
+    assert_eq!(sent(place(&[idle, cached], &GOAL, &PlacementWeights::default())), 1);
     // But a long queue outweighs it.
     let queued = Candidate { wait_ms: 400.0, ..cached };
-    assert_eq!(sent(place(&[idle, queued], &DEMAND, &Weights::default())), 0);
+    assert_eq!(sent(place(&[idle, queued], &GOAL, &PlacementWeights::default())), 0);
 }
 
 #[test]
-fn place_doubtful_last() {
-    let doubtful = Candidate { doubtful: true, ..candidate() };
+fn place_unhealthy_last() {
+    let unhealthy = Candidate { unhealthy: true, ..candidate() };
     let slow = Candidate { wait_ms: 200.0, ..candidate() };
-    assert_eq!(sent(place(&[doubtful, slow], &DEMAND, &Weights::default())), 1);
-    assert_eq!(sent(place(&[doubtful], &DEMAND, &Weights::default())), 0);
-    let none = place(&[Candidate { tried: true, ..candidate() }], &DEMAND, &Weights::default());
+    assert_eq!(sent(place(&[unhealthy, slow], &GOAL, &PlacementWeights::default())), 1);
+    assert_eq!(sent(place(&[unhealthy], &GOAL, &PlacementWeights::default())), 0);
+    let none =
+        place(&[Candidate { tried: true, ..candidate() }], &GOAL, &PlacementWeights::default());
     assert_eq!(none, Placement::NoTarget);
 }
 
@@ -133,7 +139,7 @@
 fn place_too_late() {
     // Steady load over capacity: every request is admitted, waits behind all others, and is late.
     let busy = Candidate { wait_ms: 900.0, ..candidate() };
-    let placement = place(&[busy, busy], &DEMAND, &Weights::default());
+    let placement = place(&[busy, busy], &GOAL, &PlacementWeights::default());
     let Placement::Busy { room_in_ms } = placement else { panic!("{placement:?}") };
     assert!((600.0..900.0).contains(&room_in_ms), "{room_in_ms}");
 }
@@ -143,31 +149,31 @@
 #[case::all_rest(&[Some(3_000), Some(120)], &[], Some(120))]
 #[case::one_that_was_tried(&[Some(3_000)], &[0], Some(3_000))]
 #[case::none_rests(&[None], &[0], None)]
-fn place_resting(
-    #[case] resting_ms: &[Option<u64>],
+fn place_all_backing_off(
+    #[case] backoff_ms: &[Option<u64>],
     #[case] tried: &[usize],
-    #[case] wants_in_ms: Option<u64>,
+    #[case] retry_after_ms: Option<u64>,
 ) {
     let one = |(i, ms): (usize, &Option<u64>)| Candidate {
-        resting: ms.map(Duration::from_millis),
+        backoff: ms.map(Duration::from_millis),
         tried: tried.contains(&i),
         ..candidate()
     };
-    let candidates: Vec<Candidate> = resting_ms.iter().enumerate().map(one).collect();
-    let expected = match wants_in_ms {
-        Some(ms) => Placement::Resting { wants_in: Duration::from_millis(ms) },
+    let candidates: Vec<Candidate> = backoff_ms.iter().enumerate().map(one).collect();
+    let expected = match retry_after_ms {
+        Some(ms) => Placement::BackingOff { retry_after: Duration::from_millis(ms) },
         None => Placement::NoTarget,
     };
-    assert_eq!(place(&candidates, &DEMAND, &Weights::default()), expected);
+    assert_eq!(place(&candidates, &GOAL, &PlacementWeights::default()), expected);
 }
 
 /// Guards against callers that come back before a target wants them, or all at once.
 #[rstest]
 #[case::known(3_000, 3_000, 3_400)]
 #[case::at_once(1, 150, 300)]
-fn resting_refusal_spread(#[case] wants_in_ms: u64, #[case] from_ms: u128, #[case] to_ms: u128) {
+fn backoff_refusal_jitter(#[case] retry_after_ms: u64, #[case] from_ms: u128, #[case] to_ms: u128) {
     let after = || {
-        let own = resting_refusal(Duration::from_millis(wants_in_ms));
+        let own = backoff_refusal(Duration::from_millis(retry_after_ms));
         own.retry_after.unwrap().as_millis()
     };
     fastrand::seed(1);
@@ -178,10 +184,10 @@
 }
 
 #[test]
-fn place_resting_never_chosen() {
-    let resting = Candidate { resting: Some(Duration::from_millis(1)), ..candidate() };
-    let doubtful = Candidate { doubtful: true, wait_ms: 200.0, ..candidate() };
-    assert_eq!(sent(place(&[resting, doubtful], &DEMAND, &Weights::default())), 1);
+fn place_backing_off_never_chosen() {
+    let backoff = Candidate { backoff: Some(Duration::from_millis(1)), ..candidate() };
+    let unhealthy = Candidate { unhealthy: true, wait_ms: 200.0, ..candidate() };
+    assert_eq!(sent(place(&[backoff, unhealthy], &GOAL, &PlacementWeights::default())), 1);
 }
 
 #[test]
--- a/tests/test_gateway_orders.rs
+++ b/tests/test_gateway_orders.rs
@@ -5,7 +5,7 @@
 
 use kingcupwall::gateway::datagram::Topic;
 use kingcupwall::gateway::peers::may_hear;
-use kingcupwall::gateway::zone_filter::{Barred, Reach, ZoneRegions};
+use kingcupwall::gateway::zone_filter::{ExclusionReason, ZoneFilter, ZoneRegions};
 use kingcupwall::gateway::zone_orders::{ZoneOrder, ZoneOrders};
 use kingcupwall::rows::{Fault, Ver};
 use kingcupwall::standin::gateway::{LocalPlatform, parts};
@@ -53,21 +53,21 @@
 }
 
 #[rstest]
-#[case::nowhere_barred(&[], &[], &[], "a", None)]
-#[case::emptied(&["a"], &[], &[], "a", Some(Barred::Emptied))]
+#[case::no_restriction(&[], &[], &[], "a", None)]
+#[case::emptied(&["a"], &[], &[], "a", Some(ExclusionReason::Emptied))]
 #[case::other_emptied(&["b"], &[], &[], "a", None)]
 #[case::home(&[], &["south"], &[], "a", None)]
-#[case::abroad(&[], &["north"], &[], "a", Some(Barred::Abroad))]
-#[case::both_bind(&[], &["south", "north"], &["north"], "a", Some(Barred::Abroad))]
-#[case::abroad_and_emptied(&["a"], &["north"], &[], "a", Some(Barred::Abroad))]
-#[case::unknown_zone(&[], &["south"], &[], "z", Some(Barred::Abroad))]
+#[case::abroad(&[], &["north"], &[], "a", Some(ExclusionReason::OutsideAllowedRegions))]
+#[case::both_bind(&[], &["south", "north"], &["north"], "a", Some(ExclusionReason::OutsideAllowedRegions))]
+#[case::abroad_and_emptied(&["a"], &["north"], &[], "a", Some(ExclusionReason::OutsideAllowedRegions))]
+#[case::unknown_zone(&[], &["south"], &[], "z", Some(ExclusionReason::OutsideAllowedRegions))]
 #[case::unknown_zone_unbound(&[], &[], &[], "z", None)]
-fn reach_bars(
+fn zone_filter_exclusion_reason(
     #[case] emptied: &[&str],
     #[case] route: &[&str],
     #[case] org: &[&str],
     #[case] zone: &str,
-    #[case] expected: Option<Barred>,
+    #[case] expected: Option<ExclusionReason>,
 ) {
     let own = |names: &[&str]| names.iter().map(|n| (*n).into()).collect::<Vec<_>>();
     let regions = ZoneRegions::new(vec![
@@ -76,8 +76,8 @@
         ("c".into(), "north".into()),
     ]);
     let (emptied, route, org) = (own(emptied), own(route), own(org));
-    let reach = Reach { emptied: &emptied, homes: [&route, &org], regions: &regions };
-    assert_eq!(reach.bars(zone), expected);
+    let zone_filter = ZoneFilter { emptied: &emptied, homes: [&route, &org], regions: &regions };
+    assert_eq!(zone_filter.exclusion_reason(zone), expected);
 }
 
 /// A target in each of two zones and one router or two.
--- a/tests/test_gateway_targets.rs
+++ b/tests/test_gateway_targets.rs
@@ -7,9 +7,9 @@
 use kingcupwall::gateway::backend::{Backend, Flight, Planned, StartedMs, TargetInfo, TargetState};
 use kingcupwall::gateway::notice::{Notice, RetryAfter, Standing};
 use kingcupwall::gateway::request::Part;
-use kingcupwall::gateway::targets::{Change, PlaceRequest, Targets};
+use kingcupwall::gateway::targets::{Change, PlacementRequest, Targets};
 use kingcupwall::gateway::timing::Reading;
-use kingcupwall::gateway::zone_filter::Reach;
+use kingcupwall::gateway::zone_filter::ZoneFilter;
 use rstest::rstest;
 use tokio::time::Instant;
 
@@ -28,15 +28,15 @@
     }
 }
 
-fn request() -> PlaceRequest<'static> {
-    PlaceRequest {
+fn request() -> PlacementRequest<'static> {
+    PlacementRequest {
         service: "model",
         zone: "a",
         parts: &PARTS,
         prompt: 6_000,
         engine: true,
         tried: &[],
-        reach: Reach::ANYWHERE,
+        zone_filter: ZoneFilter::ALL_ZONES,
     }
 }
 
@@ -112,16 +112,16 @@
     before.failed();
     before.failed();
     let seen = targets.candidates(&request()).candidates.remove(0).1;
-    assert_eq!((seen.uncached, seen.running, seen.doubtful), (0, 1, true));
+    assert_eq!((seen.uncached, seen.in_flight_requests, seen.unhealthy), (0, 1, true));
     assert!(seen.wait_ms > 90.0);
 
     targets.set(entry(Some(6), READY));
     let seen = targets.candidates(&request()).candidates.remove(0).1;
-    assert_eq!((seen.uncached, seen.running, seen.doubtful), (6_000, 0, false));
+    assert_eq!((seen.uncached, seen.in_flight_requests, seen.unhealthy), (6_000, 0, false));
     assert!(seen.wait_ms == 0.0);
     // What ran at the earlier start ends there and does not count here.
     drop(flight);
-    assert_eq!(targets.candidates(&request()).candidates.remove(0).1.running, 0);
+    assert_eq!(targets.candidates(&request()).candidates.remove(0).1.in_flight_requests, 0);
     assert!(!Rc::ptr_eq(&before, &only(&targets)));
 }
 
@@ -170,7 +170,7 @@
 const LEAVING: Notice = Notice { leaving: true, retry_after: None };
 
 /// Guards against an entry that undoes what its target said, and a word of an earlier start that
-/// bars a later one.
+/// exclusion_reason a later one.
 #[rstest]
 #[case::renewed(Some(5), Some(5), false, 0)]
 #[case::gone_and_back(Some(5), Some(5), true, 0)]
@@ -254,7 +254,7 @@
     targets.remove("t1");
     targets.set(entry(next, READY));
     let takes_some = |t: &Targets| {
-        t.candidates(&request()).candidates.iter().filter(|(_, c)| c.resting.is_none()).count()
+        t.candidates(&request()).candidates.iter().filter(|(_, c)| c.backoff.is_none()).count()
     };
     assert_eq!((takes_some(&targets), targets.count_resting()), (takes, 1 - takes));
     tokio::time::advance(Duration::from_secs(3)).await;
