--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -9,14 +9,14 @@
 
 /// Room that is left at the routers named, against the rate of the last moments: callers come in
 /// clumps, and an answer is kept for a while.
-const ROOM: f64 = 1.3;
+const HEADROOM_FACTOR: f64 = 1.3;
 /// Routers with at least this part of the largest one's capacity count as large, too.
-const LARGE: f64 = 0.5;
+const LARGE_MIN_FRACTION: f64 = 0.5;
 /// How far beyond their stated capacity, which is a fifth of what they bear, large routers are used
 /// before small ones are named.
-const OVER_CAPACITY: f64 = 2.0;
+const MAX_OVER_CAPACITY_FACTOR: f64 = 2.0;
 /// Addresses in one answer, at most.
-const MAX_ADDRESSES: usize = 64;
+const MAX_ANSWER_ADDRESSES: usize = 64;
 
 /// A router as others see it.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -46,25 +46,25 @@
 
 impl EntryView {
     /// The routers that callers of `zone` should use: those of the zone, which costs no traffic
-    /// between zones, and of them only as many as carry the zone's requests, see [`how_many`]. Each
+    /// between zones, and of them only as many as carry the zone's requests, see [`routers_needed`]. Each
     /// router that takes an organisation's requests holds a part of its budget, so fewer
     /// routers strand less of it, and leave less in doubt when they die. If the zone has none, the
     /// routers of its region; if that has none, those of the regions that the host is bound to;
     /// all routers at last.
     pub fn answer(&self, host: &str, zone: &str, regions: &ZoneRegions) -> Vec<SocketAddr> {
-        let of_zone = || self.routers.iter().filter(|r| r.zone == zone);
-        let rate: f64 = of_zone().map(|r| f64::from(r.rate)).sum();
-        let mut staying: Vec<_> = of_zone().filter(|r| !r.leaving).collect();
+        let in_zone = || self.routers.iter().filter(|r| r.zone == zone);
+        let rate: f64 = in_zone().map(|r| f64::from(r.rate)).sum();
+        let mut staying: Vec<_> = in_zone().filter(|r| !r.leaving).collect();
         // All routers answer alike: those of one size in the order of their addresses.
         staying.sort_by_key(|r| (Reverse(r.capacity), r.front));
         let capacities: Vec<f64> = staying.iter().map(|r| f64::from(r.capacity)).collect();
-        let n = how_many(&capacities, rate);
+        let n = routers_needed(&capacities, rate);
         let mut near: Vec<SocketAddr> = staying[..n].iter().map(|r| r.front).collect();
         let own = regions.region(zone).map(std::slice::from_ref).unwrap_or_default();
         for within in [own, self.homes(host)] {
             if near.is_empty() {
-                let lies = |z: &str| regions.region(z).is_some_and(|r| within.contains(r));
-                let staying = self.routers.iter().filter(|r| !r.leaving && lies(&r.zone));
+                let in_regions = |z: &str| regions.region(z).is_some_and(|r| within.contains(r));
+                let staying = self.routers.iter().filter(|r| !r.leaving && in_regions(&r.zone));
                 near.extend(staying.map(|r| r.front));
             }
         }
@@ -72,7 +72,7 @@
             let staying = self.routers.iter().filter(|r| !r.leaving);
             near.extend(staying.map(|r| r.front));
         }
-        near.truncate(MAX_ADDRESSES);
+        near.truncate(MAX_ANSWER_ADDRESSES);
         near
     }
 
@@ -90,20 +90,20 @@
 /// usual, it would get several times what its link carries, while the large ones idle. Small
 /// routers are named only for rates that the large ones cannot carry, and then so many that an even
 /// share is little enough for each.
-pub fn how_many(capacities: &[f64], rate: f64) -> usize {
+pub fn routers_needed(capacities: &[f64], rate: f64) -> usize {
     let Some(largest) = capacities.first() else { return 0 };
-    let use_of = |n: usize| rate / n as f64 / capacities[n - 1].max(1.0);
-    let large = capacities.iter().take_while(|c| **c >= largest * LARGE).count();
-    let carry = |n: &usize| use_of(*n) <= 1.0 / ROOM;
-    if let Some(n) = (1..=large).find(carry) {
+    let utilization = |n: usize| rate / n as f64 / capacities[n - 1].max(1.0);
+    let large = capacities.iter().take_while(|c| **c >= largest * LARGE_MIN_FRACTION).count();
+    let has_headroom = |n: &usize| utilization(*n) <= 1.0 / HEADROOM_FACTOR;
+    if let Some(n) = (1..=large).find(has_headroom) {
         return n;
     }
-    if use_of(large) <= OVER_CAPACITY {
+    if utilization(large) <= MAX_OVER_CAPACITY_FACTOR {
         return large;
     }
     let all = 1..=capacities.len();
     all.clone()
-        .find(carry)
-        .or_else(|| all.min_by(|a, b| use_of(*a).total_cmp(&use_of(*b))))
+        .find(has_headroom)
+        .or_else(|| all.min_by(|a, b| utilization(*a).total_cmp(&utilization(*b))))
         .unwrap_or(large)
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -19,7 +19,7 @@
 };
 use super::reply::Reply;
 use super::request::{Facts, Names, host, path};
-use super::retry_policy::{self, Ended, Final, Made, Next};
+use super::retry_policy::{self, FinalAnswer, NextStep, SendCounts, SendOutcome};
 use super::state::{Gateway, Platform};
 use super::stats::sent;
 use super::sync::confirm_config;
@@ -74,7 +74,7 @@
     /// Its part of the budget.
     pub hold: Option<Hold<P>>,
     /// Sends so far.
-    pub made: Made,
+    pub made: SendCounts,
     /// Whether some target may have run it.
     pub may_have_run: Cell<bool>,
     /// Targets it was sent to.
@@ -172,7 +172,7 @@
             service,
             org,
             hold: None,
-            made: Made { runs: 0, sends: 0 },
+            made: SendCounts { runs: 0, sends: 0 },
             may_have_run: Cell::new(false),
             tried: Vec::new(),
             at: None,
@@ -310,11 +310,11 @@
                 Ok(reply) if reply.head.status < 500 => return Ok(reply),
                 Ok(reply) => {
                     own_failure = Some(reply);
-                    Ended::Failed
+                    SendOutcome::Failed
                 }
                 Err(ended) => ended,
             };
-            if ended == Ended::HeldOff {
+            if ended == SendOutcome::HeldOff {
                 // Nothing has happened to it: it may go there later.
                 self.tried.pop();
                 continue;
@@ -323,24 +323,24 @@
             if ended.is_broken() {
                 await_evidence(self.broke_off(&backend)).await;
             }
-            let final_answer = match retry_policy::next(
+            let final_answer = match retry_policy::next_step(
                 self.route.kind,
                 ended,
                 self.made,
                 self.route.max_attempts,
             ) {
-                Next::SendAgain => continue,
-                Next::Retry(or_else) => {
+                NextStep::SendAgain => continue,
+                NextStep::Retry(or_else) => {
                     if self.gw.retries.borrow_mut().take(&self.service) {
                         continue;
                     }
                     or_else
                 }
-                Next::Answer(answer) => answer,
+                NextStep::Answer(answer) => answer,
             };
             return match (final_answer, own_failure) {
-                (Final::TargetsOwn, Some(reply)) => Ok(reply),
-                (Final::NotRun, _) => Err(self.turned_away()),
+                (FinalAnswer::TargetAnswer, Some(reply)) => Ok(reply),
+                (FinalAnswer::NotRun, _) => Err(self.turned_away()),
                 (_, Some(reply)) => Ok(reply),
                 _ => Err(RouterResponse::new(502, "target_failed")),
             };
@@ -437,13 +437,15 @@
         }
     }
 
-    fn note_ended(&mut self, backend: &Backend, ended: Ended, runs_before: u32) {
+    fn note_ended(&mut self, backend: &Backend, ended: SendOutcome, runs_before: u32) {
         match ended {
-            Ended::NotSent => backend.unreachable(),
-            Ended::NotRun => backend.turned_away(),
-            Ended::OtherTarget => backend.unreachable(),
-            Ended::NoAnswer | Ended::Silent | Ended::Truncated => backend.failed(),
-            Ended::Failed | Ended::HeldOff => (),
+            SendOutcome::NotSent => backend.unreachable(),
+            SendOutcome::NotRun => backend.turned_away(),
+            SendOutcome::OtherTarget => backend.unreachable(),
+            SendOutcome::NoAnswer | SendOutcome::Silent | SendOutcome::Truncated => {
+                backend.failed()
+            }
+            SendOutcome::Failed | SendOutcome::HeldOff => (),
         }
         sent(&self.gw.stats, ended);
         let (id, target) = (&self.facts.id, backend.id());
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -4,7 +4,7 @@
 use compact_str::CompactString;
 
 use super::backend::Flight;
-use super::retry_policy::Ended;
+use super::retry_policy::SendOutcome;
 use super::sse::{Events, Splitter};
 use crate::http1::{Conn, Decoder, ResponseHead};
 
@@ -46,8 +46,8 @@
     ///
     /// # Errors
     /// `Truncated` if it holds no events.
-    pub fn push(&mut self, piece: &[u8]) -> Result<Option<Bytes>, Ended> {
-        let Some(events) = self.splitter.push(piece).map_err(|_| Ended::Truncated)? else {
+    pub fn push(&mut self, piece: &[u8]) -> Result<Option<Bytes>, SendOutcome> {
+        let Some(events) = self.splitter.push(piece).map_err(|_| SendOutcome::Truncated)? else {
             return Ok(None);
         };
         let Events { bytes, count, last_id } = events;
--- a/src/gateway/retry_budget.rs
+++ b/src/gateway/retry_budget.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 
 /// Share of the fleet's allowance that is used: room for windows that begin between requests.
-const USED_PERCENT: f64 = 85.0;
+const USABLE_PERCENT: f64 = 85.0;
 
 /// The operator's allowance.
 #[derive(Clone, Copy, Debug)]
@@ -22,37 +22,37 @@
 #[derive(Debug)]
 struct Bucket {
     service: CompactString,
-    saved: f64,
+    balance: f64,
 }
 
 /// This router's shares, one a service.
 #[derive(Debug)]
-pub struct RetryShares {
+pub struct ServiceRetryBudgets {
     allowance: RetryAllowance,
-    routers: f64,
+    router_count: f64,
     buckets: Vec<Bucket>,
 }
 
-impl RetryShares {
+impl ServiceRetryBudgets {
     /// Shares of `allowance` for a fleet of one.
-    pub fn new(allowance: RetryAllowance) -> RetryShares {
-        RetryShares { allowance, routers: 1.0, buckets: Vec::new() }
+    pub fn new(allowance: RetryAllowance) -> ServiceRetryBudgets {
+        ServiceRetryBudgets { allowance, router_count: 1.0, buckets: Vec::new() }
     }
 
     /// Sets by how many routers the slack is shared.
     pub fn set_routers(&mut self, n: u32) {
-        self.routers = f64::from(n.max(1));
+        self.router_count = f64::from(n.max(1));
     }
 
-    fn cap(&self) -> f64 {
-        self.allowance.slack * USED_PERCENT / 100.0 / self.routers
+    fn max_balance(&self) -> f64 {
+        self.allowance.slack * USABLE_PERCENT / 100.0 / self.router_count
     }
 
     fn bucket(&mut self, service: &str) -> &mut Bucket {
         match self.buckets.binary_search_by(|b| b.service.as_str().cmp(service)) {
             Ok(i) => &mut self.buckets[i],
             Err(i) => {
-                self.buckets.insert(i, Bucket { service: service.into(), saved: 0.0 });
+                self.buckets.insert(i, Bucket { service: service.into(), balance: 0.0 });
                 &mut self.buckets[i]
             }
         }
@@ -60,17 +60,18 @@
 
     /// A request for the service came in.
     pub fn earn(&mut self, service: &str) {
-        let (ratio, cap) = (self.allowance.ratio * USED_PERCENT / 100.0, self.cap());
+        let (ratio, max_balance) =
+            (self.allowance.ratio * USABLE_PERCENT / 100.0, self.max_balance());
         let bucket = self.bucket(service);
-        bucket.saved = (bucket.saved + ratio).min(cap.max(1.0));
+        bucket.balance = (bucket.balance + ratio).min(max_balance.max(1.0));
     }
 
     /// Takes one repeat, if there is one.
     pub fn take(&mut self, service: &str) -> bool {
         let bucket = self.bucket(service);
-        let enough = bucket.saved >= 1.0;
+        let enough = bucket.balance >= 1.0;
         if enough {
-            bucket.saved -= 1.0;
+            bucket.balance -= 1.0;
         }
         enough
     }
--- a/src/gateway/retry_policy.rs
+++ b/src/gateway/retry_policy.rs
@@ -2,9 +2,9 @@
 
 use super::catalog::RouteKind;
 
-/// How a send to a target ended, as far as is known.
+/// How a send to a target outcome, as far as is known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ended {
+pub enum SendOutcome {
     /// No byte of the request left.
     NotSent,
     /// No byte of the request left: the target is cold and has no room for it, or a moment ago its
@@ -24,43 +24,49 @@
     Truncated,
 }
 
-impl Ended {
-    /// Whether the connection to the target ended before its answer did.
+impl SendOutcome {
+    /// Whether the connection to the target outcome before its answer did.
     pub fn is_broken(self) -> bool {
-        matches!(self, Ended::NoAnswer | Ended::Truncated)
+        matches!(self, SendOutcome::NoAnswer | SendOutcome::Truncated)
     }
 
     /// Whether the target may have run the request.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Ended::NoAnswer | Ended::Silent | Ended::Failed | Ended::Truncated)
+        matches!(
+            self,
+            SendOutcome::NoAnswer
+                | SendOutcome::Silent
+                | SendOutcome::Failed
+                | SendOutcome::Truncated
+        )
     }
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum NextStep {
     /// Send it to another target, without drawing on the retry budget.
     SendAgain,
     /// Send it to another target if the retry budget allows; else as the second field says.
-    Retry(Final),
+    Retry(FinalAnswer),
     /// Give the final answer.
-    Answer(Final),
+    Answer(FinalAnswer),
 }
 
-/// Final answers after failed sends.
+/// FinalAnswer answers after failed sends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// The request did not run and never will: 503 with a time to come back.
     NotRun,
     /// Nobody knows whether it ran: 502.
     Unknown,
     /// The target's own failure, as it was sent.
-    TargetsOwn,
+    TargetAnswer,
 }
 
 /// Sends that a request may make.
 #[derive(Clone, Copy, Debug)]
-pub struct Made {
+pub struct SendCounts {
     /// Sends after which the request may have run.
     pub runs: u32,
     /// All sends that reached a target.
@@ -68,31 +74,42 @@
 }
 
 /// Sends of one request in all; every further one burdens a service that is already short.
-const MAX_SENDS: u32 = 4;
+const MAX_SENDS_PER_REQUEST: u32 = 4;
 
 /// The table.
-pub fn next(kind: RouteKind, ended: Ended, made: Made, max_attempts: u32) -> Next {
-    let runs_left = made.runs < max_attempts.max(1);
-    let sends_left = made.sends < MAX_SENDS;
-    let ran_before = made.runs > 0;
-    match ended {
-        Ended::NotSent | Ended::HeldOff if sends_left => Next::SendAgain,
-        Ended::NotSent | Ended::HeldOff => Next::Answer(refusal(ran_before)),
-        Ended::NotRun | Ended::OtherTarget if sends_left => Next::Retry(refusal(ran_before)),
-        Ended::NotRun | Ended::OtherTarget => Next::Answer(refusal(ran_before)),
-        Ended::Failed if kind.repeats() && runs_left && sends_left => {
-            Next::Retry(Final::TargetsOwn)
+pub fn next_step(
+    kind: RouteKind,
+    outcome: SendOutcome,
+    counts: SendCounts,
+    max_attempts: u32,
+) -> NextStep {
+    let runs_left = counts.runs < max_attempts.max(1);
+    let sends_left = counts.sends < MAX_SENDS_PER_REQUEST;
+    let ran_before = counts.runs > 0;
+    match outcome {
+        SendOutcome::NotSent | SendOutcome::HeldOff if sends_left => NextStep::SendAgain,
+        SendOutcome::NotSent | SendOutcome::HeldOff => NextStep::Answer(not_run_answer(ran_before)),
+        SendOutcome::NotRun | SendOutcome::OtherTarget if sends_left => {
+            NextStep::Retry(not_run_answer(ran_before))
         }
-        Ended::Failed => Next::Answer(Final::TargetsOwn),
-        Ended::NoAnswer | Ended::Silent | Ended::Truncated
+        SendOutcome::NotRun | SendOutcome::OtherTarget => {
+            NextStep::Answer(not_run_answer(ran_before))
+        }
+        SendOutcome::Failed if kind.repeats() && runs_left && sends_left => {
+            NextStep::Retry(FinalAnswer::TargetAnswer)
+        }
+        SendOutcome::Failed => NextStep::Answer(FinalAnswer::TargetAnswer),
+        SendOutcome::NoAnswer | SendOutcome::Silent | SendOutcome::Truncated
             if kind.repeats() && runs_left && sends_left =>
         {
-            Next::Retry(Final::Unknown)
+            NextStep::Retry(FinalAnswer::Unknown)
+        }
+        SendOutcome::NoAnswer | SendOutcome::Silent | SendOutcome::Truncated => {
+            NextStep::Answer(FinalAnswer::Unknown)
         }
-        Ended::NoAnswer | Ended::Silent | Ended::Truncated => Next::Answer(Final::Unknown),
     }
 }
 
-fn refusal(ran_before: bool) -> Final {
-    if ran_before { Final::Unknown } else { Final::NotRun }
+fn not_run_answer(ran_before: bool) -> FinalAnswer {
+    if ran_before { FinalAnswer::Unknown } else { FinalAnswer::NotRun }
 }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -13,7 +13,7 @@
 use super::pool::{Link, dial};
 use super::reply::{Reply, Rest, StreamState};
 use super::request::{Additions, Names, encode};
-use super::retry_policy::Ended;
+use super::retry_policy::SendOutcome;
 use super::state::Platform;
 use super::stats::noticed;
 use crate::http1::{Conn, Decoder, HeadError, ResponseHead, header};
@@ -37,7 +37,7 @@
         backend: &Rc<Backend>,
         plan: &Planned,
         resume_after: Option<&str>,
-    ) -> Result<Reply, Ended> {
+    ) -> Result<Reply, SendOutcome> {
         self.tried.push(backend.id());
         self.at = Some(backend.clone());
         self.sent = Instant::now();
@@ -52,7 +52,7 @@
                 }
                 Err(e) => {
                     backend.life.unreached(&e);
-                    return Err(Ended::NotSent);
+                    return Err(SendOutcome::NotSent);
                 }
             },
         };
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// `HeldOff`.
-    async fn admit_to(&self, backend: &Backend) -> Result<(), Ended> {
+    async fn admit_to(&self, backend: &Backend) -> Result<(), SendOutcome> {
         let (service, zone, id) = {
             let info = backend.info.borrow();
             (info.service.clone(), info.zone.clone(), info.id.clone())
@@ -124,13 +124,13 @@
                 let pace = Pace::of(warm_up, self.gw.settings.cold);
                 if let Err(room_in) = self.gw.cold.admit(&id, &zone, pace).await {
                     backend.has_no_room(room_in);
-                    return Err(Ended::HeldOff);
+                    return Err(SendOutcome::HeldOff);
                 }
             }
         }
         let holds_off = backend.standing.holds_off(Instant::now());
         if self.gw.zones.is_emptied(&zone) || !backend.is_expected_to_stay() || holds_off {
-            return Err(Ended::HeldOff);
+            return Err(SendOutcome::HeldOff);
         }
         Ok(())
     }
@@ -141,13 +141,13 @@
         link: &mut Link,
         bytes: &[u8],
         plan: &Planned,
-    ) -> Result<ResponseHead, Ended> {
+    ) -> Result<ResponseHead, SendOutcome> {
         let exchange = async {
-            link.conn.write_until_answered(bytes).await.map_err(|_| Ended::NoAnswer)?;
+            link.conn.write_until_answered(bytes).await.map_err(|_| SendOutcome::NoAnswer)?;
             self.read_own_head(link).await
         };
         match self.patience(plan) {
-            Some(patience) => timeout(patience, exchange).await.map_err(|_| Ended::Silent)?,
+            Some(patience) => timeout(patience, exchange).await.map_err(|_| SendOutcome::Silent)?,
             None => exchange.await,
         }
     }
@@ -163,7 +163,7 @@
     /// Reads response heads up to the one that echoes this request's id. Others belong to
     /// requests before it on the same connection, and are skipped with their bodies: taken for
     /// ours, they would hand one caller's answer to another.
-    async fn read_own_head(&self, link: &mut Link) -> Result<ResponseHead, Ended> {
+    async fn read_own_head(&self, link: &mut Link) -> Result<ResponseHead, SendOutcome> {
         let names = self.names();
         for _ in 0..=MAX_STRAY {
             let head = link.conn.read_response(MAX_RESPONSE_HEAD).await.map_err(|e| {
@@ -179,7 +179,7 @@
                     "answer",
                     format_args!("id={id} outcome=unreadable cause={cause} kept={used}"),
                 );
-                Ended::NoAnswer
+                SendOutcome::NoAnswer
             })?;
             self.hear(&head);
             let echoed = header(&head.headers, &names.request_id);
@@ -190,7 +190,7 @@
                     link.skip(head).await;
                     return Err(ended);
                 }
-                return if is_ours { Ok(head) } else { Err(Ended::NoAnswer) };
+                return if is_ours { Ok(head) } else { Err(SendOutcome::NoAnswer) };
             }
             let id = &self.facts.id;
             self.gw.log.note(
@@ -199,11 +199,17 @@
             );
             let mut body = head.body;
             if body.ends_with_connection() {
-                return Err(Ended::NoAnswer);
+                return Err(SendOutcome::NoAnswer);
             }
-            while link.conn.read_piece(&mut body).await.map_err(|_| Ended::NoAnswer)?.is_some() {}
+            while link
+                .conn
+                .read_piece(&mut body)
+                .await
+                .map_err(|_| SendOutcome::NoAnswer)?
+                .is_some()
+            {}
         }
-        Err(Ended::NoAnswer)
+        Err(SendOutcome::NoAnswer)
     }
 
     /// Takes in what an answer says of the target that gave it, whichever request it belongs to.
@@ -232,7 +238,7 @@
         conn: Conn,
         mut head: ResponseHead,
         mut flight: Flight,
-    ) -> Result<Reply, Ended> {
+    ) -> Result<Reply, SendOutcome> {
         if self.head.method == "HEAD" {
             head.body = Decoder::length(0);
         }
@@ -256,10 +262,15 @@
 
     /// Waits for a stream's first whole event: until then the caller has nothing, and another
     /// target can take over if this one breaks off.
-    async fn first_events(&self, rest: &mut Rest, flight: &mut Flight) -> Result<Bytes, Ended> {
+    async fn first_events(
+        &self,
+        rest: &mut Rest,
+        flight: &mut Flight,
+    ) -> Result<Bytes, SendOutcome> {
         let stream = rest.stream.as_mut().expect("a stream has its state");
         loop {
-            let piece = rest.conn.read_piece(&mut rest.body).await.map_err(|_| Ended::Truncated)?;
+            let piece =
+                rest.conn.read_piece(&mut rest.body).await.map_err(|_| SendOutcome::Truncated)?;
             let Some(piece) = piece else { return Ok(Bytes::new()) };
             if let Some(events) = stream.push(&piece)? {
                 let took = flight.first_event();
@@ -287,10 +298,10 @@
 }
 
 /// Reads a plain answer, whole if it is not too large.
-async fn whole_or_start(rest: &mut Rest) -> Result<Bytes, Ended> {
+async fn whole_or_start(rest: &mut Rest) -> Result<Bytes, SendOutcome> {
     let mut start = BytesMut::new();
     while start.len() < WHOLE_ANSWER {
-        match rest.conn.read_piece(&mut rest.body).await.map_err(|_| Ended::Truncated)? {
+        match rest.conn.read_piece(&mut rest.body).await.map_err(|_| SendOutcome::Truncated)? {
             Some(piece) => start.extend_from_slice(&piece),
             None => {
                 // A body that ended with its connection is whole now.
@@ -303,9 +314,9 @@
 }
 
 /// Whether a response proves that its target did not run the request.
-fn not_run(names: &Names, head: &ResponseHead) -> Option<Ended> {
+fn not_run(names: &Names, head: &ResponseHead) -> Option<SendOutcome> {
     if head.status == 421 {
-        return Some(Ended::OtherTarget);
+        return Some(SendOutcome::OtherTarget);
     }
-    header(&head.headers, &names.not_run).map(|_| Ended::NotRun)
+    header(&head.headers, &names.not_run).map(|_| SendOutcome::NotRun)
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -17,7 +17,7 @@
 use super::hints::Hints;
 use super::placement::PlacementWeights;
 use super::request::Names;
-use super::retry_budget::{RetryAllowance, RetryShares};
+use super::retry_budget::{RetryAllowance, ServiceRetryBudgets};
 use super::targets::Targets;
 use super::warmup::Admissions;
 use super::zone_filter::ZoneRegions;
@@ -128,7 +128,7 @@
     /// Budgets.
     pub keeper: Rc<Keeper<P>>,
     /// Shares of the retry budget.
-    pub retries: RefCell<RetryShares>,
+    pub retries: RefCell<ServiceRetryBudgets>,
     /// Reads tables that are followed.
     pub reader: Reader<P>,
     /// How far the configuration was read.
@@ -167,7 +167,7 @@
             cold: Admissions::new(settings.instance.clone(), log.clone(), stats.clone()),
             reader: Reader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
             keeper,
-            retries: RefCell::new(RetryShares::new(settings.retries)),
+            retries: RefCell::new(ServiceRetryBudgets::new(settings.retries)),
             platform,
             settings,
             log,
--- a/src/gateway/stats.rs
+++ b/src/gateway/stats.rs
@@ -1,7 +1,7 @@
 //! Short cuts from outcomes to figures.
 
 use super::notice::{Notice, RetryAfter};
-use super::retry_policy::Ended;
+use super::retry_policy::SendOutcome;
 use crate::stats::{EndLabels, Reason, Stats};
 
 /// Counts the end of a request.
@@ -10,16 +10,16 @@
 }
 
 /// Counts a failed send.
-pub fn sent(stats: &Stats, ended: Ended) {
+pub fn sent(stats: &Stats, ended: SendOutcome) {
     let reason = match ended {
-        Ended::NotSent => "not_sent",
-        Ended::HeldOff => "held_off",
-        Ended::NotRun => "not_run",
-        Ended::OtherTarget => "other_target",
-        Ended::NoAnswer => "no_answer",
-        Ended::Silent => "silent",
-        Ended::Failed => "failed",
-        Ended::Truncated => "truncated",
+        SendOutcome::NotSent => "not_sent",
+        SendOutcome::HeldOff => "held_off",
+        SendOutcome::NotRun => "not_run",
+        SendOutcome::OtherTarget => "other_target",
+        SendOutcome::NoAnswer => "no_answer",
+        SendOutcome::Silent => "silent",
+        SendOutcome::Failed => "failed",
+        SendOutcome::Truncated => "truncated",
     };
     stats.sends.get_or_create(&Reason { reason }).inc();
 }
--- a/tests/test_gateway_decisions.rs
+++ b/tests/test_gateway_decisions.rs
@@ -3,14 +3,16 @@
 use std::time::Duration;
 
 use kingcupwall::gateway::catalog::{Catalog, RouteKind, Share};
-use kingcupwall::gateway::entry::{EntryView, RouterEntry, how_many};
+use kingcupwall::gateway::entry::{EntryView, RouterEntry, routers_needed};
 use kingcupwall::gateway::members::Reads;
 use kingcupwall::gateway::placement::{
     Candidate, Placement, PlacementGoal, PlacementWeights, place,
 };
 use kingcupwall::gateway::refusal::backoff_refusal;
-use kingcupwall::gateway::retry_budget::{RetryAllowance, RetryShares};
-use kingcupwall::gateway::retry_policy::{Ended, Final, Made, Next, next};
+use kingcupwall::gateway::retry_budget::{RetryAllowance, ServiceRetryBudgets};
+use kingcupwall::gateway::retry_policy::{
+    FinalAnswer, NextStep, SendCounts, SendOutcome, next_step,
+};
 use kingcupwall::gateway::sse::Splitter;
 use kingcupwall::gateway::zone_filter::ZoneRegions;
 use kingcupwall::rows::StoreMs;
@@ -18,47 +20,65 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const NEW: Made = Made { runs: 1, sends: 1 };
+const FIRST_SEND: SendCounts = SendCounts { runs: 1, sends: 1 };
 
 #[rstest]
-#[case(RouteKind::NonIdempotent, Ended::NoAnswer, 1, Next::Answer(Final::Unknown))]
-#[case(RouteKind::NonIdempotent, Ended::Truncated, 3, Next::Answer(Final::Unknown))]
-#[case(RouteKind::Stream, Ended::NoAnswer, 3, Next::Answer(Final::Unknown))]
-#[case(RouteKind::NonIdempotent, Ended::Failed, 3, Next::Answer(Final::TargetsOwn))]
-#[case(RouteKind::Idempotent, Ended::NoAnswer, 2, Next::Retry(Final::Unknown))]
-#[case(RouteKind::Idempotent, Ended::Failed, 2, Next::Retry(Final::TargetsOwn))]
-#[case(RouteKind::Idempotent, Ended::Failed, 1, Next::Answer(Final::TargetsOwn))]
-#[case(RouteKind::ResumableStream, Ended::Truncated, 2, Next::Retry(Final::Unknown))]
-fn next_after_run(
+#[case(RouteKind::NonIdempotent, SendOutcome::NoAnswer, 1, NextStep::Answer(FinalAnswer::Unknown))]
+#[case(RouteKind::NonIdempotent, SendOutcome::Truncated, 3, NextStep::Answer(FinalAnswer::Unknown))]
+#[case(RouteKind::Stream, SendOutcome::NoAnswer, 3, NextStep::Answer(FinalAnswer::Unknown))]
+#[case(
+    RouteKind::NonIdempotent,
+    SendOutcome::Failed,
+    3,
+    NextStep::Answer(FinalAnswer::TargetAnswer)
+)]
+#[case(RouteKind::Idempotent, SendOutcome::NoAnswer, 2, NextStep::Retry(FinalAnswer::Unknown))]
+#[case(RouteKind::Idempotent, SendOutcome::Failed, 2, NextStep::Retry(FinalAnswer::TargetAnswer))]
+#[case(RouteKind::Idempotent, SendOutcome::Failed, 1, NextStep::Answer(FinalAnswer::TargetAnswer))]
+#[case(
+    RouteKind::ResumableStream,
+    SendOutcome::Truncated,
+    2,
+    NextStep::Retry(FinalAnswer::Unknown)
+)]
+fn next_step_after_run(
     #[case] kind: RouteKind,
-    #[case] ended: Ended,
+    #[case] ended: SendOutcome,
     #[case] attempts: u32,
-    #[case] expected: Next,
+    #[case] expected: NextStep,
 ) {
-    assert_eq!(next(kind, ended, NEW, attempts), expected);
+    assert_eq!(next_step(kind, ended, FIRST_SEND, attempts), expected);
 }
 
 #[rstest]
-fn next_never_runs_twice(
-    #[values(Ended::NoAnswer, Ended::Truncated, Ended::Failed)] ended: Ended,
+fn next_step_never_repeats_after_run(
+    #[values(SendOutcome::NoAnswer, SendOutcome::Truncated, SendOutcome::Failed)]
+    ended: SendOutcome,
     #[values(RouteKind::NonIdempotent, RouteKind::Stream)] kind: RouteKind,
     #[values(1, 2, 5)] attempts: u32,
     #[values(1, 2, 4)] sends: u32,
 ) {
-    let next = next(kind, ended, Made { runs: 1, sends }, attempts);
-    assert!(matches!(next, Next::Answer(Final::Unknown | Final::TargetsOwn)), "{next:?}");
+    let next_step = next_step(kind, ended, SendCounts { runs: 1, sends }, attempts);
+    assert!(
+        matches!(next_step, NextStep::Answer(FinalAnswer::Unknown | FinalAnswer::TargetAnswer)),
+        "{next_step:?}"
+    );
 }
 
 #[rstest]
-fn next_not_run_only_if_true(
-    #[values(Ended::NotSent, Ended::NotRun, Ended::OtherTarget)] ended: Ended,
+fn next_step_not_run_only_before_any_run(
+    #[values(SendOutcome::NotSent, SendOutcome::NotRun, SendOutcome::OtherTarget)]
+    ended: SendOutcome,
     #[values(0, 1, 2)] runs: u32,
     #[values(1, 4)] sends: u32,
 ) {
     // "Not run" after an earlier send of the same request may have run would be a lie.
-    let next = next(RouteKind::Idempotent, ended, Made { runs, sends }, 3);
-    let says_not_run = matches!(next, Next::Answer(Final::NotRun) | Next::Retry(Final::NotRun));
-    assert!(runs == 0 || !says_not_run, "{next:?}");
+    let next_step = next_step(RouteKind::Idempotent, ended, SendCounts { runs, sends }, 3);
+    let says_not_run = matches!(
+        next_step,
+        NextStep::Answer(FinalAnswer::NotRun) | NextStep::Retry(FinalAnswer::NotRun)
+    );
+    assert!(runs == 0 || !says_not_run, "{next_step:?}");
 }
 
 #[test]
@@ -196,7 +216,8 @@
     // of routers, over any window.
     let allowance = RetryAllowance { ratio: 0.2, slack: 52.0 };
     let routers = 6;
-    let mut fleet: Vec<RetryShares> = (0..routers).map(|_| RetryShares::new(allowance)).collect();
+    let mut fleet: Vec<ServiceRetryBudgets> =
+        (0..routers).map(|_| ServiceRetryBudgets::new(allowance)).collect();
     fleet.iter_mut().for_each(|r| r.set_routers(routers));
     let mut repeats = Vec::new();
     for n in 0..6_000_usize {
@@ -317,19 +338,19 @@
 #[case::twice_what_is_stated(800.0, 2)]
 #[case::more_than_the_large_ones_carry(900.0, 25)]
 #[case::more_than_all_carry(5_000.0, 25)]
-fn how_many_large_before_small(#[case] rate: f64, #[case] named: usize) {
+fn routers_needed_large_before_small(#[case] rate: f64, #[case] named: usize) {
     // Guards against a small router that is named beside large ones and gets as much as each of
     // them, several times what its link carries.
     let mut capacities = vec![200.0, 200.0];
     capacities.extend([48.0; 23]);
-    assert_eq!(how_many(&capacities, rate), named);
+    assert_eq!(routers_needed(&capacities, rate), named);
 }
 
 #[test]
-fn how_many_alike() {
-    let of = |rate| how_many(&[100.0; 4], rate);
+fn routers_needed_equal_sizes() {
+    let of = |rate| routers_needed(&[100.0; 4], rate);
     assert_eq!((of(70.0), of(80.0), of(300.0), of(390.0)), (1, 2, 4, 4));
-    assert_eq!(how_many(&[], 10.0), 0);
+    assert_eq!(routers_needed(&[], 10.0), 0);
 }
 
 /// All routers are cut from the store for eight seconds. Their rows are older than that when the
