--- a/src/gateway/hints.rs
+++ b/src/gateway/hints.rs
@@ -19,20 +19,20 @@
 use super::request::Part;
 
 /// Placements of so long go into one datagram: a wake-up costs more than the bytes.
-const GATHER: Duration = Duration::from_millis(10);
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 /// Placements in one datagram, at most; 60 bytes each keep it under a usual packet.
 const MAX_PLACEMENTS: usize = 16;
 /// Routers of other zones that are told, at most. With many routers per zone, each zone's
 /// targets are used by its own routers alone, and telling all others would cost more traffic
 /// between zones than it saves.
-const MAX_FAR: usize = 12;
+const MAX_OTHER_ZONE_PEERS: usize = 12;
 /// Format of a datagram; others are ignored.
-const FORMAT: u8 = 2;
+const DATAGRAM_FORMAT: u8 = 2;
 
 /// One prompt on its way to a target.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
-pub struct Hint {
+pub struct PlacementHint {
     /// Digest of the target's id.
     pub target: u64,
     /// Tokens of the prompt.
@@ -43,7 +43,7 @@
     parts: Vec<(u64, u32)>,
 }
 
-impl Hint {
+impl PlacementHint {
     /// The parts of the prompt.
     pub fn parts(&self) -> impl Iterator<Item = Part> {
         self.parts.iter().map(|(id, tokens)| Part { id: *id, tokens: u64::from(*tokens) })
@@ -54,69 +54,70 @@
 #[derive(Deserialize, Serialize)]
 struct Datagram {
     format: u8,
-    hints: Vec<Hint>,
+    hints: Vec<PlacementHint>,
 }
 
 /// Whom to tell, and what was not told yet.
 #[derive(Debug, Default)]
-pub struct Hints {
-    waiting: RefCell<Vec<Hint>>,
+pub struct PlacementHints {
+    unsent: RefCell<Vec<PlacementHint>>,
     peers: RefCell<Vec<SocketAddr>>,
-    some: Notify,
-    lost: Cell<u64>,
+    wakeup: Notify,
+    lost_datagrams: Cell<u64>,
 }
 
-impl Hints {
+impl PlacementHints {
     /// Notes a placement of this router.
-    pub fn placed(&self, target: &str, plan: &Planned, parts: &[Part]) {
-        let mut waiting = self.waiting.borrow_mut();
-        if self.peers.borrow().is_empty() || waiting.len() >= 4 * MAX_PLACEMENTS {
+    pub fn record_placement(&self, target: &str, plan: &Planned, parts: &[Part]) {
+        let mut unsent = self.unsent.borrow_mut();
+        if self.peers.borrow().is_empty() || unsent.len() >= 4 * MAX_PLACEMENTS {
             return;
         }
-        let short = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX);
-        let parts = parts.iter().map(|p| (p.id, short(p.tokens)));
-        waiting.push(Hint {
+        let saturated = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX);
+        let parts = parts.iter().map(|p| (p.id, saturated(p.tokens)));
+        unsent.push(PlacementHint {
             target: target_word(target),
-            prompt: short(plan.prompt),
-            uncached: short(plan.uncached),
+            prompt: saturated(plan.prompt),
+            uncached: saturated(plan.uncached),
             parts: parts.collect(),
         });
-        if waiting.len() == 1 {
-            self.some.notify_one();
+        if unsent.len() == 1 {
+            self.wakeup.notify_one();
         }
     }
 
     /// Sets whom to tell: routers of the same zone, and those of others while they are few.
-    pub fn set_peers(&self, near: Vec<SocketAddr>, far: Vec<SocketAddr>) {
-        let far = if far.len() > MAX_FAR { Vec::new() } else { far };
-        let mut peers = near;
-        peers.extend(far);
+    pub fn set_peers(&self, same_zone: Vec<SocketAddr>, other_zones: Vec<SocketAddr>) {
+        let other_zones =
+            if other_zones.len() > MAX_OTHER_ZONE_PEERS { Vec::new() } else { other_zones };
+        let mut peers = same_zone;
+        peers.extend(other_zones);
         peers.sort();
         *self.peers.borrow_mut() = peers;
     }
 
-    fn take(&self) -> Vec<u8> {
-        let mut waiting = self.waiting.borrow_mut();
-        let n = waiting.len().min(MAX_PLACEMENTS);
-        let datagram = Datagram { format: FORMAT, hints: waiting.drain(..n).collect() };
+    fn take_datagram(&self) -> Vec<u8> {
+        let mut unsent = self.unsent.borrow_mut();
+        let n = unsent.len().min(MAX_PLACEMENTS);
+        let datagram = Datagram { format: DATAGRAM_FORMAT, hints: unsent.drain(..n).collect() };
         let mut out = Vec::with_capacity(64 * n);
         ciborium::into_writer(&datagram, &mut out).expect("writing to memory cannot fail");
         out
     }
 
     /// Tells the others, for ever.
-    pub async fn tell(&self, socket: &UdpSocket) {
+    pub async fn run_sender(&self, socket: &UdpSocket) {
         loop {
-            if self.waiting.borrow().is_empty() {
-                self.some.notified().await;
+            if self.unsent.borrow().is_empty() {
+                self.wakeup.notified().await;
             }
-            sleep(GATHER).await;
-            let bytes = Topic::Hints.frame(&self.take());
+            sleep(BATCH_DELAY).await;
+            let bytes = Topic::Hints.frame(&self.take_datagram());
             let peers = self.peers.borrow().clone();
             for peer in peers {
                 // A full buffer or an unreachable peer loses a hint, which is made for that.
                 if socket.try_send_to(&bytes, peer).is_err() {
-                    self.lost.set(self.lost.get() + 1);
+                    self.lost_datagrams.set(self.lost_datagrams.get() + 1);
                 }
             }
         }
@@ -124,7 +125,7 @@
 }
 
 /// The placements that a datagram tells of; none if it cannot be read.
-pub fn parse(bytes: &[u8]) -> Vec<Hint> {
+pub fn parse(bytes: &[u8]) -> Vec<PlacementHint> {
     let read = ciborium::from_reader::<Datagram, _>(bytes).ok();
-    read.filter(|d| d.format == FORMAT).map(|d| d.hints).unwrap_or_default()
+    read.filter(|d| d.format == DATAGRAM_FORMAT).map(|d| d.hints).unwrap_or_default()
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -14,7 +14,7 @@
 use super::timing::Reading;
 
 /// Sends what the keeper of budgets has to say, for ever.
-pub async fn tell_budgets<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
+pub async fn send_budget_messages<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
     loop {
         for out in gw.keeper.outgoing().await {
             // Whatever is lost is said again by its sender.
@@ -26,7 +26,7 @@
 }
 
 /// Listens to the others, for ever.
-pub async fn listen<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
+pub async fn receive_datagrams<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
         let (n, from) = match socket.recv_from(&mut buf).await {
@@ -37,14 +37,16 @@
             }
         };
         let topic = Topic::parse(&buf[..n]);
-        if !may_hear(&gw.peers.borrow(), from.ip(), topic.map(|(t, _)| t)) {
+        if !accepts_datagram(&gw.peers.borrow(), from.ip(), topic.map(|(t, _)| t)) {
             continue;
         }
         match topic {
-            Some((Topic::Hints, payload)) => take_hints(&gw, payload),
+            Some((Topic::Hints, payload)) => apply_hints(&gw, payload),
             Some((Topic::Budgets, payload)) => gw.keeper.heard(from, payload),
             Some((Topic::Crashes, payload)) => gw.crashes.heard(payload, gw.keeper.store_now()),
-            Some((Topic::Orders, payload)) => gw.zones.take(&gw.zones.parse(payload), "peer"),
+            Some((Topic::Orders, payload)) => {
+                gw.zones.merge_newer(&gw.zones.parse(payload), "peer")
+            }
             Some((Topic::Cold, payload)) => gw.cold.heard(from, payload, |w| cold_target(&gw, w)),
             None => gw.log.note("peer", format_args!("from={from} bytes={n} error=unknown_topic")),
         }
@@ -54,9 +56,9 @@
 /// Whether to take in a datagram. Those of unknown senders are not read, but for orders while no
 /// router is known yet: one whose store falls silent right after its start has the configuration
 /// and nobody else to hear an order from.
-pub fn may_hear(known: &[IpAddr], from: IpAddr, topic: Option<Topic>) -> bool {
-    let none_known = known.is_empty() && topic == Some(Topic::Orders);
-    none_known || known.binary_search(&from).is_ok()
+pub fn accepts_datagram(known: &[IpAddr], from: IpAddr, topic: Option<Topic>) -> bool {
+    let accepts_early_order = known.is_empty() && topic == Some(Topic::Orders);
+    accepts_early_order || known.binary_search(&from).is_ok()
 }
 
 /// The id, zone and pace of a target that another router asks about.
@@ -70,12 +72,12 @@
 }
 
 /// Other routers sent prompts to targets.
-fn take_hints<P: Platform>(gw: &Gateway<P>, bytes: &[u8]) {
+fn apply_hints<P: Platform>(gw: &Gateway<P>, bytes: &[u8]) {
     let config = gw.config();
-    let kept = |service: &str| config.as_ref().map_or(0, |c| c.cache_tokens(service));
+    let cache_limit = |service: &str| config.as_ref().map_or(0, |c| c.cache_tokens(service));
     for hint in hints::parse(bytes) {
         let parts: Vec<Part> = hint.parts().collect();
         let reading = Reading::of(u64::from(hint.prompt), u64::from(hint.uncached));
-        gw.targets.hinted(hint.target, reading, &parts, kept);
+        gw.targets.hinted(hint.target, reading, &parts, cache_limit);
     }
 }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -76,7 +76,7 @@
             self.charge(0);
         }
         if plan.engine {
-            self.gw.hints.placed(&target, plan, &self.facts.parts);
+            self.gw.hints.record_placement(&target, plan, &self.facts.parts);
         }
         let outcome = self.answer(&mut link, &bytes, plan).await;
         match outcome {
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -27,11 +27,11 @@
         spawn_local(members::run(gw.clone())),
         spawn_local(gw.keeper.clone().run()),
         spawn_local(gw.keeper.clone().tell()),
-        spawn_local(async move { hints.hints.tell(&hints_socket).await }),
+        spawn_local(async move { hints.hints.run_sender(&hints_socket).await }),
         spawn_local(async move { crashes.crashes.tell(&crashes_socket).await }),
-        spawn_local(async move { zones.zones.tell(&zones_socket).await }),
-        spawn_local(peers::tell_budgets(gw.clone(), socket.clone())),
-        spawn_local(peers::listen(gw.clone(), socket)),
+        spawn_local(async move { zones.zones.run_sender(&zones_socket).await }),
+        spawn_local(peers::send_budget_messages(gw.clone(), socket.clone())),
+        spawn_local(peers::receive_datagrams(gw.clone(), socket)),
         spawn_local(front::accept(gw.clone(), listener)),
     ]
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -14,14 +14,14 @@
 use super::crashes::Crashes;
 use super::entry::EntryView;
 use super::feed::{Confirmation, Feed, Reader};
-use super::hints::Hints;
+use super::hints::PlacementHints;
 use super::placement::PlacementWeights;
 use super::request::Names;
 use super::retry_budget::{RetryAllowance, ServiceRetryBudgets};
 use super::targets::Targets;
 use super::warmup::Admissions;
 use super::zone_filter::ZoneRegions;
-use super::zone_gossip::Zones;
+use super::zone_gossip::ZoneGossip;
 use crate::allowance::{HolderName, Keeper, KeeperSettings};
 use crate::error::Result;
 use crate::oplog::Log;
@@ -118,11 +118,11 @@
     /// Addresses of the other routers, sorted: datagrams of others are not read.
     pub peers: RefCell<Vec<IpAddr>>,
     /// What routers tell one another.
-    pub hints: Hints,
+    pub hints: PlacementHints,
     /// Requests under which targets ended.
     pub crashes: Crashes,
     /// Zones that the operator has emptied.
-    pub zones: Zones,
+    pub zones: ZoneGossip,
     /// Requests to cold targets.
     pub cold: Admissions,
     /// Budgets.
@@ -163,7 +163,7 @@
         let stats = Stats::new();
         Rc::new(Gateway {
             crashes: Crashes::new(log.clone(), stats.clone()),
-            zones: Zones::new(log.clone(), stats.clone()),
+            zones: ZoneGossip::new(log.clone(), stats.clone()),
             cold: Admissions::new(settings.instance.clone(), log.clone(), stats.clone()),
             reader: Reader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
             keeper,
@@ -175,7 +175,7 @@
             catalog: RefCell::default(),
             targets: Targets::default(),
             peers: RefCell::default(),
-            hints: Hints::default(),
+            hints: PlacementHints::default(),
             config_feed: Feed::default(),
             confirmed: tokio::sync::Mutex::new(None),
             phase: watch::Sender::new(Phase::Up),
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -108,9 +108,9 @@
     };
     let orders: Vec<ZoneOrder> = page.rows.iter().filter_map(order).collect();
     if whole {
-        gw.zones.take_whole(&orders, page.ver);
+        gw.zones.apply_snapshot(&orders, page.ver);
     } else {
-        gw.zones.take(&orders, "store");
+        gw.zones.merge_newer(&orders, "store");
     }
     let (_, key) = gw.platform.config_row();
     page.rows.iter().filter(|r| r.at.key == key).for_each(|r| apply_config(gw, r));
--- a/src/gateway/zone_gossip.rs
+++ b/src/gateway/zone_gossip.rs
@@ -20,7 +20,7 @@
 /// Routers that are told at a time, drawn anew each time.
 const FANOUT: usize = 6;
 /// Pauses before an order is told again: datagrams are lost, and a router may be cut off.
-const TELL_AGAIN: [Duration; 6] = [
+const RESEND_DELAYS: [Duration; 6] = [
     Duration::ZERO,
     Duration::from_millis(100),
     Duration::from_millis(300),
@@ -29,29 +29,29 @@
     Duration::from_secs(4),
 ];
 /// Orders in one datagram, at most.
-const MAX_TOLD: usize = 16;
+const MAX_ORDERS_PER_DATAGRAM: usize = 16;
 
 /// What this router knows of orders.
 #[derive(Debug)]
-pub struct Zones {
+pub struct ZoneGossip {
     log: Log,
     stats: Stats,
     orders: RefCell<ZoneOrders>,
     emptied: RefCell<Vec<CompactString>>,
     peers: RefCell<Vec<SocketAddr>>,
-    heard: Notify,
+    changed_signal: Notify,
 }
 
-impl Zones {
+impl ZoneGossip {
     /// No zone emptied, as far as is known.
-    pub fn new(log: Log, stats: Stats) -> Zones {
-        Zones {
+    pub fn new(log: Log, stats: Stats) -> ZoneGossip {
+        ZoneGossip {
             log,
             stats,
             orders: RefCell::default(),
             emptied: RefCell::default(),
             peers: RefCell::default(),
-            heard: Notify::new(),
+            changed_signal: Notify::new(),
         }
     }
 
@@ -76,19 +76,19 @@
     }
 
     /// Takes in the orders in a reading of the whole table.
-    pub fn take_whole(&self, orders: &[ZoneOrder], ver: Ver) {
+    pub fn apply_snapshot(&self, orders: &[ZoneOrder], ver: Ver) {
         let listed: Vec<CompactString> = orders.iter().map(|o| o.zone.clone()).collect();
-        let gone = self.orders.borrow().unlisted(&listed, ver);
+        let gone = self.orders.borrow().missing_from(&listed, ver);
         let all: Vec<ZoneOrder> = orders.iter().cloned().chain(gone).collect();
-        self.take(&all, "store");
+        self.merge_newer(&all, "store");
     }
 
     /// Takes in orders that were heard `via` the store or a peer.
-    pub fn take(&self, orders: &[ZoneOrder], via: &'static str) {
+    pub fn merge_newer(&self, orders: &[ZoneOrder], via: &'static str) {
         let now = Instant::now();
         let mut known = self.orders.borrow_mut();
         let changed: Vec<ZoneOrder> =
-            orders.iter().filter(|o| known.take(o, now)).cloned().collect();
+            orders.iter().filter(|o| known.merge_newer(o, now)).cloned().collect();
         for o in &changed {
             let state = if o.emptied { "emptied" } else { "taken_back" };
             self.log.note(
@@ -99,7 +99,7 @@
         if !changed.is_empty() {
             *self.emptied.borrow_mut() = known.emptied();
             self.stats.zones_emptied.set(i64::try_from(known.emptied().len()).unwrap_or(i64::MAX));
-            self.heard.notify_one();
+            self.changed_signal.notify_one();
         }
     }
 
@@ -112,25 +112,25 @@
     }
 
     /// Tells the others, for ever.
-    pub async fn tell(&self, socket: &UdpSocket) {
+    pub async fn run_sender(&self, socket: &UdpSocket) {
         loop {
-            self.heard.notified().await;
-            let mut pauses = TELL_AGAIN.iter();
-            while let Some(pause) = pauses.next() {
+            self.changed_signal.notified().await;
+            let mut delays = RESEND_DELAYS.iter();
+            while let Some(delay) = delays.next() {
                 tokio::select! {
-                    () = sleep(*pause) => self.tell_some(socket),
+                    () = sleep(*delay) => self.send_to_random_peers(socket),
                     // Something newer: all of it is told from the start.
-                    () = self.heard.notified() => pauses = TELL_AGAIN.iter(),
+                    () = self.changed_signal.notified() => delays = RESEND_DELAYS.iter(),
                 }
             }
         }
     }
 
-    fn tell_some(&self, socket: &UdpSocket) {
-        let lasts: Duration = TELL_AGAIN.iter().sum();
-        let Some(since) = Instant::now().checked_sub(lasts * 2) else { return };
-        let mut orders = self.orders.borrow().heard_after(since);
-        orders.truncate(MAX_TOLD);
+    fn send_to_random_peers(&self, socket: &UdpSocket) {
+        let resend_span: Duration = RESEND_DELAYS.iter().sum();
+        let Some(since) = Instant::now().checked_sub(resend_span * 2) else { return };
+        let mut orders = self.orders.borrow().received_after(since);
+        orders.truncate(MAX_ORDERS_PER_DATAGRAM);
         let mut bytes = Vec::new();
         ciborium::into_writer(&orders, &mut bytes).expect("writing to memory cannot fail");
         let datagram = Topic::Orders.frame(&bytes);
--- a/src/gateway/zone_orders.rs
+++ b/src/gateway/zone_orders.rs
@@ -27,23 +27,23 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownOrder {
     order: ZoneOrder,
-    heard: Instant,
+    received_at: Instant,
 }
 
 /// The newest order for each zone.
 #[derive(Debug, Default)]
 pub struct ZoneOrders {
     /// By zone.
-    known: Vec<Known>,
+    known: Vec<KnownOrder>,
 }
 
 impl ZoneOrders {
     /// Takes in an order that was heard at `now`. Returns whether it changes anything: one that is
     /// not newer than what is known does not, whoever tells it.
-    pub fn take(&mut self, order: &ZoneOrder, now: Instant) -> bool {
-        let new = || Known { order: order.clone(), heard: now };
+    pub fn merge_newer(&mut self, order: &ZoneOrder, now: Instant) -> bool {
+        let new = || KnownOrder { order: order.clone(), received_at: now };
         match self.find(&order.zone) {
             Ok(i) if self.known[i].order.ver >= order.ver => false,
             Ok(i) => {
@@ -73,19 +73,19 @@
     /// How long ago a zone was taken back, as far as this router heard.
     pub fn taken_back_for(&self, zone: &str, now: Instant) -> Option<Duration> {
         let known = &self.known[self.find(zone).ok()?];
-        (!known.order.emptied).then(|| now.saturating_duration_since(known.heard))
+        (!known.order.emptied).then(|| now.saturating_duration_since(known.received_at))
     }
 
     /// The orders that were heard after `since`.
-    pub fn heard_after(&self, since: Instant) -> Vec<ZoneOrder> {
-        self.known.iter().filter(|k| k.heard > since).map(|k| k.order.clone()).collect()
+    pub fn received_after(&self, since: Instant) -> Vec<ZoneOrder> {
+        self.known.iter().filter(|k| k.received_at > since).map(|k| k.order.clone()).collect()
     }
 
     /// Takes back, as of `ver`, each zone that is emptied and not among `listed`. Returns the
     /// orders that follow from that.
-    pub fn unlisted(&self, listed: &[CompactString], ver: Ver) -> Vec<ZoneOrder> {
-        let gone = |k: &&Known| k.order.emptied && !listed.contains(&k.order.zone);
-        let taken_back = |k: &Known| ZoneOrder { ver, emptied: false, ..k.order.clone() };
+    pub fn missing_from(&self, listed: &[CompactString], ver: Ver) -> Vec<ZoneOrder> {
+        let gone = |k: &&KnownOrder| k.order.emptied && !listed.contains(&k.order.zone);
+        let taken_back = |k: &KnownOrder| ZoneOrder { ver, emptied: false, ..k.order.clone() };
         self.known.iter().filter(gone).map(taken_back).collect()
     }
 
--- a/tests/test_gateway_orders.rs
+++ b/tests/test_gateway_orders.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kingcupwall::gateway::datagram::Topic;
-use kingcupwall::gateway::peers::may_hear;
+use kingcupwall::gateway::peers::accepts_datagram;
 use kingcupwall::gateway::zone_filter::{ExclusionReason, ZoneFilter, ZoneRegions};
 use kingcupwall::gateway::zone_orders::{ZoneOrder, ZoneOrders};
 use kingcupwall::rows::{Fault, Ver};
@@ -28,27 +28,31 @@
 #[case::told_late(&[order("a", 5, true), order("a", 6, false)], order("a", 5, true), false)]
 #[case::other_zone(&[order("a", 5, true)], order("b", 4, true), true)]
 #[case::never_emptied(&[], order("a", 5, false), false)]
-fn orders_take(#[case] before: &[ZoneOrder], #[case] next: ZoneOrder, #[case] changes: bool) {
+fn orders_merge_newer(
+    #[case] before: &[ZoneOrder],
+    #[case] next: ZoneOrder,
+    #[case] changes: bool,
+) {
     let mut orders = ZoneOrders::default();
     let now = Instant::now();
     for o in before {
-        orders.take(o, now);
+        orders.merge_newer(o, now);
     }
-    assert_eq!(orders.take(&next, now), changes);
+    assert_eq!(orders.merge_newer(&next, now), changes);
     assert_eq!(orders.is_emptied(&next.zone), next.emptied && (changes || before.len() < 2));
 }
 
 #[test]
-fn orders_unlisted_taken_back() {
+fn orders_missing_from_snapshot_taken_back() {
     // Guards against a zone that stays emptied for ever because the deletion of its row was
     // compacted away.
     let mut orders = ZoneOrders::default();
     let now = Instant::now();
-    orders.take(&order("a", 5, true), now);
-    orders.take(&order("b", 6, true), now);
-    let gone = orders.unlisted(&["b".into()], Ver(9));
+    orders.merge_newer(&order("a", 5, true), now);
+    orders.merge_newer(&order("b", 6, true), now);
+    let gone = orders.missing_from(&["b".into()], Ver(9));
     assert_eq!(gone, [order("a", 9, false)]);
-    assert!(orders.take(&gone[0], now));
+    assert!(orders.merge_newer(&gone[0], now));
     assert_eq!(orders.emptied(), ["b"]);
 }
 
@@ -130,7 +134,7 @@
         (self.targets[0].runs().len(), self.targets[1].runs().len())
     }
 
-    async fn obeys(&self, router: usize, emptied: &[&str]) {
+    async fn applied(&self, router: usize, emptied: &[&str]) {
         let zones = &self.routers[router].gw.zones;
         eventually("the order is known", || zones.emptied() == emptied).await;
     }
@@ -141,10 +145,10 @@
     local(async {
         let fleet = Fleet::start(1).await;
         fleet.platform.empty_zone("zone-1");
-        fleet.obeys(0, &["zone-1"]).await;
+        fleet.applied(0, &["zone-1"]).await;
         assert_eq!(fleet.send(0, "emptied").await, (0, 8));
         fleet.platform.take_zone_back("zone-1");
-        fleet.obeys(0, &[]).await;
+        fleet.applied(0, &[]).await;
         assert!(fleet.send(0, "back").await.0 > 0);
     });
 }
@@ -160,7 +164,7 @@
             spawn_local(async move { Call::get("/stream/a").tokens(10, 16).send(front).await });
         eventually("it runs", || fleet.runs() == (1, 0)).await;
         fleet.platform.empty_zone("zone-1");
-        fleet.obeys(0, &["zone-1"]).await;
+        fleet.applied(0, &["zone-1"]).await;
         let got = stream.await.unwrap();
         assert!(got.whole);
         assert_eq!(got.events(), (1..=8).collect::<Vec<_>>());
@@ -192,7 +196,7 @@
         let runs = || fleet.runs().0 - before.0 + third.runs().len();
         eventually("it runs in the zone", || runs() == 1).await;
         fleet.platform.empty_zone("zone-1");
-        fleet.obeys(0, &["zone-1"]).await;
+        fleet.applied(0, &["zone-1"]).await;
         let got = stream.await.unwrap();
         // The target in the other zone cuts it as well, at the same event: nothing new came.
         assert!(!got.events().is_empty());
@@ -207,7 +211,7 @@
         let fleet = Fleet::start(1).await;
         fleet.platform.empty_zone("zone-1");
         fleet.platform.empty_zone("zone-2");
-        fleet.obeys(0, &["zone-1", "zone-2"]).await;
+        fleet.applied(0, &["zone-1", "zone-2"]).await;
         let got = Call::get("/once/a").body("order").send(fleet.routers[0].front).await;
         assert_eq!((got.status(), got.body.as_str()), (503, r#"{"error":"zones_emptied"}"#));
         assert!(got.header("Retry-After").unwrap().parse::<f64>().unwrap() >= 1.0);
@@ -224,10 +228,10 @@
         fleet.routers[1].platform.rows.set_fault(Fault::Reject(503));
         sleep(Duration::from_millis(100)).await;
         fleet.platform.empty_zone("zone-1");
-        fleet.obeys(1, &["zone-1"]).await;
+        fleet.applied(1, &["zone-1"]).await;
         assert_eq!(fleet.send(1, "told").await, (0, 8));
         fleet.platform.take_zone_back("zone-1");
-        fleet.obeys(1, &[]).await;
+        fleet.applied(1, &[]).await;
     });
 }
 
@@ -247,7 +251,7 @@
             }
             fleet.platform.rows.compact();
             rows.set_fault(Fault::None);
-            fleet.obeys(0, if emptied { &["zone-1"] } else { &[] }).await;
+            fleet.applied(0, if emptied { &["zone-1"] } else { &[] }).await;
         }
     });
 }
@@ -269,7 +273,7 @@
 #[case::unknown(&["127.0.0.2"], "127.0.0.3", Topic::Orders, false)]
 #[case::order_before_any_is_known(&[], "127.0.0.3", Topic::Orders, true)]
 #[case::hint_before_any_is_known(&[], "127.0.0.3", Topic::Hints, false)]
-fn may_hear_before_routers_are_known(
+fn accepts_datagram_by_sender(
     #[case] known: &[&str],
     #[case] from: &str,
     #[case] topic: Topic,
@@ -278,5 +282,5 @@
     // Guards against a router that goes on sending into an emptied zone because its store fell
     // silent before it had read who the others are.
     let known: Vec<IpAddr> = known.iter().map(|a| a.parse().unwrap()).collect();
-    assert_eq!(may_hear(&known, from.parse().unwrap(), Some(topic)), expected);
+    assert_eq!(accepts_datagram(&known, from.parse().unwrap(), Some(topic)), expected);
 }
