--- a/src/gateway/backend.rs
+++ b/src/gateway/backend.rs
@@ -15,7 +15,7 @@
 use super::pool::Pool;
 use super::quarantine::Incarnation;
 use super::request::Part;
-use super::timing::{FirstToken, Reading};
+use super::timing::{FirstTokenModel, PrefillWork};
 use crate::ids::Digest;
 
 /// Failures in a row after which a target is doubtful.
@@ -80,7 +80,7 @@
     pub standing: Standing,
     pub(super) load: RefCell<Load>,
     /// What is learnt of its service's engines.
-    pub(super) timing: Rc<RefCell<FirstToken>>,
+    pub(super) timing: Rc<RefCell<FirstTokenModel>>,
     /// Digest of its id.
     pub(super) word: u64,
     /// Its entry is gone, though perhaps only because the store lost it.
@@ -107,7 +107,7 @@
     pub(super) fn new(
         info: TargetInfo,
         standing: Standing,
-        timing: Rc<RefCell<FirstToken>>,
+        timing: Rc<RefCell<FirstTokenModel>>,
     ) -> Backend {
         let backend = Backend {
             word: target_word(&info.id),
@@ -218,7 +218,7 @@
     pub fn begin(backend: &Rc<Backend>, plan: &Planned, now: Instant) -> Flight {
         let mut load = backend.load.borrow_mut();
         load.in_flight_requests += 1;
-        let unread = plan.engine.then(|| load.add(millis(plan.prefill_ms), now));
+        let unread = plan.engine.then(|| load.add_prefill(millis(plan.prefill_ms), now));
         drop(load);
         Flight { backend: backend.clone(), sent: now, plan: *plan, unread }
     }
@@ -227,7 +227,7 @@
     pub fn leaves(&self, parts: &[Part]) {
         if self.plan.engine {
             let mut load = self.backend.load.borrow_mut();
-            load.cache.read(parts, Instant::now(), self.plan.cache_tokens);
+            load.cache.insert_parts(parts, Instant::now(), self.plan.cache_tokens);
         }
     }
 
@@ -249,17 +249,17 @@
         let took_ms = took.as_secs_f64() * 1_000.0;
         let mut timing = self.backend.timing.borrow_mut();
         let mut load = self.backend.load.borrow_mut();
-        let base_ms = timing.estimate().map_or(0.0, |e| e.base_ms) * load.pace.get();
-        load.read(number, now.checked_sub(millis(base_ms)).unwrap_or(now).max(self.sent));
+        let base_ms = timing.estimate().map_or(0.0, |e| e.base_ms) * load.slowdown.get();
+        load.finish_prefill(number, now.checked_sub(millis(base_ms)).unwrap_or(now).max(self.sent));
         // A wait that was mispredicted says nothing about the engine's speed.
         let alone_ms = took_ms - self.plan.wait_ms;
         if alone_ms > self.plan.wait_ms {
-            let pace = load.pace.get();
-            let reading = Reading::of(self.plan.prompt, self.plan.uncached);
-            let expected = timing.estimate().map(|e| e.of(reading));
-            timing.note(reading, alone_ms / pace);
+            let slowdown = load.slowdown.get();
+            let work = PrefillWork::of(self.plan.prompt, self.plan.uncached);
+            let expected = timing.estimate().map(|e| e.of(work));
+            timing.note(work, alone_ms / slowdown);
             if let Some(expected) = expected {
-                load.pace.note(expected, alone_ms);
+                load.slowdown.note(expected, alone_ms);
             }
         }
         took
@@ -271,7 +271,7 @@
         let mut load = self.backend.load.borrow_mut();
         load.in_flight_requests -= 1;
         if let Some(number) = self.unread {
-            load.cancel(number);
+            load.cancel_prefill(number);
         }
     }
 }
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -6,17 +6,17 @@
 use tokio::time::Instant;
 
 use super::request::Part;
-use super::timing::Pace;
+use super::timing::Slowdown;
 
 /// A prompt that should have been read so long ago is no longer counted on: its router may have
 /// taken it back without anyone hearing of it.
-const OVERDUE: Duration = Duration::from_secs(2);
+const PREFILL_EXPIRY: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
 struct CachedPart {
     id: u64,
     tokens: u64,
-    used: Instant,
+    last_used: Instant,
 }
 
 /// Which parts of prompts a target has probably cached: those that routers sent there, the least
@@ -29,27 +29,27 @@
 }
 
 impl PartCache {
-    pub(super) fn has(&self, id: u64) -> bool {
+    pub(super) fn contains_part(&self, id: u64) -> bool {
         self.parts.binary_search_by_key(&id, |p| p.id).is_ok()
     }
 
     /// Tokens of the leading parts that are cached; a part counts only if all before it do.
-    pub(super) fn cached(&self, parts: &[Part]) -> u64 {
-        parts.iter().take_while(|p| self.has(p.id)).map(|p| p.tokens).sum()
+    pub(super) fn cached_tokens(&self, parts: &[Part]) -> u64 {
+        parts.iter().take_while(|p| self.contains_part(p.id)).map(|p| p.tokens).sum()
     }
 
-    pub(super) fn read(&mut self, parts: &[Part], now: Instant, capacity: u64) {
+    pub(super) fn insert_parts(&mut self, parts: &[Part], now: Instant, capacity: u64) {
         for p in parts {
             match self.parts.binary_search_by_key(&p.id, |c| c.id) {
-                Ok(i) => self.parts[i].used = now,
+                Ok(i) => self.parts[i].last_used = now,
                 Err(i) => {
-                    self.parts.insert(i, CachedPart { id: p.id, tokens: p.tokens, used: now });
+                    self.parts.insert(i, CachedPart { id: p.id, tokens: p.tokens, last_used: now });
                     self.tokens += p.tokens;
                 }
             }
         }
         while self.tokens > capacity {
-            let oldest = self.parts.iter().enumerate().min_by_key(|(_, p)| p.used);
+            let oldest = self.parts.iter().enumerate().min_by_key(|(_, p)| p.last_used);
             let Some((i, _)) = oldest else { return };
             self.tokens -= self.parts.remove(i).tokens;
         }
@@ -58,11 +58,11 @@
 
 /// A prompt that an engine has not read yet, as far as is known.
 #[derive(Debug)]
-struct Unread {
+struct PendingPrefill {
     number: u64,
     prefill: Duration,
     /// When it will be read, by the model.
-    done: Instant,
+    done_at: Instant,
 }
 
 #[derive(Debug)]
@@ -70,12 +70,12 @@
     pub(super) in_flight_requests: u32,
     /// Prompts on their way, in the order in which they were sent by this router and, as far as
     /// they said so, by others.
-    unread: Vec<Unread>,
+    pending_prefills: Vec<PendingPrefill>,
     next_number: u64,
     /// When the engine will have read them all, by the model.
-    pub(super) read_by: Instant,
+    pub(super) prefills_done_at: Instant,
     /// How much slower it is than its service's engines are on the whole.
-    pub(super) pace: Pace,
+    pub(super) slowdown: Slowdown,
     pub(super) cache: PartCache,
     pub(super) failures: u32,
     pub(super) unhealthy_until: Option<Instant>,
@@ -85,10 +85,10 @@
     pub(super) fn new(now: Instant) -> Load {
         Load {
             in_flight_requests: 0,
-            unread: Vec::new(),
+            pending_prefills: Vec::new(),
             next_number: 0,
-            read_by: now,
-            pace: Pace::default(),
+            prefills_done_at: now,
+            slowdown: Slowdown::default(),
             cache: PartCache::default(),
             failures: 0,
             unhealthy_until: None,
@@ -96,31 +96,35 @@
     }
 
     /// Adds a prompt to what the engine has to read. Returns its number.
-    pub(super) fn add(&mut self, prefill: Duration, now: Instant) -> u64 {
-        self.unread.retain(|u| u.done + OVERDUE > now);
-        self.read_by = self.read_by.max(now) + prefill;
+    pub(super) fn add_prefill(&mut self, prefill: Duration, now: Instant) -> u64 {
+        self.pending_prefills.retain(|p| p.done_at + PREFILL_EXPIRY > now);
+        self.prefills_done_at = self.prefills_done_at.max(now) + prefill;
         let number = self.next_number;
         self.next_number += 1;
-        self.unread.push(Unread { number, prefill, done: self.read_by });
+        self.pending_prefills.push(PendingPrefill {
+            number,
+            prefill,
+            done_at: self.prefills_done_at,
+        });
         number
     }
 
     /// A prompt was read at `at`: so were all that were sent before it, and the engine has been
     /// busy with those behind it since.
-    pub(super) fn read(&mut self, number: u64, at: Instant) {
-        self.unread.retain(|u| u.number > number);
-        self.read_by = at;
-        for u in &mut self.unread {
-            self.read_by += u.prefill;
-            u.done = self.read_by;
+    pub(super) fn finish_prefill(&mut self, number: u64, at: Instant) {
+        self.pending_prefills.retain(|p| p.number > number);
+        self.prefills_done_at = at;
+        for p in &mut self.pending_prefills {
+            self.prefills_done_at += p.prefill;
+            p.done_at = self.prefills_done_at;
         }
     }
 
     /// A prompt was taken back.
-    pub(super) fn cancel(&mut self, number: u64) {
-        let Some(i) = self.unread.iter().position(|u| u.number == number) else { return };
-        let prefill = self.unread.remove(i).prefill;
-        self.read_by -= prefill;
-        self.unread[i..].iter_mut().for_each(|u| u.done -= prefill);
+    pub(super) fn cancel_prefill(&mut self, number: u64) {
+        let Some(i) = self.pending_prefills.iter().position(|p| p.number == number) else { return };
+        let prefill = self.pending_prefills.remove(i).prefill;
+        self.prefills_done_at -= prefill;
+        self.pending_prefills[i..].iter_mut().for_each(|p| p.done_at -= prefill);
     }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -11,7 +11,7 @@
 use super::hints;
 use super::request::Part;
 use super::state::{Gateway, Platform};
-use super::timing::Reading;
+use super::timing::PrefillWork;
 
 /// Sends what the keeper of budgets has to say, for ever.
 pub async fn send_budget_messages<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
@@ -66,7 +66,7 @@
     gw: &Gateway<P>,
     word: u64,
 ) -> Option<(CompactString, CompactString, Pace)> {
-    let backend = gw.targets.by_word(word)?;
+    let backend = gw.targets.by_digest(word)?;
     let info = backend.info.borrow();
     Some((info.id.clone(), info.zone.clone(), gw.cold_pace(&info.service)?))
 }
@@ -77,7 +77,7 @@
     let cache_limit = |service: &str| config.as_ref().map_or(0, |c| c.cache_tokens(service));
     for hint in hints::parse(bytes) {
         let parts: Vec<Part> = hint.parts().collect();
-        let reading = Reading::of(u64::from(hint.prompt), u64::from(hint.uncached));
-        gw.targets.hinted(hint.target, reading, &parts, cache_limit);
+        let work = PrefillWork::of(u64::from(hint.prompt), u64::from(hint.uncached));
+        gw.targets.apply_hint(hint.target, work, &parts, cache_limit);
     }
 }
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -199,12 +199,12 @@
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
         gw.stats.targets_cold.set(count(gw.targets.count_cold()));
         gw.stats.targets_leaving.set(count(gw.targets.count_leaving()));
-        gw.stats.targets_resting.set(count(gw.targets.count_resting()));
+        gw.stats.targets_resting.set(count(gw.targets.count_backing_off()));
         let link = gw.reader.link();
         if link.away || may_return(&gw) {
             continue;
         }
-        for id in gw.targets.sweep() {
+        for id in gw.targets.remove_lapsed() {
             gw.log.note("target", format_args!("target={id} state=gone"));
         }
     }
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -12,7 +12,7 @@
 use super::notice::Standing;
 use super::placement::Candidate;
 use super::request::Part;
-use super::timing::{FirstToken, Reading};
+use super::timing::{FirstTokenModel, PrefillWork};
 use super::zone_filter::{ExclusionReason, ZoneFilter};
 use crate::ids::Digest;
 
@@ -33,11 +33,11 @@
 
 /// Targets without an entry whose word is kept, at most. An entry that comes back may be older than
 /// what its target said.
-const MAX_PARTED: usize = 1_024;
+const MAX_REMOVED_TARGETS: usize = 1_024;
 
 /// A target without an entry.
 #[derive(Debug)]
-struct Parted {
+struct RemovedTarget {
     id: CompactString,
     born: Option<StartedMs>,
     standing: Standing,
@@ -48,8 +48,8 @@
 pub struct Targets {
     all: RefCell<Vec<Rc<Backend>>>,
     /// The latest at the end.
-    parted: RefCell<VecDeque<Parted>>,
-    timings: RefCell<Vec<(CompactString, Rc<RefCell<FirstToken>>)>>,
+    removed_targets: RefCell<VecDeque<RemovedTarget>>,
+    first_token_models: RefCell<Vec<(CompactString, Rc<RefCell<FirstTokenModel>>)>>,
 }
 
 /// A request as placement sees it.
@@ -91,7 +91,7 @@
         let i = match all.binary_search_by(|b| b.info.borrow().id.cmp(&info.id)) {
             Ok(i) => i,
             Err(i) => {
-                let standing = self.rejoin(&info);
+                let standing = self.recall_standing(&info);
                 all.insert(i, self.backend(info, standing));
                 return Change::New;
             }
@@ -116,42 +116,42 @@
     }
 
     fn backend(&self, info: TargetInfo, standing: Standing) -> Rc<Backend> {
-        let timing = self.timing(&info.service);
-        Rc::new(Backend::new(info, standing, timing))
+        let first_token_model = self.first_token_model(&info.service);
+        Rc::new(Backend::new(info, standing, first_token_model))
     }
 
     /// Keeps what a target said whose entry is gone.
-    fn part(&self, b: &Backend) {
+    fn remember_standing(&self, b: &Backend) {
         if !b.standing.holds_off(Instant::now()) {
             return;
         }
-        let mut parted = self.parted.borrow_mut();
-        if parted.len() >= MAX_PARTED {
-            parted.pop_front();
+        let mut removed_targets = self.removed_targets.borrow_mut();
+        if removed_targets.len() >= MAX_REMOVED_TARGETS {
+            removed_targets.pop_front();
         }
         let born = b.info.borrow().born;
-        parted.push_back(Parted { id: b.id(), born, standing: b.standing.clone() });
+        removed_targets.push_back(RemovedTarget { id: b.id(), born, standing: b.standing.clone() });
     }
 
     /// What a target has said before its entry was gone.
-    fn rejoin(&self, info: &TargetInfo) -> Standing {
-        let mut parted = self.parted.borrow_mut();
-        let found = parted.iter().rposition(|p| p.id == info.id);
-        let known = found.and_then(|i| parted.remove(i));
+    fn recall_standing(&self, info: &TargetInfo) -> Standing {
+        let mut removed_targets = self.removed_targets.borrow_mut();
+        let found = removed_targets.iter().rposition(|p| p.id == info.id);
+        let known = found.and_then(|i| removed_targets.remove(i));
         known.filter(|p| !info.is_newer(p.born)).map(|p| p.standing).unwrap_or_default()
     }
 
     /// What is learnt of a service's engines.
-    fn timing(&self, service: &str) -> Rc<RefCell<FirstToken>> {
-        let mut timings = self.timings.borrow_mut();
-        let i = match timings.binary_search_by(|(s, _)| s.as_str().cmp(service)) {
+    fn first_token_model(&self, service: &str) -> Rc<RefCell<FirstTokenModel>> {
+        let mut first_token_models = self.first_token_models.borrow_mut();
+        let i = match first_token_models.binary_search_by(|(s, _)| s.as_str().cmp(service)) {
             Ok(i) => i,
             Err(i) => {
-                timings.insert(i, (service.into(), Rc::default()));
+                first_token_models.insert(i, (service.into(), Rc::default()));
                 i
             }
         };
-        timings[i].1.clone()
+        first_token_models[i].1.clone()
     }
 
     /// A target's entry is gone for good.
@@ -160,7 +160,7 @@
         let found = all.binary_search_by(|b| b.info.borrow().id.as_str().cmp(id));
         let Ok(i) = found else { return false };
         let gone = all.remove(i);
-        self.part(&gone);
+        self.remember_standing(&gone);
         // What still runs there has it in hand; it ends when that is over.
         gone.info.borrow_mut().state = TargetState::Draining;
         true
@@ -176,20 +176,20 @@
     }
 
     /// Removes the targets whose entries have not come back. Returns their ids.
-    pub fn sweep(&self) -> Vec<CompactString> {
+    pub fn remove_lapsed(&self) -> Vec<CompactString> {
         let mut all = self.all.borrow_mut();
         let (gone, left): (Vec<_>, Vec<_>) = all.drain(..).partition(|b| b.lapsed.get());
         *all = left;
-        gone.iter().for_each(|b| self.part(b));
+        gone.iter().for_each(|b| self.remember_standing(b));
         gone.iter().map(|b| b.id()).collect()
     }
 
     /// Another router sent a prompt to the target of this digest. `cache_tokens` tells how many
     /// tokens the engines of a service keep.
-    pub fn hinted(
+    pub fn apply_hint(
         &self,
         word: u64,
-        reading: Reading,
+        work: PrefillWork,
         parts: &[Part],
         cache_tokens: impl Fn(&str) -> u64,
     ) {
@@ -198,9 +198,9 @@
         let now = Instant::now();
         let mut load = b.load.borrow_mut();
         let estimate = b.timing.borrow().estimate();
-        let prefill_ms = estimate.map_or(0.0, |e| e.prefill_ms(reading)) * load.pace.get();
-        load.add(millis(prefill_ms), now);
-        load.cache.read(parts, now, cache_tokens(&b.info.borrow().service));
+        let prefill_ms = estimate.map_or(0.0, |e| e.prefill_ms(work)) * load.slowdown.get();
+        load.add_prefill(millis(prefill_ms), now);
+        load.cache.insert_parts(parts, now, cache_tokens(&b.info.borrow().service));
     }
 
     /// How many targets have said that they leave.
@@ -209,7 +209,7 @@
     }
 
     /// How many targets want no request for a while.
-    pub fn count_resting(&self) -> usize {
+    pub fn count_backing_off(&self) -> usize {
         let now = Instant::now();
         self.all.borrow().iter().filter(|b| b.standing.rests_for(now).is_some()).count()
     }
@@ -221,7 +221,7 @@
     }
 
     /// The target of a digest.
-    pub fn by_word(&self, word: u64) -> Option<Rc<Backend>> {
+    pub fn by_digest(&self, word: u64) -> Option<Rc<Backend>> {
         self.all.borrow().iter().find(|b| b.word == word).cloned()
     }
 
@@ -247,7 +247,7 @@
         let all = self.all.borrow();
         let affinity = affinity_key(req.parts);
         let mut exclusion = None;
-        let takes = |b: &&Rc<Backend>| {
+        let is_allowed = |b: &&Rc<Backend>| {
             let info = b.info.borrow();
             if info.service != req.service || !b.is_expected_to_stay() {
                 return false;
@@ -260,19 +260,19 @@
             exclusion_reason.is_none()
         };
         let ranked = |b: &Rc<Backend>| {
-            let far = b.info.borrow().zone != req.zone;
-            (far, std::cmp::Reverse(rank_word(affinity, &b.id())), b.clone())
+            let other_zone = b.info.borrow().zone != req.zone;
+            (other_zone, std::cmp::Reverse(rendezvous_digest(affinity, &b.id())), b.clone())
         };
-        let mut found: Vec<_> = all.iter().filter(takes).map(ranked).collect();
-        found.sort_by_key(|(far, word, _)| (*far, *word));
-        let near = found.iter().filter(|(far, _, _)| !far).count();
-        let with_facts = |(i, (far, _, b)): (usize, (bool, _, Rc<Backend>))| {
-            let rank = if far { i - near } else { i };
+        let mut found: Vec<_> = all.iter().filter(is_allowed).map(ranked).collect();
+        found.sort_by_key(|(other_zone, digest, _)| (*other_zone, *digest));
+        let same_zone_count = found.iter().filter(|(other_zone, _, _)| !other_zone).count();
+        let to_candidate = |(i, (other_zone, _, b)): (usize, (bool, _, Rc<Backend>))| {
+            let rank = if other_zone { i - same_zone_count } else { i };
             let c = candidate(&b, req, rank, now);
             (b, c)
         };
         PlacementCandidates {
-            candidates: found.into_iter().enumerate().map(with_facts).collect(),
+            candidates: found.into_iter().enumerate().map(to_candidate).collect(),
             exclusion,
         }
     }
@@ -281,17 +281,17 @@
 fn candidate(b: &Backend, req: &PlacementRequest<'_>, rank: usize, now: Instant) -> Candidate {
     let info = b.info.borrow();
     let load = b.load.borrow();
-    let uncached = req.prompt.saturating_sub(load.cache.cached(req.parts));
-    let reading = Reading::of(req.prompt, uncached);
+    let uncached = req.prompt.saturating_sub(load.cache.cached_tokens(req.parts));
+    let work = PrefillWork::of(req.prompt, uncached);
     let estimate = b.timing.borrow().estimate().filter(|_| req.engine);
-    let pace = load.pace.get();
-    let wait_ms = load.read_by.saturating_duration_since(now).as_secs_f64() * 1_000.0;
+    let slowdown = load.slowdown.get();
+    let wait_ms = load.prefills_done_at.saturating_duration_since(now).as_secs_f64() * 1_000.0;
     Candidate {
         same_zone: info.zone == req.zone,
         uncached,
         wait_ms,
-        base_ms: estimate.map_or(0.0, |e| e.base_ms) * pace,
-        prefill_ms: estimate.map_or(0.0, |e| e.prefill_ms(reading)) * pace,
+        base_ms: estimate.map_or(0.0, |e| e.base_ms) * slowdown,
+        prefill_ms: estimate.map_or(0.0, |e| e.prefill_ms(work)) * slowdown,
         in_flight_requests: load.in_flight_requests,
         slots: info.slots,
         rank,
@@ -305,16 +305,16 @@
 }
 
 /// The parts that other requests may share: all but the last, which is the request's own.
-fn shared_parts(parts: &[Part]) -> &[Part] {
+fn shareable_parts(parts: &[Part]) -> &[Part] {
     parts.split_last().map_or(parts, |(_, shared)| shared)
 }
 
 /// What requests with the same cached prompt have in common: the last part they share.
 fn affinity_key(parts: &[Part]) -> u64 {
-    shared_parts(parts).last().or(parts.last()).map_or_else(|| fastrand::u64(..), |p| p.id)
+    shareable_parts(parts).last().or(parts.last()).map_or_else(|| fastrand::u64(..), |p| p.id)
 }
 
-fn rank_word(key: u64, id: &str) -> u64 {
+fn rendezvous_digest(key: u64, id: &str) -> u64 {
     let mut bytes = Vec::with_capacity(8 + id.len());
     bytes.extend_from_slice(&key.to_le_bytes());
     bytes.extend_from_slice(id.as_bytes());
--- a/src/gateway/timing.rs
+++ b/src/gateway/timing.rs
@@ -5,37 +5,37 @@
 
 /// How much of what was learnt is kept with each further answer. The latest 50 count most, which
 /// at a few answers a second from each target follows an engine that slows down within seconds.
-const KEEP: f64 = 0.98;
+const DECAY: f64 = 0.98;
 /// Answers after which one that lies far off is cut to the usual spread: it met a fault or a
 /// queue that this router did not know of. 5% of such answers would otherwise set the slope.
-const TRUSTED: f64 = 8.0;
+const OUTLIER_MIN_ANSWERS: f64 = 8.0;
 /// What counts as far off, in mean deviations.
-const FAR_OFF: f64 = 4.0;
+const OUTLIER_DEVIATIONS: f64 = 4.0;
 /// Part of the time to a first token that is put down to reading the prompt while all prompts
 /// seen so far were of about one size and cannot tell the two apart.
-const READING: f64 = 0.5;
+const ASSUMED_PREFILL_SHARE: f64 = 0.5;
 /// Spread of prompt sizes, as a part of their mean, from which a slope can be told.
-const LEAST_SPREAD: f64 = 0.2;
+const MIN_SIZE_SPREAD: f64 = 0.2;
 /// Part of the variance of pairs that is added to it: they grow with the tokens, and what a few
 /// answers cannot tell apart is put down to the tokens.
 const RIDGE: f64 = 0.01;
 /// Answers of its service's engines that a target's own pace is weighed against.
-const PACE_PRIOR: f64 = 6.0;
+const SLOWDOWN_PRIOR_ANSWERS: f64 = 6.0;
 
 /// What an engine has to do for a prompt before its first token.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Reading {
+pub struct PrefillWork {
     /// Tokens that it has not cached.
     pub tokens: f64,
     /// Pairs of a token to read and one before it, in millions: attention reads each of them.
-    pub pairs: f64,
+    pub million_pairs: f64,
 }
 
-impl Reading {
+impl PrefillWork {
     /// A prompt of `prompt` tokens of which `uncached` are not cached.
-    pub fn of(prompt: u64, uncached: u64) -> Reading {
+    pub fn of(prompt: u64, uncached: u64) -> PrefillWork {
         let (prompt, uncached) = (prompt as f64, uncached.min(prompt) as f64);
-        Reading { tokens: uncached, pairs: uncached * (prompt - uncached / 2.0) / 1e6 }
+        PrefillWork { tokens: uncached, million_pairs: uncached * (prompt - uncached / 2.0) / 1e6 }
     }
 }
 
@@ -47,18 +47,18 @@
     /// Time to read a token, ms.
     pub ms_per_token: f64,
     /// Time for a million pairs, ms.
-    pub ms_per_pairs: f64,
+    pub ms_per_million_pairs: f64,
 }
 
 impl Estimate {
     /// Time for which reading a prompt keeps an engine busy, ms.
-    pub fn prefill_ms(&self, r: Reading) -> f64 {
-        r.tokens * self.ms_per_token + r.pairs * self.ms_per_pairs
+    pub fn prefill_ms(&self, work: PrefillWork) -> f64 {
+        work.tokens * self.ms_per_token + work.million_pairs * self.ms_per_million_pairs
     }
 
     /// Time to the first token of a prompt that waits for no other, ms.
-    pub fn of(&self, r: Reading) -> f64 {
-        self.base_ms + self.prefill_ms(r)
+    pub fn of(&self, work: PrefillWork) -> f64 {
+        self.base_ms + self.prefill_ms(work)
     }
 }
 
@@ -73,14 +73,14 @@
 }
 
 impl Moments {
-    fn add(&mut self, r: Reading, ms: f64) {
-        let (x, z) = (r.tokens, r.pairs);
-        self.n = self.n * KEEP + 1.0;
+    fn add(&mut self, work: PrefillWork, ms: f64) {
+        let (x, z) = (work.tokens, work.million_pairs);
+        self.n = self.n * DECAY + 1.0;
         for (sum, v) in self.sums.iter_mut().zip([x, z, ms]) {
-            *sum = *sum * KEEP + v;
+            *sum = *sum * DECAY + v;
         }
         for (sum, v) in self.products.iter_mut().zip([x * x, x * z, z * z, x * ms, z * ms]) {
-            *sum = *sum * KEEP + v;
+            *sum = *sum * DECAY + v;
         }
     }
 
@@ -92,88 +92,89 @@
 /// First-token times against what was to be read, by least squares over the latest answers of a
 /// service's engines.
 #[derive(Clone, Debug, Default)]
-pub struct FirstToken {
-    seen: Moments,
+pub struct FirstTokenModel {
+    moments: Moments,
     /// Mean deviation from the estimate, ms.
-    deviation: f64,
+    mean_deviation_ms: f64,
 }
 
-impl FirstToken {
+impl FirstTokenModel {
     /// What is known; nothing before the first answer.
     pub fn estimate(&self) -> Option<Estimate> {
-        let m = &self.seen;
+        let m = &self.moments;
         if m.n == 0.0 {
             return None;
         }
         let [x, z, y] = m.means();
         let [xx, xz, zz, xy, zy] = m.products.map(|p| p / m.n);
         let spread = xx - x * x;
-        let (a, b) = if m.n >= 2.0 && spread.max(0.0).sqrt() > LEAST_SPREAD * x {
-            slopes([spread, xz - x * z, zz - z * z, xy - x * y, zy - z * y])
+        let (a, b) = if m.n >= 2.0 && spread.max(0.0).sqrt() > MIN_SIZE_SPREAD * x {
+            fit_slopes([spread, xz - x * z, zz - z * z, xy - x * y, zy - z * y])
         } else {
-            (if x > 0.0 { READING * y / x } else { 0.0 }, 0.0)
+            (if x > 0.0 { ASSUMED_PREFILL_SHARE * y / x } else { 0.0 }, 0.0)
         };
         let base = y - a * x - b * z;
         if base >= 0.0 {
-            return Some(Estimate { base_ms: base, ms_per_token: a, ms_per_pairs: b });
+            return Some(Estimate { base_ms: base, ms_per_token: a, ms_per_million_pairs: b });
         }
         // No part of a time is negative: all of it is reading then.
-        let (a, b) = slopes([xx, xz, zz, xy, zy]);
-        Some(Estimate { base_ms: 0.0, ms_per_token: a, ms_per_pairs: b })
+        let (a, b) = fit_slopes([xx, xz, zz, xy, zy]);
+        Some(Estimate { base_ms: 0.0, ms_per_token: a, ms_per_million_pairs: b })
     }
 
     /// Notes an answer: the first token came after `ms`, waits for other prompts taken off.
-    pub fn note(&mut self, r: Reading, ms: f64) {
+    pub fn note(&mut self, work: PrefillWork, ms: f64) {
         let mut ms = ms;
-        if let Some(expected) = self.estimate().map(|e| e.of(r)) {
-            if self.seen.n >= TRUSTED {
-                let far = FAR_OFF * self.deviation;
-                ms = ms.clamp(expected - far, expected + far).max(0.0);
+        if let Some(expected) = self.estimate().map(|e| e.of(work)) {
+            if self.moments.n >= OUTLIER_MIN_ANSWERS {
+                let max_deviation_ms = OUTLIER_DEVIATIONS * self.mean_deviation_ms;
+                ms = ms.clamp(expected - max_deviation_ms, expected + max_deviation_ms).max(0.0);
             }
-            self.deviation += ((ms - expected).abs() - self.deviation) / (self.seen.n + 1.0);
+            self.mean_deviation_ms +=
+                ((ms - expected).abs() - self.mean_deviation_ms) / (self.moments.n + 1.0);
         }
-        self.seen.add(r, ms);
+        self.moments.add(work, ms);
     }
 }
 
 /// Solves for two slopes that are not negative; one that would be is left out.
-fn slopes([xx, xz, zz, xy, zy]: [f64; 5]) -> (f64, f64) {
+fn fit_slopes([xx, xz, zz, xy, zy]: [f64; 5]) -> (f64, f64) {
     let zz = zz * (1.0 + RIDGE);
-    let alone = |v: f64, vy: f64| if v > 0.0 { (vy / v).max(0.0) } else { 0.0 };
+    let single_slope = |v: f64, vy: f64| if v > 0.0 { (vy / v).max(0.0) } else { 0.0 };
     let det = xx * zz - xz * xz;
     if det <= 0.0 {
-        return (alone(xx, xy), 0.0);
+        return (single_slope(xx, xy), 0.0);
     }
     let (a, b) = ((xy * zz - zy * xz) / det, (zy * xx - xy * xz) / det);
     match (a < 0.0, b < 0.0) {
         (false, false) => (a, b),
-        (_, true) => (alone(xx, xy), 0.0),
-        (true, false) => (0.0, alone(zz, zy)),
+        (_, true) => (single_slope(xx, xy), 0.0),
+        (true, false) => (0.0, single_slope(zz, zy)),
     }
 }
 
 /// How much slower one target is than its service's engines on the whole.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct Slowdown {
     n: f64,
     expected: f64,
     measured: f64,
 }
 
-impl Pace {
+impl Slowdown {
     /// The factor: 1 for a target like the others, 2 for one that takes twice as long.
     pub fn get(&self) -> f64 {
         if self.n == 0.0 || self.expected <= 0.0 {
             return 1.0;
         }
-        let prior = PACE_PRIOR * self.expected / self.n;
+        let prior = SLOWDOWN_PRIOR_ANSWERS * self.expected / self.n;
         (self.measured + prior) / (self.expected + prior)
     }
 
     /// Notes an answer that was expected after `expected` ms by the service's line.
     pub fn note(&mut self, expected: f64, measured: f64) {
-        self.n = self.n * KEEP + 1.0;
-        self.expected = self.expected * KEEP + expected;
-        self.measured = self.measured * KEEP + measured;
+        self.n = self.n * DECAY + 1.0;
+        self.expected = self.expected * DECAY + expected;
+        self.measured = self.measured * DECAY + measured;
     }
 }
--- a/tests/test_gateway_targets.rs
+++ b/tests/test_gateway_targets.rs
@@ -8,7 +8,7 @@
 use kingcupwall::gateway::notice::{Notice, RetryAfter, Standing};
 use kingcupwall::gateway::request::Part;
 use kingcupwall::gateway::targets::{Change, PlacementRequest, Targets};
-use kingcupwall::gateway::timing::Reading;
+use kingcupwall::gateway::timing::PrefillWork;
 use kingcupwall::gateway::zone_filter::ZoneFilter;
 use rstest::rstest;
 use tokio::time::Instant;
@@ -154,7 +154,7 @@
     let word = target_word("t1");
     let hint = |parts: &[Part]| {
         let prompt: u64 = parts.iter().map(|p| p.tokens).sum();
-        targets.hinted(word, Reading::of(prompt, prompt), parts, |_| KEPT);
+        targets.apply_hint(word, PrefillWork::of(prompt, prompt), parts, |_| KEPT);
     };
     hint(&PARTS);
     let uncached = || targets.candidates(&request()).candidates.remove(0).1.uncached;
@@ -208,12 +208,12 @@
 }
 
 #[test]
-fn sweep_keeps_leaving() {
+fn remove_lapsed_keeps_leaving() {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
     only(&targets).standing.take(LEAVING, Instant::now());
     targets.lapse("t1");
-    assert_eq!(targets.sweep(), ["t1"]);
+    assert_eq!(targets.remove_lapsed(), ["t1"]);
     targets.set(entry(Some(5), READY));
     assert!(targets.candidates(&request()).candidates.is_empty());
 }
@@ -256,7 +256,7 @@
     let takes_some = |t: &Targets| {
         t.candidates(&request()).candidates.iter().filter(|(_, c)| c.backoff.is_none()).count()
     };
-    assert_eq!((takes_some(&targets), targets.count_resting()), (takes, 1 - takes));
+    assert_eq!((takes_some(&targets), targets.count_backing_off()), (takes, 1 - takes));
     tokio::time::advance(Duration::from_secs(3)).await;
     assert_eq!(takes_some(&targets), 1);
 }
--- a/tests/test_gateway_timing.rs
+++ b/tests/test_gateway_timing.rs
@@ -1,13 +1,13 @@
 //! What is learnt of engines.
 
-use kingcupwall::gateway::timing::{FirstToken, Pace, Reading};
+use kingcupwall::gateway::timing::{FirstTokenModel, PrefillWork, Slowdown};
 use rstest::rstest;
 
 /// Prompt sizes as they come: many small ones, some large ones.
 const SIZES: [u64; 6] = [300, 800, 1_500, 400, 9_000, 2_500];
 
-fn read(tokens: u64) -> Reading {
-    Reading::of(tokens, tokens)
+fn uncached_prompt(tokens: u64) -> PrefillWork {
+    PrefillWork::of(tokens, tokens)
 }
 
 /// Engines of another maker read 140 tokens a ms and take 55 ms to a first token whatever the
@@ -19,15 +19,15 @@
 #[case(140.0, 55.0)]
 #[case(200.0, 100.0)]
 fn first_token_any_engine(#[case] tokens_per_ms: f64, #[case] base_ms: f64) {
-    let mut timing = FirstToken::default();
-    assert_eq!(timing.estimate(), None);
+    let mut model = FirstTokenModel::default();
+    assert_eq!(model.estimate(), None);
     let truth = |tokens: u64| base_ms + tokens as f64 / tokens_per_ms;
     for tokens in SIZES.iter().cycle().take(12) {
-        timing.note(read(*tokens), truth(*tokens));
+        model.note(uncached_prompt(*tokens), truth(*tokens));
     }
-    let found = timing.estimate().unwrap();
+    let found = model.estimate().unwrap();
     for tokens in SIZES {
-        let off = (found.of(read(tokens)) - truth(tokens)).abs();
+        let off = (found.of(uncached_prompt(tokens)) - truth(tokens)).abs();
         assert!(off < 3.0 + 0.03 * truth(tokens), "{tokens}: {found:?}");
     }
 }
@@ -36,14 +36,14 @@
 /// before it. Predicted by their tokens alone they came too late, and all that waited behind them.
 #[test]
 fn first_token_long_prompts() {
-    let mut timing = FirstToken::default();
-    let truth = |r: Reading| 55.0 + r.tokens / 140.0 + r.pairs * 0.3;
+    let mut model = FirstTokenModel::default();
+    let truth = |r: PrefillWork| 55.0 + r.tokens / 140.0 + r.million_pairs * 0.3;
     let sizes = [300, 800, 1_500, 400, 9_000, 2_500, 30_000, 5_000];
     for tokens in sizes.iter().cycle().take(80) {
-        timing.note(read(*tokens), truth(read(*tokens)));
+        model.note(uncached_prompt(*tokens), truth(uncached_prompt(*tokens)));
     }
-    let found = timing.estimate().unwrap();
-    for r in [read(50_000), read(1_000), Reading::of(20_000, 2_000)] {
+    let found = model.estimate().unwrap();
+    for r in [uncached_prompt(50_000), uncached_prompt(1_000), PrefillWork::of(20_000, 2_000)] {
         assert!((found.of(r) / truth(r) - 1.0).abs() < 0.1, "{r:?}: {found:?}");
     }
 }
@@ -51,35 +51,35 @@
 #[test]
 fn first_token_one_answer() {
     // One answer says how long its like takes; larger ones are not taken for free.
-    let mut timing = FirstToken::default();
-    timing.note(read(1_000), 40.0);
-    let found = timing.estimate().unwrap();
-    assert!((found.of(read(1_000)) - 40.0).abs() < 0.001);
-    assert!(found.of(read(10_000)) > 40.0 && found.of(read(0)) < 40.0);
+    let mut model = FirstTokenModel::default();
+    model.note(uncached_prompt(1_000), 40.0);
+    let found = model.estimate().unwrap();
+    assert!((found.of(uncached_prompt(1_000)) - 40.0).abs() < 0.001);
+    assert!(found.of(uncached_prompt(10_000)) > 40.0 && found.of(uncached_prompt(0)) < 40.0);
 }
 
 #[test]
 fn first_token_outliers() {
     // One answer in fifteen waits for a lost packet: 1 s, whatever its prompt.
-    let mut timing = FirstToken::default();
+    let mut model = FirstTokenModel::default();
     for (i, tokens) in SIZES.iter().cycle().take(150).enumerate() {
         let ms = if i % 15 == 14 { 1_000.0 } else { 55.0 + *tokens as f64 / 140.0 };
-        timing.note(read(*tokens), ms);
+        model.note(uncached_prompt(*tokens), ms);
     }
-    let off = timing.estimate().unwrap().of(read(1_500)) - (55.0 + 1_500.0 / 140.0);
+    let off = model.estimate().unwrap().of(uncached_prompt(1_500)) - (55.0 + 1_500.0 / 140.0);
     assert!(off.abs() < 25.0, "{off}");
 }
 
 #[test]
 fn first_token_slows_down() {
-    let mut timing = FirstToken::default();
+    let mut model = FirstTokenModel::default();
     for tokens in SIZES.iter().cycle().take(60) {
-        timing.note(read(*tokens), 55.0 + *tokens as f64 / 140.0);
+        model.note(uncached_prompt(*tokens), 55.0 + *tokens as f64 / 140.0);
     }
     for tokens in SIZES.iter().cycle().take(200) {
-        timing.note(read(*tokens), 150.0 + *tokens as f64 / 50.0);
+        model.note(uncached_prompt(*tokens), 150.0 + *tokens as f64 / 50.0);
     }
-    let found = timing.estimate().unwrap().of(read(2_500));
+    let found = model.estimate().unwrap().of(uncached_prompt(2_500));
     assert!((found - 200.0).abs() < 30.0, "{found}");
 }
 
@@ -87,15 +87,15 @@
 #[case::like_the_others(1.0)]
 #[case::slow(3.0)]
 #[case::fast(0.5)]
-fn pace_follows(#[case] factor: f64) {
-    let mut pace = Pace::default();
-    assert_eq!(pace.get(), 1.0);
+fn slowdown_follows(#[case] factor: f64) {
+    let mut slowdown = Slowdown::default();
+    assert_eq!(slowdown.get(), 1.0);
     for _ in 0..80 {
-        pace.note(60.0, 60.0 * factor);
+        slowdown.note(60.0, 60.0 * factor);
     }
-    assert!((pace.get() - factor).abs() < 0.3 * factor, "{}", pace.get());
+    assert!((slowdown.get() - factor).abs() < 0.3 * factor, "{}", slowdown.get());
     // A single answer moves it little.
-    let mut pace = Pace::default();
-    pace.note(60.0, 180.0);
-    assert!(pace.get() < 1.4);
+    let mut slowdown = Slowdown::default();
+    slowdown.note(60.0, 180.0);
+    assert!(slowdown.get() < 1.4);
 }
