--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -1,4 +1,4 @@
-//! Entry answers: which routers callers of a zone should connect to.
+//! Entry answers: the routers to which callers of a zone should connect.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -7,89 +7,93 @@
 
 use super::zone_filter::ZoneRegions;
 
-/// Room that is left at the routers named, against the rate of the last moments: callers come in
-/// clumps, and an answer is kept for a while.
+/// Headroom of the named routers over the recent request rate, as a factor. Requests arrive in
+/// bursts, and callers keep an answer for a while.
 const HEADROOM_FACTOR: f64 = 1.3;
-/// Routers with at least this part of the largest one's capacity count as large, too.
+/// Routers with at least this fraction of the largest router's capacity count as large.
 const LARGE_MIN_FRACTION: f64 = 0.5;
-/// How far beyond their stated capacity, which is a fifth of what they bear, large routers are used
-/// before small ones are named.
+/// How far large routers are used beyond their stated capacity, as a factor, before small routers
+/// are named. The stated capacity is a fifth of what a router can handle.
 const MAX_OVER_CAPACITY_FACTOR: f64 = 2.0;
-/// Addresses in one answer, at most.
+/// Maximum number of addresses in one answer.
 const MAX_ANSWER_ADDRESSES: usize = 64;
 
-/// A router as others see it.
+/// What a router publishes about itself to other routers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RouterEntry {
-    /// Where callers connect.
+    /// Address to which callers connect.
     pub front: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the router.
     pub zone: CompactString,
-    /// Whether it is stopping.
+    /// Whether the router is shutting down.
     pub leaving: bool,
-    /// Requests a second that it took of late.
+    /// Recent request rate, per second.
     pub rate: u32,
-    /// Requests a second that it can take.
+    /// Stated capacity, in requests per second.
     pub capacity: u32,
 }
 
-/// What the entry answers of this router rest on.
+/// The data from which this router computes entry answers.
 #[derive(Clone, Debug, Default)]
 pub struct EntryView {
-    /// All routers that live, this one included.
+    /// All live routers, including this one.
     pub routers: Vec<RouterEntry>,
-    /// Whether this router takes requests.
+    /// Whether this router accepts requests.
     pub ready: bool,
-    /// Regions that some routes of a host are bound to, by host.
+    /// For each host, the regions to which some of its routes are restricted.
     pub host_homes: Vec<(CompactString, Vec<CompactString>)>,
 }
 
 impl EntryView {
-    /// The routers that callers of `zone` should use: those of the zone, which costs no traffic
-    /// between zones, and of them only as many as carry the zone's requests, see [`routers_needed`]. Each
-    /// router that takes an organisation's requests holds a part of its budget, so fewer
-    /// routers strand less of it, and leave less in doubt when they die. If the zone has none, the
-    /// routers of its region; if that has none, those of the regions that the host is bound to;
-    /// all routers at last.
+    /// The addresses of the routers that callers of `zone` should use.
+    ///
+    /// Prefers routers of the same zone, which avoids traffic between zones, and of these names
+    /// only as many as the zone's request rate needs, see [`routers_needed`]. Each router that
+    /// serves an organisation holds a part of its budget. With fewer routers, less of the budget is
+    /// stranded, and less is in doubt when routers fail. If the zone has no routers, names those of
+    /// the zone's region; if that has none, those of the regions to which the host is restricted;
+    /// otherwise all routers.
     pub fn answer(&self, host: &str, zone: &str, regions: &ZoneRegions) -> Vec<SocketAddr> {
         let in_zone = || self.routers.iter().filter(|r| r.zone == zone);
         let rate: f64 = in_zone().map(|r| f64::from(r.rate)).sum();
         let mut staying: Vec<_> = in_zone().filter(|r| !r.leaving).collect();
-        // All routers answer alike: those of one size in the order of their addresses.
+        // All routers must compute the same answer: routers of equal capacity are sorted by
+        // address.
         staying.sort_by_key(|r| (Reverse(r.capacity), r.front));
         let capacities: Vec<f64> = staying.iter().map(|r| f64::from(r.capacity)).collect();
         let n = routers_needed(&capacities, rate);
-        let mut near: Vec<SocketAddr> = staying[..n].iter().map(|r| r.front).collect();
-        let own = regions.region(zone).map(std::slice::from_ref).unwrap_or_default();
-        for within in [own, self.homes(host)] {
-            if near.is_empty() {
+        let mut named: Vec<SocketAddr> = staying[..n].iter().map(|r| r.front).collect();
+        let own_region = regions.region(zone).map(std::slice::from_ref).unwrap_or_default();
+        for within in [own_region, self.homes(host)] {
+            if named.is_empty() {
                 let in_regions = |z: &str| regions.region(z).is_some_and(|r| within.contains(r));
                 let staying = self.routers.iter().filter(|r| !r.leaving && in_regions(&r.zone));
-                near.extend(staying.map(|r| r.front));
+                named.extend(staying.map(|r| r.front));
             }
         }
-        if near.is_empty() {
+        if named.is_empty() {
             let staying = self.routers.iter().filter(|r| !r.leaving);
-            near.extend(staying.map(|r| r.front));
+            named.extend(staying.map(|r| r.front));
         }
-        near.truncate(MAX_ANSWER_ADDRESSES);
-        near
+        named.truncate(MAX_ANSWER_ADDRESSES);
+        named
     }
 
-    /// Regions that some routes of a host are bound to.
+    /// Regions to which some of the host's routes are restricted.
     fn homes(&self, host: &str) -> &[CompactString] {
         let found = self.host_homes.iter().find(|(h, _)| h.eq_ignore_ascii_case(host));
         found.map_or(&[], |(_, homes)| homes)
     }
 }
 
-/// How many routers of these capacities, the largest first, to name for `rate` requests a second.
+/// Number of routers to name for `rate` requests per second. `capacities` holds the capacity of
+/// each router in requests per second, the largest first.
 ///
-/// Callers spread evenly over the routers named, whatever these can carry. So one small router
-/// beside two large ones gets as much as each of them: when an organisation sends many times its
-/// usual, it would get several times what its link carries, while the large ones idle. Small
-/// routers are named only for rates that the large ones cannot carry, and then so many that an even
-/// share is little enough for each.
+/// Callers spread evenly over the named routers, whatever the capacity of each. A small router
+/// beside two large ones would therefore get as much as each of them: when an organisation sends a
+/// multiple of its usual rate, the small router would get several times what its link can carry
+/// while the large ones are idle. Small routers are named only for rates that the large ones cannot
+/// handle, and then enough of them that an even share fits each one.
 pub fn routers_needed(capacities: &[f64], rate: f64) -> usize {
     let Some(largest) = capacities.first() else { return 0 };
     let utilization = |n: usize| rate / n as f64 / capacities[n - 1].max(1.0);
--- a/src/gateway/fingerprint.rs
+++ b/src/gateway/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same, whatever their ids.
+//! Fingerprints that identify requests with the same content, independent of their ids.
 
 use std::fmt;
 
@@ -9,22 +9,24 @@
 
 use super::request::host;
 
-/// Digest of what a target is asked: organisation, method, host, path with query, and body. The
-/// organisation is part of it, so that nobody can make a request that passes for another's.
+/// Digest of what a request asks of a target: organisation, method, host, path with query, and
+/// body. The organisation is included so that nobody can craft a request with the fingerprint of
+/// another organisation's request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of a request of `org`.
+    /// Computes the fingerprint of a request of `org`.
     pub fn of(org: Option<&str>, head: &RequestHead, body: &[u8]) -> Fingerprint {
         let parts = [org.unwrap_or_default(), &head.method, host(head), &head.target];
         let len = parts.iter().map(|p| p.len() + 1).sum::<usize>() + body.len();
         let mut bytes = Vec::with_capacity(len);
         for part in parts {
             bytes.extend_from_slice(part.as_bytes());
-            // No part can hold it: two requests never run into the same bytes.
+            // No part can contain a zero byte, so two different requests never yield the same
+            // bytes.
             bytes.push(0);
         }
         bytes.extend_from_slice(body);
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -12,14 +12,14 @@
 use super::catalog::{Catalog, Route, RouteKind};
 use super::fingerprint::Fingerprint;
 use super::liveness::await_evidence;
-use super::placement::{Placement, PlacementGoal, place};
+use super::outcome::{self, FinalAnswer, NextStep, SendCounts, SendOutcome};
+use super::place::{Placement, PlacementGoal, place};
 use super::refusal::{
     DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER, RejectedRequest, RouterResponse, backoff_refusal,
     cold_refusal,
 };
 use super::reply::Reply;
 use super::request::{Facts, Names, host, path};
-use super::retry_policy::{self, FinalAnswer, NextStep, SendCounts, SendOutcome};
 use super::state::{Gateway, Platform};
 use super::stats::sent;
 use super::sync::confirm_config;
@@ -323,7 +323,7 @@
             if ended.is_broken() {
                 await_evidence(self.broke_off(&backend)).await;
             }
-            let final_answer = match retry_policy::next_step(
+            let final_answer = match outcome::next_step(
                 self.route.kind,
                 ended,
                 self.made,
--- a/src/gateway/hints.rs
+++ b/src/gateway/hints.rs
@@ -1,9 +1,9 @@
-//! Routers tell one another where they send prompts.
+//! Placement hints: routers inform each other of the prompts that they send to targets.
 //!
-//! An engine's load is what all routers sent to it, and a prompt's parts are cached where any of
-//! them sent it. Each router sends its own placements of the last moments to the others in one
-//! datagram. A datagram may be lost: what it says is worth little a second later, so nothing is
-//! sent twice and no connection is kept for it.
+//! An engine's load consists of the prompts from all routers, and a prompt's parts are cached
+//! wherever any router sent them. Each router sends its recent placements to the others in one
+//! datagram. Datagrams can be lost, but a hint is worth little after a second, so there are no
+//! retransmissions and no connections.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,28 +18,29 @@
 use super::datagram::Topic;
 use super::request::Part;
 
-/// Placements of so long go into one datagram: a wake-up costs more than the bytes.
+/// Time over which placements are collected into one datagram. Waking up the receivers costs more
+/// than the bytes.
 const BATCH_DELAY: Duration = Duration::from_millis(10);
-/// Placements in one datagram, at most; 60 bytes each keep it under a usual packet.
+/// Maximum number of placements in one datagram. At 60 bytes each, it fits into a usual packet.
 const MAX_PLACEMENTS: usize = 16;
-/// Routers of other zones that are told, at most. With many routers per zone, each zone's
-/// targets are used by its own routers alone, and telling all others would cost more traffic
-/// between zones than it saves.
+/// Maximum number of routers in other zones that get hints. With many routers per zone, each zone's
+/// targets are used by the routers of that zone alone, and hints to the others would cost more
+/// traffic between zones than they save.
 const MAX_OTHER_ZONE_PEERS: usize = 12;
-/// Format of a datagram; others are ignored.
+/// Version of the datagram format. Datagrams of other versions are ignored.
 const DATAGRAM_FORMAT: u8 = 2;
 
-/// One prompt on its way to a target.
+/// A prompt that was sent to a target.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub struct PlacementHint {
     /// Digest of the target's id.
     pub target: u64,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt: u32,
-    /// Those of them that were not cached.
+    /// Number of those tokens that were not cached.
     pub uncached: u32,
-    /// Its parts, id and tokens.
+    /// Id and token count of each prompt part.
     parts: Vec<(u64, u32)>,
 }
 
@@ -57,7 +58,7 @@
     hints: Vec<PlacementHint>,
 }
 
-/// Whom to tell, and what was not told yet.
+/// The peers that get hints, and the placements not yet sent.
 #[derive(Debug, Default)]
 pub struct PlacementHints {
     unsent: RefCell<Vec<PlacementHint>>,
@@ -67,7 +68,7 @@
 }
 
 impl PlacementHints {
-    /// Notes a placement of this router.
+    /// Queues a placement of this router. Drops it if there are no peers or the queue is full.
     pub fn record_placement(&self, target: &str, plan: &Planned, parts: &[Part]) {
         let mut unsent = self.unsent.borrow_mut();
         if self.peers.borrow().is_empty() || unsent.len() >= 4 * MAX_PLACEMENTS {
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Sets whom to tell: routers of the same zone, and those of others while they are few.
+    /// Sets the peers: routers of the same zone, and those of other zones unless there are too
+    /// many.
     pub fn set_peers(&self, same_zone: Vec<SocketAddr>, other_zones: Vec<SocketAddr>) {
         let other_zones =
             if other_zones.len() > MAX_OTHER_ZONE_PEERS { Vec::new() } else { other_zones };
@@ -105,7 +107,7 @@
         out
     }
 
-    /// Tells the others, for ever.
+    /// Sends queued placements to the peers. Never returns.
     pub async fn run_sender(&self, socket: &UdpSocket) {
         loop {
             if self.unsent.borrow().is_empty() {
@@ -115,7 +117,7 @@
             let bytes = Topic::Hints.frame(&self.take_datagram());
             let peers = self.peers.borrow().clone();
             for peer in peers {
-                // A full buffer or an unreachable peer loses a hint, which is made for that.
+                // A full buffer or an unreachable peer loses the hint, which is acceptable.
                 if socket.try_send_to(&bytes, peer).is_err() {
                     self.lost_datagrams.set(self.lost_datagrams.get() + 1);
                 }
@@ -124,7 +126,7 @@
     }
 }
 
-/// The placements that a datagram tells of; none if it cannot be read.
+/// Decodes the placements in a datagram. Returns none if it is malformed or of another version.
 pub fn parse(bytes: &[u8]) -> Vec<PlacementHint> {
     let read = ciborium::from_reader::<Datagram, _>(bytes).ok();
     read.filter(|d| d.format == DATAGRAM_FORMAT).map(|d| d.hints).unwrap_or_default()
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -1,5 +1,5 @@
-//! A target's load as one router knows it: prompts that its engine has not read yet, parts that it
-//! has cached, failures of late.
+//! A target's load as this router knows it: pending prefills, cached prompt parts and recent
+//! failures.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use super::request::Part;
 use super::timing::Slowdown;
 
-/// A prompt that should have been read so long ago is no longer counted on: its router may have
-/// taken it back without anyone hearing of it.
+/// Pending prefills are dropped this long after their predicted end. The router that sent the
+/// prompt may have cancelled it, and cancellations are not sent to other routers.
 const PREFILL_EXPIRY: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
@@ -19,9 +19,9 @@
     last_used: Instant,
 }
 
-/// Which parts of prompts a target has probably cached: those that routers sent there, the least
-/// recently used ones gone once they no longer fit. Parts that only one request uses count as
-/// well: they are most of what an engine keeps, and push the shared ones out.
+/// An estimate of the prompt parts that a target has cached: the parts that routers sent to it,
+/// with least-recently-used eviction. Parts that only one request uses count as well: they are most
+/// of what an engine keeps, and they evict the shared parts.
 #[derive(Debug, Default)]
 pub(super) struct PartCache {
     parts: Vec<CachedPart>,
@@ -33,7 +33,8 @@
         self.parts.binary_search_by_key(&id, |p| p.id).is_ok()
     }
 
-    /// Tokens of the leading parts that are cached; a part counts only if all before it do.
+    /// Number of tokens in the leading parts that are cached. A part counts only if all parts
+    /// before it are cached.
     pub(super) fn cached_tokens(&self, parts: &[Part]) -> u64 {
         parts.iter().take_while(|p| self.contains_part(p.id)).map(|p| p.tokens).sum()
     }
@@ -56,25 +57,25 @@
     }
 }
 
-/// A prompt that an engine has not read yet, as far as is known.
+/// A prompt whose prefill is not known to have ended.
 #[derive(Debug)]
 struct PendingPrefill {
     number: u64,
     prefill: Duration,
-    /// When it will be read, by the model.
+    /// Predicted end of the prefill.
     done_at: Instant,
 }
 
 #[derive(Debug)]
 pub(super) struct Load {
     pub(super) in_flight_requests: u32,
-    /// Prompts on their way, in the order in which they were sent by this router and, as far as
-    /// they said so, by others.
+    /// Prompts in the order in which this router sent them and, as far as they reported it, others
+    /// did.
     pending_prefills: Vec<PendingPrefill>,
     next_number: u64,
-    /// When the engine will have read them all, by the model.
+    /// Predicted end of all pending prefills.
     pub(super) prefills_done_at: Instant,
-    /// How much slower it is than its service's engines are on the whole.
+    /// Speed of the target relative to its service's engines.
     pub(super) slowdown: Slowdown,
     pub(super) cache: PartCache,
     pub(super) failures: u32,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Adds a prompt to what the engine has to read. Returns its number.
+    /// Adds a pending prefill. Returns its number.
     pub(super) fn add_prefill(&mut self, prefill: Duration, now: Instant) -> u64 {
         self.pending_prefills.retain(|p| p.done_at + PREFILL_EXPIRY > now);
         self.prefills_done_at = self.prefills_done_at.max(now) + prefill;
@@ -109,8 +110,8 @@
         number
     }
 
-    /// A prompt was read at `at`: so were all that were sent before it, and the engine has been
-    /// busy with those behind it since.
+    /// Records that the prefill `number` ended at `at`. Prefills run in order: all earlier ones
+    /// have ended as well, and the engine has been working on the later ones since then.
     pub(super) fn finish_prefill(&mut self, number: u64, at: Instant) {
         self.pending_prefills.retain(|p| p.number > number);
         self.prefills_done_at = at;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A prompt was taken back.
+    /// Removes the prefill of a cancelled request.
     pub(super) fn cancel_prefill(&mut self, number: u64) {
         let Some(i) = self.pending_prefills.iter().position(|p| p.number == number) else { return };
         let prefill = self.pending_prefills.remove(i).prefill;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -2,8 +2,8 @@
 //! be said when something failed, and the connections on both sides.
 //!
 //! Decisions are pure and stand in files of their own: [`catalog`] (route and organisation),
-//! [`placement`] (which target, and whether at all), [`retry_policy`] (what may follow a failure),
-//! [`retry_budget`] (whether the fleet can afford it), [`timing`] (how fast engines are), [`entry`] (which routers callers should use).
+//! [`place`] (which target, and whether at all), [`outcome`] (what may follow a failure),
+//! [`retries`] (whether the fleet can afford it), [`timing`] (how fast engines are), [`entry`] (which routers callers should use).
 //! [`forward`] with its sends, [`relay`] and [`front`] carry them out.
 
 pub mod backend;
@@ -22,16 +22,16 @@
 mod load;
 pub mod members;
 pub mod notice;
+pub mod outcome;
 pub mod peers;
-pub mod placement;
+pub mod place;
 pub mod pool;
 pub mod quarantine;
 pub mod refusal;
 pub mod relay;
 pub mod reply;
 pub mod request;
-pub mod retry_budget;
-pub mod retry_policy;
+pub mod retries;
 mod send;
 pub mod sse;
 mod start;
@@ -43,8 +43,8 @@
 pub mod timing;
 pub mod warmup;
 pub mod zone_filter;
-pub mod zone_gossip;
 pub mod zone_orders;
+pub mod zones;
 
 pub use backend::{StartedMs, TargetInfo, TargetState};
 pub use catalog::{Catalog, CatalogParts, Limits, Organisation, Route, RouteKind, Service};
--- a/src/gateway/retry_policy.rs
+++ b/src/gateway/outcome.rs
@@ -1,31 +1,32 @@
-//! What may follow a failed send: one table, no I/O.
+//! What happens after a send to a target has failed: a decision table without I/O.
 
 use super::catalog::RouteKind;
 
-/// How a send to a target outcome, as far as is known.
+/// Outcome of a send to a target that returned no usable answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SendOutcome {
-    /// No byte of the request left.
+    /// The target could not be reached: no byte of the request was sent.
     NotSent,
-    /// No byte of the request left: the target is cold and has no room for it, or a moment ago its
-    /// zone was emptied or it asked for no more requests.
+    /// Not sent, because the target accepts no request at the moment: it is cold and has no room,
+    /// its zone has just been emptied, or it has just asked for no more requests.
     HeldOff,
     /// The target proved that it did not run the request.
     NotRun,
-    /// The address belongs to another target now.
+    /// The address now belongs to another target.
     OtherTarget,
-    /// The request was sent, and no answer to it came.
+    /// The request was sent, and the connection ended without an answer.
     NoAnswer,
-    /// The same, and another target is asked before the connection says anything.
+    /// The request was sent, and no answer came within the time after which another target is
+    /// tried. The connection is still open.
     Silent,
-    /// The target answered with a failure of its own (5xx).
+    /// The target answered with a server error (5xx).
     Failed,
-    /// The answer began and broke off; nothing of it was forwarded.
+    /// The answer broke off before any of it was forwarded to the caller.
     Truncated,
 }
 
 impl SendOutcome {
-    /// Whether the connection to the target outcome before its answer did.
+    /// Whether the connection to the target ended before the answer was complete.
     pub fn is_broken(self) -> bool {
         matches!(self, SendOutcome::NoAnswer | SendOutcome::Truncated)
     }
@@ -42,29 +43,29 @@
     }
 }
 
-/// What to do next.
+/// What to do next with the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextStep {
-    /// Send it to another target, without drawing on the retry budget.
+    /// Send it to another target, without using the retry budget.
     SendAgain,
-    /// Send it to another target if the retry budget allows; else as the second field says.
+    /// Send it to another target if the retry budget allows; otherwise give the contained answer.
     Retry(FinalAnswer),
     /// Give the final answer.
     Answer(FinalAnswer),
 }
 
-/// FinalAnswer answers after failed sends.
+/// Final answers to the caller after failed sends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FinalAnswer {
-    /// The request did not run and never will: 503 with a time to come back.
+    /// The request did not run and never will: 503 with a retry delay.
     NotRun,
-    /// Nobody knows whether it ran: 502.
+    /// Unknown whether the request ran: 502.
     Unknown,
-    /// The target's own failure, as it was sent.
+    /// The target's own error response, forwarded unchanged.
     TargetAnswer,
 }
 
-/// Sends that a request may make.
+/// Sends of one request so far.
 #[derive(Clone, Copy, Debug)]
 pub struct SendCounts {
     /// Sends after which the request may have run.
@@ -73,10 +74,12 @@
     pub sends: u32,
 }
 
-/// Sends of one request in all; every further one burdens a service that is already short.
+/// Maximum number of sends of one request. Each further send adds load to a service that is already
+/// short of capacity.
 const MAX_SENDS_PER_REQUEST: u32 = 4;
 
-/// The table.
+/// Decides what to do after a failed send. `max_attempts` limits the sends after which the request
+/// may have run.
 pub fn next_step(
     kind: RouteKind,
     outcome: SendOutcome,
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! What routers tell one another: received here, and handed to the part that it is for.
+//! Datagrams from other routers: receives them and dispatches them by topic.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -13,11 +13,11 @@
 use super::state::{Gateway, Platform};
 use super::timing::PrefillWork;
 
-/// Sends what the keeper of budgets has to say, for ever.
+/// Sends the outgoing messages of the budget keeper. Never returns.
 pub async fn send_budget_messages<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
     loop {
         for out in gw.keeper.outgoing().await {
-            // Whatever is lost is said again by its sender.
+            // Not retried here: the keeper repeats messages that were lost.
             if let Err(e) = socket.try_send_to(&Topic::Budgets.frame(&out.bytes), out.to) {
                 gw.log.routine("peer", format_args!("to={} outcome=unsent cause={e}", out.to));
             }
@@ -25,7 +25,7 @@
     }
 }
 
-/// Listens to the others, for ever.
+/// Receives datagrams from other routers. Never returns.
 pub async fn receive_datagrams<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
@@ -53,15 +53,15 @@
     }
 }
 
-/// Whether to take in a datagram. Those of unknown senders are not read, but for orders while no
-/// router is known yet: one whose store falls silent right after its start has the configuration
-/// and nobody else to hear an order from.
+/// Whether to accept a datagram. Datagrams of unknown senders are rejected, except for zone orders
+/// while no router is known yet: if the store stops responding right after this router's start, the
+/// router has the configuration but no other source of orders.
 pub fn accepts_datagram(known: &[IpAddr], from: IpAddr, topic: Option<Topic>) -> bool {
     let accepts_early_order = known.is_empty() && topic == Some(Topic::Orders);
     accepts_early_order || known.binary_search(&from).is_ok()
 }
 
-/// The id, zone and pace of a target that another router asks about.
+/// Id, zone and admission rate of a target that another router asks about.
 fn cold_target<P: Platform>(
     gw: &Gateway<P>,
     word: u64,
@@ -71,7 +71,7 @@
     Some((info.id.clone(), info.zone.clone(), gw.cold_pace(&info.service)?))
 }
 
-/// Other routers sent prompts to targets.
+/// Records the prompts that other routers sent to targets.
 fn apply_hints<P: Platform>(gw: &Gateway<P>, bytes: &[u8]) {
     let config = gw.config();
     let cache_limit = |service: &str| config.as_ref().map_or(0, |c| c.cache_tokens(service));
--- a/src/gateway/placement.rs
+++ b/src/gateway/place.rs
@@ -1,36 +1,39 @@
-//! Which target a request goes to, and whether it is admitted at all. Pure: no clock, no I/O.
+//! Chooses the target of a request, or refuses the request. Pure: no clock, no I/O.
 
 use std::time::Duration;
 
 use crate::error::{Error, Kind, Result};
 
-/// What a choice rests on for one target.
+/// What is known about one target when a request is placed.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// In this router's availability zone.
+    /// Whether the target is in this router's availability zone.
     pub same_zone: bool,
-    /// Tokens of its prompt that the target has not cached.
+    /// Prompt tokens that the target has not cached.
     pub uncached: u64,
-    /// Predicted time until the target begins with this request, ms.
+    /// Predicted time until the target starts the request, ms.
     pub wait_ms: f64,
-    /// Time to a first token beside waiting and reading, ms.
+    /// Predicted time to the first token, apart from waiting and prefill, ms.
     pub base_ms: f64,
-    /// Predicted time for the part of its prompt that the target has not cached, ms.
+    /// Predicted prefill time for the uncached part of the prompt, ms.
     pub prefill_ms: f64,
-    /// Requests of this router that run there.
+    /// Requests of this router that the target is running.
     pub in_flight_requests: u32,
-    /// Requests that run there at once, by all routers.
+    /// Maximum number of requests, from all routers, that the target runs at once.
     pub slots: u32,
-    /// Place of the target in the request's order of preference, 0 first. The same at every
-    /// router, so that all send a prompt's parts to where they are cached.
+    /// Position of the target in the request's order of preference, 0 first. All routers compute
+    /// the same order, so that they send prompts with the same parts to the targets that have them
+    /// cached.
     pub rank: usize,
-    /// It failed lately, or its entry lapsed: used only if nothing else is there.
+    /// The target failed recently or its store entry has lapsed. It is used only if no healthy
+    /// target is left.
     pub unhealthy: bool,
-    /// Set if it turned a request away: how long it still wants none.
+    /// Remaining time during which the target accepts no requests, because it rejected one.
     pub backoff: Option<Duration>,
-    /// Already tried for this request.
+    /// Whether the request was already sent to this target.
     pub tried: bool,
-    /// Set for a cold target: when it has room for a request, as far as is known.
+    /// For a cold target: the expected time until it has room for a request, as far as is known.
+    /// `None` for a target that is warm.
     pub room_in: Option<Duration>,
 }
 
@@ -39,36 +42,41 @@
         self.room_in.is_none_or(|t| t.is_zero())
     }
 
-    /// Whether it may get this request, now or once it has room.
+    /// Whether the target may get this request, now or once it has room.
     fn is_eligible(&self) -> bool {
         !self.tried && self.backoff.is_none()
     }
 }
 
-/// What a request asks of a placement.
+/// Latency limits of a request, and the kind of service that it uses.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementGoal {
-    /// Time to the answer that the operator aims at, what has passed already taken off.
+    /// Remaining time to the operator's objective for the answer. The time spent so far is
+    /// subtracted.
     pub aim: Duration,
-    /// Time that is remaining at all.
+    /// Remaining time until the request times out.
     pub remaining: Duration,
-    /// Whether it uses a model engine.
+    /// Whether the service is a model engine.
     pub engine: bool,
 }
 
-/// PlacementWeights of a choice.
+/// Weights of the placement cost function.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementWeights {
-    /// How much earlier a target in another zone must begin to be chosen, ms. Traffic between
-    /// zones is paid for; 18 kB prompts make this the dearest part of a request after lateness.
+    /// Cost of a target in another zone, ms: it must start the request this much earlier to be
+    /// chosen. Traffic between zones is billed; with prompts of 18 kB it is the largest cost of a
+    /// request after late answers.
     pub far_ms: f64,
-    /// Weight of the prefill time a placement costs, against waiting: it delays all others too.
+    /// Factor on the prefill time relative to waiting time. Prefill also delays all other requests
+    /// of the target.
     pub prefill: f64,
-    /// Cost of each request of ours already running there, ms: its steps get longer.
+    /// Cost of each request of this router that the target is already running, ms. Each one makes
+    /// the steps of the engine longer.
     pub running_ms: f64,
-    /// Cost of each place down in the order of preference, ms; the first few only.
+    /// Cost of each position in the order of preference, ms. Only the first four positions count.
     pub rank_ms: f64,
-    /// Answers later than this many times the aim are worth too little to be waited for.
+    /// Latest useful answer, as a multiple of the objective. A request that is predicted to take
+    /// longer is refused.
     pub late_x: f64,
 }
 
@@ -82,10 +90,13 @@
     /// Sets one weight by its name.
     ///
     /// # Errors
-    /// `BadConfig` for an unknown name, or a value that is no weight.
+    /// `BadConfig` for an unknown name, or for a value that is negative or not finite.
     pub fn set(&mut self, name: &str, value: f64) -> Result<()> {
         if !value.is_finite() || value < 0.0 {
-            return Err(Error::new(Kind::BadConfig, format!("weight {name} = {value}")));
+            return Err(Error::new(
+                Kind::BadConfig,
+                format!("weight {name} is {value}; it must be finite and not negative"),
+            ));
         }
         let weight = match name {
             "far_ms" => &mut self.far_ms,
@@ -97,7 +108,7 @@
                 return Err(Error::new(
                     Kind::BadConfig,
                     format!(
-                        "no weight {name:?}; there are: far_ms, prefill, running_ms, rank_ms, late_x"
+                        "unknown weight {name:?}; known weights are far_ms, prefill, running_ms, rank_ms, late_x"
                     ),
                 ));
             }
@@ -107,31 +118,31 @@
     }
 }
 
-/// A decision.
+/// The result of a placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
-    /// Send it to the candidate of this index.
+    /// Send the request to a candidate.
     Send {
         /// Index into the candidates.
         index: usize,
-        /// Predicted time to the first token, ms; 0 for plain services.
+        /// Predicted time to the first token, ms; 0 for services without a model engine.
         predicted_ms: f64,
     },
-    /// No target is there at all.
+    /// No target is available.
     NoTarget,
-    /// What is remaining is cold, and has room in so long.
+    /// All remaining targets are cold and have no room yet.
     Cold {
-        /// When one of them has.
+        /// Time until the first of them has room.
         room_in: Duration,
     },
-    /// What is remaining has turned requests away, and wants the next one in so long.
+    /// All remaining targets rejected a request recently and accept none for now.
     BackingOff {
-        /// When the first of them does.
+        /// Time until the first of them accepts requests again.
         retry_after: Duration,
     },
-    /// All targets are too busy for it; room is expected in so many ms.
+    /// All targets are too busy to answer in time.
     Busy {
-        /// When to come back, ms.
+        /// Time until room is expected, ms.
         room_in_ms: f64,
     },
 }
@@ -149,10 +160,10 @@
 
 /// Chooses among `candidates`.
 ///
-/// A request whose first token is expected later than `late_x` times its aim is refused at once
-/// with the time at which room is expected. Admitting it would delay all that wait behind it
-/// and make those late as well: with callers that come faster than the engines read, every
-/// request would end up late.
+/// A request that has to wait, and whose first token is predicted later than `late_x` times its
+/// objective, is refused immediately with the time at which room is expected. Admitting it would
+/// delay all requests that wait behind it. If callers send more than the engines can prefill, every
+/// request would then be late.
 pub fn place(candidates: &[Candidate], goal: &PlacementGoal, w: &PlacementWeights) -> Placement {
     let usable = |c: &Candidate| c.is_eligible() && !c.unhealthy && c.has_room();
     let last_resort = |c: &Candidate| c.is_eligible() && c.has_room();
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -1,62 +1,65 @@
-//! Answers of the router's own, and when callers should come back.
+//! Responses that the router itself generates, and their retry delays.
 
 use std::time::Duration;
 
 use compact_str::CompactString;
 
-/// When to come back after a refusal that names no better time.
+/// Retry delay of a refusal for which no better one is known.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// The longest time to come back that is named while it is not known when there is room: a cut
-/// from the store can end at any moment.
+/// Maximum retry delay while the time until there is room is unknown: a partition from the store
+/// can end at any moment.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
-/// How far the times to come back for a cold target are spread, against the time itself.
+/// Jitter on the retry delay for cold targets, as a fraction of the delay.
 const COLD_JITTER: f64 = 1.0;
-/// The shortest time to come back to targets that rest: other callers take the first room.
+/// Minimum retry delay while all targets are backing off. Other callers take the first free slots.
 const MIN_BACKOFF_RETRY_AFTER: Duration = Duration::from_millis(150);
-/// How far the times to come back to targets that rest are spread, at most.
+/// Maximum jitter on the retry delay while all targets are backing off.
 const MAX_BACKOFF_JITTER: Duration = Duration::from_millis(400);
 
-/// An answer of the router's own.
+/// A response that the router itself generates.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RouterResponse {
-    /// Status code. 408, 421, 429 and 503 promise that the request did not run and will not.
+    /// HTTP status code. 408, 421, 429 and 503 guarantee that the request did not run and never
+    /// will.
     pub status: u16,
-    /// Why, for the caller and the log.
+    /// Reason code for the caller and the log.
     pub reason: &'static str,
-    /// When to come back.
+    /// Delay after which the caller should retry.
     pub retry_after: Option<Duration>,
 }
 
 impl RouterResponse {
-    /// An answer without a time to come back.
+    /// Creates a response without a retry delay.
     pub fn new(status: u16, reason: &'static str) -> RouterResponse {
         RouterResponse { status, reason, retry_after: None }
     }
 
-    /// A refusal: not run, with the time to come back.
+    /// Creates a 503 response with a retry delay. The request did not run.
     pub fn refusal(reason: &'static str, after: Duration) -> RouterResponse {
         RouterResponse { status: 503, reason, retry_after: Some(after) }
     }
 }
 
-/// A request that was not admitted, and as much of it as was known by then.
+/// A request that was rejected before admission, with the facts known by then.
 #[derive(Clone, Debug)]
 pub struct RejectedRequest {
-    /// The answer.
+    /// The response to the caller.
     pub response: RouterResponse,
-    /// Name of its route.
+    /// Name of the matching route, if it was found.
     pub route: Option<CompactString>,
-    /// Whose it is.
+    /// Organisation of the caller, if it was identified.
     pub org: Option<CompactString>,
 }
 
-/// Callers come back when there is room, and not all at once.
+/// Refusal while all available targets are cold. Callers should retry once there is room, with
+/// jitter so that they do not all return at once.
 pub fn cold_refusal(room_in: Duration) -> RouterResponse {
     let after = room_in.mul_f64(1.0 + COLD_JITTER * fastrand::f64());
     RouterResponse::refusal("cold", after.clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER))
 }
 
-/// Callers come back when the first target wants requests again, and not all at once.
+/// Refusal while all targets are backing off. Callers should retry once the first target accepts
+/// requests again, with jitter so that they do not all return at once.
 pub fn backoff_refusal(retry_after: Duration) -> RouterResponse {
     let least = retry_after.max(MIN_BACKOFF_RETRY_AFTER);
     let jitter = least.min(MAX_BACKOFF_JITTER).mul_f64(fastrand::f64());
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -4,7 +4,7 @@
 use compact_str::CompactString;
 
 use super::backend::Flight;
-use super::retry_policy::SendOutcome;
+use super::outcome::SendOutcome;
 use super::sse::{Events, Splitter};
 use crate::http1::{Conn, Decoder, ResponseHead};
 
--- a/src/gateway/retry_budget.rs
+++ b/src/gateway/retries.rs
@@ -1,21 +1,23 @@
-//! A fleet-wide limit on repeated sends, held in shares by the routers.
+//! A retry budget for the whole fleet, divided among the routers.
 //!
-//! Over any window, all routers together may repeat `ratio` of their requests and `slack` more.
-//! A router's bucket earns `ratio` with each of its own requests and is never fuller than its
-//! share of the slack, so over any window it gives out at most that share plus what it earned
-//! there. A new process starts empty: its predecessor may have used the share a moment ago.
+//! Over any window, all routers together may retry `ratio` of their requests, plus `slack`. Each
+//! router has a token bucket per service. A bucket earns `ratio` per request of the router, and its
+//! balance is capped at the router's share of the slack. Over any window a router thus retries at
+//! most its share plus what it earned in the window. A new process starts with an empty bucket,
+//! because the previous process of the same router may have just used the share.
 
 use compact_str::CompactString;
 
-/// Share of the fleet's allowance that is used: room for windows that begin between requests.
+/// Percentage of the fleet's allowance that is used. The rest is a margin for windows that begin
+/// between two requests.
 const USABLE_PERCENT: f64 = 85.0;
 
-/// The operator's allowance.
+/// The operator's retry allowance for the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryAllowance {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats on top, for all routers together in one window.
+    /// Additional retries of all routers together in one window.
     pub slack: f64,
 }
 
@@ -25,7 +27,7 @@
     balance: f64,
 }
 
-/// This router's shares, one a service.
+/// This router's share of the retry budget, with one token bucket per service.
 #[derive(Debug)]
 pub struct ServiceRetryBudgets {
     allowance: RetryAllowance,
@@ -34,12 +36,12 @@
 }
 
 impl ServiceRetryBudgets {
-    /// Shares of `allowance` for a fleet of one.
+    /// Creates the budgets for a fleet of one router.
     pub fn new(allowance: RetryAllowance) -> ServiceRetryBudgets {
         ServiceRetryBudgets { allowance, router_count: 1.0, buckets: Vec::new() }
     }
 
-    /// Sets by how many routers the slack is shared.
+    /// Sets the number of routers that share the slack.
     pub fn set_routers(&mut self, n: u32) {
         self.router_count = f64::from(n.max(1));
     }
@@ -58,7 +60,7 @@
         }
     }
 
-    /// A request for the service came in.
+    /// Adds the amount that a new request for the service earns.
     pub fn earn(&mut self, service: &str) {
         let (ratio, max_balance) =
             (self.allowance.ratio * USABLE_PERCENT / 100.0, self.max_balance());
@@ -66,7 +68,7 @@
         bucket.balance = (bucket.balance + ratio).min(max_balance.max(1.0));
     }
 
-    /// Takes one repeat, if there is one.
+    /// Takes one retry from the service's bucket. Returns false if the balance is too low.
     pub fn take(&mut self, service: &str) -> bool {
         let bucket = self.bucket(service);
         let enough = bucket.balance >= 1.0;
--- a/src/gateway/stats.rs
+++ b/src/gateway/stats.rs
@@ -1,7 +1,7 @@
 //! Short cuts from outcomes to figures.
 
 use super::notice::{Notice, RetryAfter};
-use super::retry_policy::SendOutcome;
+use super::outcome::SendOutcome;
 use crate::stats::{EndLabels, Reason, Stats};
 
 /// Counts the end of a request.
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -1,4 +1,4 @@
-//! All targets that this router knows, and those that could take a request.
+//! All targets that this router knows, and the candidates for a request.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -10,32 +10,33 @@
 
 use super::backend::{Backend, StartedMs, TargetInfo, TargetState, millis};
 use super::notice::Standing;
-use super::placement::Candidate;
+use super::place::Candidate;
 use super::request::Part;
 use super::timing::{FirstTokenModel, PrefillWork};
 use super::zone_filter::{ExclusionReason, ZoneFilter};
 use crate::ids::Digest;
 
-/// What an entry changed.
+/// What the entry of a target changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Nothing that matters here.
+    /// Nothing relevant.
     Same,
     /// The target was unknown.
     New,
-    /// Its state changed, or it was missing for a while.
+    /// The target's state changed, or its entry reappeared after it had lapsed.
     State,
-    /// It started again under the id that it had: nothing of before holds for it.
+    /// The target restarted under the same id, or moved to another service or address. Nothing that
+    /// was known about it applies any more.
     Restarted,
-    /// It speaks of an earlier start than the one that is known.
+    /// The entry is from an earlier start of the target than the known one, and is ignored.
     Outdated,
 }
 
-/// Targets without an entry whose word is kept, at most. An entry that comes back may be older than
-/// what its target said.
+/// Maximum number of removed targets whose own notices are kept. An entry that reappears may be
+/// older than what the target itself has sent.
 const MAX_REMOVED_TARGETS: usize = 1_024;
 
-/// A target without an entry.
+/// A target without an entry, with the notices that it sent in its answers.
 #[derive(Debug)]
 struct RemovedTarget {
     id: CompactString,
@@ -43,49 +44,49 @@
     standing: Standing,
 }
 
-/// All targets, by id.
+/// All targets, sorted by id.
 #[derive(Debug, Default)]
 pub struct Targets {
     all: RefCell<Vec<Rc<Backend>>>,
-    /// The latest at the end.
+    /// In order of removal, the latest last.
     removed_targets: RefCell<VecDeque<RemovedTarget>>,
     first_token_models: RefCell<Vec<(CompactString, Rc<RefCell<FirstTokenModel>>)>>,
 }
 
-/// A request as placement sees it.
+/// The facts about a request that placement needs.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The service it goes to.
+    /// Service of the request.
     pub service: &'a str,
-    /// This router's zone.
+    /// Availability zone of this router.
     pub zone: &'a str,
-    /// The parts of its prompt.
+    /// Parts of the prompt.
     pub parts: &'a [Part],
-    /// Its prompt tokens.
+    /// Number of tokens in the prompt.
     pub prompt: u64,
-    /// Whether it uses a model engine.
+    /// Whether the service is a model engine.
     pub engine: bool,
-    /// Targets that it was sent to before.
+    /// Targets to which the request was already sent.
     pub tried: &'a [CompactString],
-    /// Where it may go.
+    /// Zones that the request may use.
     pub zone_filter: ZoneFilter<'a>,
 }
 
-/// What placement finds.
+/// The candidates for a request.
 #[derive(Debug, Default)]
 pub struct PlacementCandidates {
-    /// The targets that could take a request, with what a choice needs to know of them.
+    /// Targets that may take the request, with the facts for choosing among them.
     pub candidates: Vec<(Rc<Backend>, Candidate)>,
-    /// Whether targets of the service that are ready may not take it, and why.
+    /// Why ready targets of the service were excluded by their zone; `None` if none was.
     pub exclusion: Option<ExclusionReason>,
 }
 
 impl Targets {
-    /// Takes in a target's entry.
+    /// Inserts or updates a target from its store entry.
     ///
-    /// A target that started again under its id begins as an unknown one: its cached parts, load
-    /// and failures are those of a process that is gone, and kept connections to that are dead.
-    /// Requests that still run keep the earlier one until they end.
+    /// A target that restarted under its id is treated as a new one: its cached parts, load and
+    /// failures belonged to the previous process, and pooled connections to that process are dead.
+    /// Requests that are still in flight keep the previous `Backend` until they end.
     pub fn set(&self, mut info: TargetInfo) -> Change {
         let mut all = self.all.borrow_mut();
         let i = match all.binary_search_by(|b| b.info.borrow().id.cmp(&info.id)) {
@@ -102,7 +103,8 @@
         }
         let restarted = info.is_newer(known.born);
         if restarted || known.service != info.service || known.addr != info.addr {
-            // An entry that only speaks of another address does not undo what its target said.
+            // Another service or address alone does not discard the notices that the target has
+            // sent.
             let standing = if restarted { Standing::default() } else { all[i].standing.clone() };
             all[i] = self.backend(info, standing);
             return Change::Restarted;
@@ -120,7 +122,7 @@
         Rc::new(Backend::new(info, standing, first_token_model))
     }
 
-    /// Keeps what a target said whose entry is gone.
+    /// Keeps the notices of a target whose entry was removed, while they still apply.
     fn remember_standing(&self, b: &Backend) {
         if !b.standing.holds_off(Instant::now()) {
             return;
@@ -133,7 +135,7 @@
         removed_targets.push_back(RemovedTarget { id: b.id(), born, standing: b.standing.clone() });
     }
 
-    /// What a target has said before its entry was gone.
+    /// The notices that a target sent before its entry was removed.
     fn recall_standing(&self, info: &TargetInfo) -> Standing {
         let mut removed_targets = self.removed_targets.borrow_mut();
         let found = removed_targets.iter().rposition(|p| p.id == info.id);
@@ -141,7 +143,7 @@
         known.filter(|p| !info.is_newer(p.born)).map(|p| p.standing).unwrap_or_default()
     }
 
-    /// What is learnt of a service's engines.
+    /// The shared first-token model of a service's engines.
     fn first_token_model(&self, service: &str) -> Rc<RefCell<FirstTokenModel>> {
         let mut first_token_models = self.first_token_models.borrow_mut();
         let i = match first_token_models.binary_search_by(|(s, _)| s.as_str().cmp(service)) {
@@ -154,20 +156,20 @@
         first_token_models[i].1.clone()
     }
 
-    /// A target's entry is gone for good.
+    /// Removes a target whose entry was deleted. Returns whether it was known.
     pub fn remove(&self, id: &str) -> bool {
         let mut all = self.all.borrow_mut();
         let found = all.binary_search_by(|b| b.info.borrow().id.as_str().cmp(id));
         let Ok(i) = found else { return false };
         let gone = all.remove(i);
         self.remember_standing(&gone);
-        // What still runs there has it in hand; it ends when that is over.
+        // Requests in flight keep the `Backend` alive until they end.
         gone.info.borrow_mut().state = TargetState::Draining;
         true
     }
 
-    /// A target's entry is gone, perhaps only because the store was away: the target is used
-    /// when nothing else is there, until the entry is back or the grace is over.
+    /// Marks a target whose entry is missing, perhaps only because the store was unavailable. It is
+    /// used only if no other target is left, until the entry reappears or the grace period ends.
     pub fn lapse(&self, id: &str) {
         let all = self.all.borrow();
         if let Ok(i) = all.binary_search_by(|b| b.info.borrow().id.as_str().cmp(id)) {
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Removes the targets whose entries have not come back. Returns their ids.
+    /// Removes the targets whose entries are still missing. Returns their ids.
     pub fn remove_lapsed(&self) -> Vec<CompactString> {
         let mut all = self.all.borrow_mut();
         let (gone, left): (Vec<_>, Vec<_>) = all.drain(..).partition(|b| b.lapsed.get());
@@ -184,8 +186,8 @@
         gone.iter().map(|b| b.id()).collect()
     }
 
-    /// Another router sent a prompt to the target of this digest. `cache_tokens` tells how many
-    /// tokens the engines of a service keep.
+    /// Records that another router sent a prompt to the target with the digest `word`.
+    /// `cache_tokens` returns the cache size of a service's engines, in tokens.
     pub fn apply_hint(
         &self,
         word: u64,
@@ -203,24 +205,24 @@
         load.cache.insert_parts(parts, now, cache_tokens(&b.info.borrow().service));
     }
 
-    /// How many targets have said that they leave.
+    /// Number of targets that have announced their shutdown.
     pub fn count_leaving(&self) -> usize {
         self.all.borrow().iter().filter(|b| b.standing.is_leaving()).count()
     }
 
-    /// How many targets want no request for a while.
+    /// Number of targets that accept no requests for a while, after they rejected one.
     pub fn count_backing_off(&self) -> usize {
         let now = Instant::now();
         self.all.borrow().iter().filter(|b| b.standing.rests_for(now).is_some()).count()
     }
 
-    /// How many targets are cold.
+    /// Number of targets that are cold.
     pub fn count_cold(&self) -> usize {
         let now = Instant::now();
         self.all.borrow().iter().filter(|b| b.is_cold(now)).count()
     }
 
-    /// The target of a digest.
+    /// The target with the digest `word`.
     pub fn by_digest(&self, word: u64) -> Option<Rc<Backend>> {
         self.all.borrow().iter().find(|b| b.word == word).cloned()
     }
@@ -235,13 +237,14 @@
         self.all.borrow().iter().map(|b| b.id()).collect()
     }
 
-    /// How many targets a service has, and how many of them take new work.
+    /// Number of all targets, and of those that are expected to stay available.
     pub fn count(&self) -> (usize, usize) {
         let all = self.all.borrow();
         (all.len(), all.iter().filter(|b| b.is_expected_to_stay()).count())
     }
 
-    /// The targets that could take a request.
+    /// The targets that may take a request. Those in the router's zone come first, each zone group
+    /// sorted by the request's order of preference.
     pub fn candidates(&self, req: &PlacementRequest<'_>) -> PlacementCandidates {
         let now = Instant::now();
         let all = self.all.borrow();
@@ -253,7 +256,8 @@
                 return false;
             }
             let exclusion_reason = req.zone_filter.exclusion_reason(&info.zone);
-            // An emptied zone comes back, a region does not.
+            // `Emptied` takes precedence: an emptied zone returns to service, a region does not
+            // become allowed.
             if exclusion_reason.is_some() && exclusion != Some(ExclusionReason::Emptied) {
                 exclusion = exclusion_reason;
             }
@@ -304,12 +308,12 @@
     }
 }
 
-/// The parts that other requests may share: all but the last, which is the request's own.
+/// The parts that other requests may share: all but the last, which is specific to the request.
 fn shareable_parts(parts: &[Part]) -> &[Part] {
     parts.split_last().map_or(parts, |(_, shared)| shared)
 }
 
-/// What requests with the same cached prompt have in common: the last part they share.
+/// Key that requests with the same cached prompt have in common: the last part that they share.
 fn affinity_key(parts: &[Part]) -> u64 {
     shareable_parts(parts).last().or(parts.last()).map_or_else(|| fastrand::u64(..), |p| p.id)
 }
--- a/src/gateway/timing.rs
+++ b/src/gateway/timing.rs
@@ -1,74 +1,80 @@
-//! How long engines take to a first token, learnt from what a router sees. Pure: no clock, no I/O.
+//! Learns the time to first token of engines from the answers that a router sees. Pure: no clock,
+//! no I/O.
 //!
-//! Engines differ by a factor of ten and more from one deployment to another, so nothing about
-//! them is a constant here: until the first answer came, nothing is predicted.
+//! Engines differ by a factor of ten and more between deployments, so no property of an engine is a
+//! constant here. Nothing is predicted before the first answer.
 
-/// How much of what was learnt is kept with each further answer. The latest 50 count most, which
-/// at a few answers a second from each target follows an engine that slows down within seconds.
+/// Weight that earlier answers keep with each new answer. The most recent 50 answers dominate. At a
+/// few answers per second from each target, the estimate follows an engine that slows down within
+/// seconds.
 const DECAY: f64 = 0.98;
-/// Answers after which one that lies far off is cut to the usual spread: it met a fault or a
-/// queue that this router did not know of. 5% of such answers would otherwise set the slope.
+/// Weighted number of answers from which outliers are clamped to the usual deviation. Outliers are
+/// caused by faults or by queues that this router does not know of. Without clamping, 5% of such
+/// answers would determine the slope.
 const OUTLIER_MIN_ANSWERS: f64 = 8.0;
-/// What counts as far off, in mean deviations.
+/// Distance from the estimate beyond which an answer is an outlier, in mean deviations.
 const OUTLIER_DEVIATIONS: f64 = 4.0;
-/// Part of the time to a first token that is put down to reading the prompt while all prompts
-/// seen so far were of about one size and cannot tell the two apart.
+/// Fraction of the time to first token that is attributed to prefill while all prompts were of
+/// similar size, so that base time and prefill cannot be told apart.
 const ASSUMED_PREFILL_SHARE: f64 = 0.5;
-/// Spread of prompt sizes, as a part of their mean, from which a slope can be told.
+/// Minimum standard deviation of prompt sizes, as a fraction of their mean, for fitting a slope.
 const MIN_SIZE_SPREAD: f64 = 0.2;
-/// Part of the variance of pairs that is added to it: they grow with the tokens, and what a few
-/// answers cannot tell apart is put down to the tokens.
+/// Ridge regularisation: fraction of the variance of pairs that is added to it. The number of pairs
+/// grows with the number of tokens. When a few answers cannot separate the two, the time is
+/// attributed to the tokens.
 const RIDGE: f64 = 0.01;
-/// Answers of its service's engines that a target's own pace is weighed against.
+/// Weight of the prior in a target's slowdown, as a number of answers of an average target.
 const SLOWDOWN_PRIOR_ANSWERS: f64 = 6.0;
 
-/// What an engine has to do for a prompt before its first token.
+/// The work that an engine has to do for a prompt before its first token.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PrefillWork {
-    /// Tokens that it has not cached.
+    /// Number of tokens that are not cached.
     pub tokens: f64,
-    /// Pairs of a token to read and one before it, in millions: attention reads each of them.
+    /// Number of pairs of an uncached token and a token before it, in millions. Attention reads
+    /// each pair.
     pub million_pairs: f64,
 }
 
 impl PrefillWork {
-    /// A prompt of `prompt` tokens of which `uncached` are not cached.
+    /// The work for a prompt of `prompt` tokens, `uncached` of which are not cached.
     pub fn of(prompt: u64, uncached: u64) -> PrefillWork {
         let (prompt, uncached) = (prompt as f64, uncached.min(prompt) as f64);
         PrefillWork { tokens: uncached, million_pairs: uncached * (prompt - uncached / 2.0) / 1e6 }
     }
 }
 
-/// Time to a first token as a function of what is to be read.
+/// Time to first token as a linear function of the prefill work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// Time that passes whatever the prompt's size, ms. The engine reads other prompts meanwhile.
+    /// Time that does not depend on the prompt's size, ms. The engine prefills other prompts
+    /// meanwhile.
     pub base_ms: f64,
-    /// Time to read a token, ms.
+    /// Prefill time per token, ms.
     pub ms_per_token: f64,
-    /// Time for a million pairs, ms.
+    /// Prefill time per million pairs, ms.
     pub ms_per_million_pairs: f64,
 }
 
 impl Estimate {
-    /// Time for which reading a prompt keeps an engine busy, ms.
+    /// Time for which the prefill of a prompt occupies an engine, ms.
     pub fn prefill_ms(&self, work: PrefillWork) -> f64 {
         work.tokens * self.ms_per_token + work.million_pairs * self.ms_per_million_pairs
     }
 
-    /// Time to the first token of a prompt that waits for no other, ms.
+    /// Time to first token of a prompt that does not wait for others, ms.
     pub fn of(&self, work: PrefillWork) -> f64 {
         self.base_ms + self.prefill_ms(work)
     }
 }
 
-/// Weighted means of what was seen and of its products.
+/// Exponentially weighted sums of the observations and of their products.
 #[derive(Clone, Copy, Debug, Default)]
 struct Moments {
     n: f64,
-    /// Sums of tokens, pairs, ms.
+    /// Sums of tokens, pairs and ms.
     sums: [f64; 3],
-    /// Sums of products: tokens², tokens × pairs, pairs², tokens × ms, pairs × ms.
+    /// Sums of the products tokens², tokens × pairs, pairs², tokens × ms and pairs × ms.
     products: [f64; 5],
 }
 
@@ -89,17 +95,17 @@
     }
 }
 
-/// First-token times against what was to be read, by least squares over the latest answers of a
-/// service's engines.
+/// Model of the time to first token: a least-squares fit over the recent answers of a service's
+/// engines.
 #[derive(Clone, Debug, Default)]
 pub struct FirstTokenModel {
     moments: Moments,
-    /// Mean deviation from the estimate, ms.
+    /// Mean absolute deviation from the estimate.
     mean_deviation_ms: f64,
 }
 
 impl FirstTokenModel {
-    /// What is known; nothing before the first answer.
+    /// The current estimate; `None` before the first answer.
     pub fn estimate(&self) -> Option<Estimate> {
         let m = &self.moments;
         if m.n == 0.0 {
@@ -117,12 +123,13 @@
         if base >= 0.0 {
             return Some(Estimate { base_ms: base, ms_per_token: a, ms_per_million_pairs: b });
         }
-        // No part of a time is negative: all of it is reading then.
+        // The base time cannot be negative: fit again with all of the time attributed to prefill.
         let (a, b) = fit_slopes([xx, xz, zz, xy, zy]);
         Some(Estimate { base_ms: 0.0, ms_per_token: a, ms_per_million_pairs: b })
     }
 
-    /// Notes an answer: the first token came after `ms`, waits for other prompts taken off.
+    /// Records an answer whose first token came after `ms`, not counting the wait for other
+    /// prompts.
     pub fn note(&mut self, work: PrefillWork, ms: f64) {
         let mut ms = ms;
         if let Some(expected) = self.estimate().map(|e| e.of(work)) {
@@ -137,7 +144,8 @@
     }
 }
 
-/// Solves for two slopes that are not negative; one that would be is left out.
+/// Solves for two slopes that are not negative. A slope that would be negative becomes 0, and the
+/// other one is fitted alone.
 fn fit_slopes([xx, xz, zz, xy, zy]: [f64; 5]) -> (f64, f64) {
     let zz = zz * (1.0 + RIDGE);
     let single_slope = |v: f64, vy: f64| if v > 0.0 { (vy / v).max(0.0) } else { 0.0 };
@@ -153,7 +161,7 @@
     }
 }
 
-/// How much slower one target is than its service's engines on the whole.
+/// How much slower one target is than the average engine of its service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Slowdown {
     n: f64,
@@ -162,7 +170,7 @@
 }
 
 impl Slowdown {
-    /// The factor: 1 for a target like the others, 2 for one that takes twice as long.
+    /// The slowdown factor: 1 for an average target, 2 for one that takes twice as long.
     pub fn get(&self) -> f64 {
         if self.n == 0.0 || self.expected <= 0.0 {
             return 1.0;
@@ -171,7 +179,8 @@
         (self.measured + prior) / (self.expected + prior)
     }
 
-    /// Notes an answer that was expected after `expected` ms by the service's line.
+    /// Records an answer that took `measured` ms and that the service's model predicted after
+    /// `expected` ms.
     pub fn note(&mut self, expected: f64, measured: f64) {
         self.n = self.n * DECAY + 1.0;
         self.expected = self.expected * DECAY + expected;
--- a/src/gateway/zone_filter.rs
+++ b/src/gateway/zone_filter.rs
@@ -1,4 +1,4 @@
-//! Which availability zones' targets a request may go to. No I/O.
+//! Decides which availability zones' targets a request may use. No I/O.
 
 use compact_str::CompactString;
 
@@ -7,7 +7,7 @@
 pub struct ZoneRegions(Vec<(CompactString, CompactString)>);
 
 impl ZoneRegions {
-    /// From pairs of a zone and its region, in any order.
+    /// Creates the map from pairs of a zone and its region, in any order.
     pub fn new(mut pairs: Vec<(CompactString, CompactString)>) -> ZoneRegions {
         pairs.sort();
         ZoneRegions(pairs)
@@ -19,43 +19,44 @@
         Some(&self.0[i].1)
     }
 
-    /// Whether some zone lies in one of `regions`.
+    /// Whether any zone is in one of `regions`.
     pub fn has_any(&self, regions: &[CompactString]) -> bool {
         self.0.iter().any(|(_, region)| regions.contains(region))
     }
 }
 
-/// Why a zone's targets do not get a request.
+/// Why a zone's targets may not get a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExclusionReason {
-    /// The operator has the zone emptied.
+    /// The operator has emptied (drained) the zone.
     Emptied,
-    /// The zone lies outside the regions that the request may zone_filter.
+    /// The zone is outside the regions to which the request is restricted.
     OutsideAllowedRegions,
 }
 
-/// Where one request may go.
+/// The zones that one request may use.
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneFilter<'a> {
-    /// Zones that are emptied, sorted.
+    /// Zones that the operator has emptied, sorted.
     pub emptied: &'a [CompactString],
-    /// Regions that the route, and the organisation, are bound to; an empty list binds to none.
+    /// Regions to which the route and the organisation are restricted. An empty list does not
+    /// restrict.
     pub homes: [&'a [CompactString]; 2],
-    /// Regions of zones.
+    /// The region of each zone.
     pub regions: &'a ZoneRegions,
 }
 
 static NO_REGIONS: ZoneRegions = ZoneRegions(Vec::new());
 
 impl ZoneFilter<'static> {
-    /// Any zone.
+    /// A filter that allows all zones.
     pub const ALL_ZONES: ZoneFilter<'static> =
         ZoneFilter { emptied: &[], homes: [&[], &[]], regions: &NO_REGIONS };
 }
 
 impl ZoneFilter<'_> {
-    /// Why a zone's targets may not get the request; `None` if they may. A zone whose region is not
-    /// known is none of a bound request's homes.
+    /// Why a zone's targets may not get the request; `None` if they may. A restricted request may
+    /// not use a zone whose region is unknown.
     pub fn exclusion_reason(&self, zone: &str) -> Option<ExclusionReason> {
         let region = self.regions.region(zone);
         let allows =
--- a/src/gateway/zone_orders.rs
+++ b/src/gateway/zone_orders.rs
@@ -1,4 +1,4 @@
-//! The operator's orders to empty availability zones, as far as they are known here. No I/O.
+//! The operator's orders to empty availability zones, as far as this router knows them. No I/O.
 
 use std::time::Duration;
 
@@ -8,20 +8,22 @@
 
 use crate::rows::Ver;
 
-/// Zones that are remembered, at most; a deployment has some dozens.
+/// Maximum number of zones that are tracked. A deployment has a few dozen.
 const MAX_ZONES: usize = 256;
 
-/// What the operator wants of one availability zone.
+/// An operator's order for one availability zone: to empty it, or to return it to service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct ZoneOrder {
-    /// The zone.
+    /// Name of the zone.
     #[serde(rename = "z")]
     pub zone: CompactString,
-    /// The store's version from which on it holds.
+    /// Version of the store at which the order was written. The order with the highest version
+    /// applies.
     #[serde(rename = "v")]
     pub ver: Ver,
-    /// Whether the zone's targets get no new requests; else the zone was taken back.
+    /// Whether the zone is emptied, so that its targets get no new requests. If false, the zone is
+    /// in service again.
     #[serde(rename = "e")]
     pub emptied: bool,
 }
@@ -32,16 +34,16 @@
     received_at: Instant,
 }
 
-/// The newest order for each zone.
+/// The newest known order for each zone.
 #[derive(Debug, Default)]
 pub struct ZoneOrders {
-    /// By zone.
+    /// Sorted by zone.
     known: Vec<KnownOrder>,
 }
 
 impl ZoneOrders {
-    /// Takes in an order that was heard at `now`. Returns whether it changes anything: one that is
-    /// not newer than what is known does not, whoever tells it.
+    /// Merges an order that was received at `now`. Returns whether it changes the state of the
+    /// zone. An order that is not newer than the known one is ignored, whatever its source.
     pub fn merge_newer(&mut self, order: &ZoneOrder, now: Instant) -> bool {
         let new = || KnownOrder { order: order.clone(), received_at: now };
         match self.find(&order.zone) {
@@ -70,19 +72,20 @@
         self.find(zone).is_ok_and(|i| self.known[i].order.emptied)
     }
 
-    /// How long ago a zone was taken back, as far as this router heard.
+    /// Time since this router received the order that returned a zone to service. `None` if no
+    /// order for the zone is known or the zone is emptied.
     pub fn taken_back_for(&self, zone: &str, now: Instant) -> Option<Duration> {
         let known = &self.known[self.find(zone).ok()?];
         (!known.order.emptied).then(|| now.saturating_duration_since(known.received_at))
     }
 
-    /// The orders that were heard after `since`.
+    /// The orders that were received after `since`.
     pub fn received_after(&self, since: Instant) -> Vec<ZoneOrder> {
         self.known.iter().filter(|k| k.received_at > since).map(|k| k.order.clone()).collect()
     }
 
-    /// Takes back, as of `ver`, each zone that is emptied and not among `listed`. Returns the
-    /// orders that follow from that.
+    /// For each emptied zone that is not in `listed`, an order of version `ver` that returns it to
+    /// service.
     pub fn missing_from(&self, listed: &[CompactString], ver: Ver) -> Vec<ZoneOrder> {
         let gone = |k: &&KnownOrder| k.order.emptied && !listed.contains(&k.order.zone);
         let taken_back = |k: &KnownOrder| ZoneOrder { ver, emptied: false, ..k.order.clone() };
--- a/src/gateway/zone_gossip.rs
+++ b/src/gateway/zones.rs
@@ -1,6 +1,8 @@
-//! The orders to empty zones, shared by the routers: each tells some others what it hears, and
-//! whoever hears something new tells on. So an order reaches routers that the store turns away,
-//! and no router sends more datagrams when there are more routers.
+//! Spreads the operator's orders to empty availability zones among the routers by gossip.
+//!
+//! Each router forwards an order that is new to it to some other routers, chosen at random. Orders
+//! thus also reach routers that the store rejects, and the number of datagrams per router does not
+//! grow with the number of routers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,9 +19,10 @@
 use crate::rows::Ver;
 use crate::stats::Stats;
 
-/// Routers that are told at a time, drawn anew each time.
+/// Number of routers to which each round is sent, drawn anew for each round.
 const FANOUT: usize = 6;
-/// Pauses before an order is told again: datagrams are lost, and a router may be cut off.
+/// Delays before each round in which an order is sent. It is sent several times because datagrams
+/// can be lost and a router may be partitioned for a while.
 const RESEND_DELAYS: [Duration; 6] = [
     Duration::ZERO,
     Duration::from_millis(100),
@@ -28,10 +31,10 @@
     Duration::from_secs(2),
     Duration::from_secs(4),
 ];
-/// Orders in one datagram, at most.
+/// Maximum number of orders in one datagram.
 const MAX_ORDERS_PER_DATAGRAM: usize = 16;
 
-/// What this router knows of orders.
+/// The zone orders that this router knows, and the peers to which it forwards them.
 #[derive(Debug)]
 pub struct ZoneGossip {
     log: Log,
@@ -43,7 +46,7 @@
 }
 
 impl ZoneGossip {
-    /// No zone emptied, as far as is known.
+    /// Creates the state without any emptied zone.
     pub fn new(log: Log, stats: Stats) -> ZoneGossip {
         ZoneGossip {
             log,
@@ -55,7 +58,7 @@
         }
     }
 
-    /// Sets whom to tell.
+    /// Sets the routers to which orders are forwarded.
     pub fn set_peers(&self, peers: Vec<SocketAddr>) {
         *self.peers.borrow_mut() = peers;
     }
@@ -70,12 +73,14 @@
         self.orders.borrow().is_emptied(zone)
     }
 
-    /// How long ago a zone was taken back, as far as this router heard.
+    /// Time since this router learned that a zone was returned to service (`taken_back` in the
+    /// log). `None` if no order for the zone is known or the zone is emptied.
     pub fn taken_back_for(&self, zone: &str, now: Instant) -> Option<Duration> {
         self.orders.borrow().taken_back_for(zone, now)
     }
 
-    /// Takes in the orders in a reading of the whole table.
+    /// Merges the orders of a snapshot of the whole table. Emptied zones that the snapshot does not
+    /// list are returned to service.
     pub fn apply_snapshot(&self, orders: &[ZoneOrder], ver: Ver) {
         let listed: Vec<CompactString> = orders.iter().map(|o| o.zone.clone()).collect();
         let gone = self.orders.borrow().missing_from(&listed, ver);
@@ -83,7 +88,8 @@
         self.merge_newer(&all, "store");
     }
 
-    /// Takes in orders that were heard `via` the store or a peer.
+    /// Merges the orders that are newer than the known ones, and schedules them for forwarding.
+    /// `via` is the source of the orders, for the log: the store or a peer.
     pub fn merge_newer(&self, orders: &[ZoneOrder], via: &'static str) {
         let now = Instant::now();
         let mut known = self.orders.borrow_mut();
@@ -103,7 +109,7 @@
         }
     }
 
-    /// The orders in a datagram; none if it cannot be read.
+    /// Decodes the orders in a datagram. Returns none if it is malformed.
     pub fn parse(&self, bytes: &[u8]) -> Vec<ZoneOrder> {
         ciborium::from_reader::<Vec<ZoneOrder>, _>(bytes).unwrap_or_else(|e| {
             self.log.note("peer", format_args!("topic=orders error={e}"));
@@ -111,7 +117,7 @@
         })
     }
 
-    /// Tells the others, for ever.
+    /// Forwards changed orders to other routers. Never returns.
     pub async fn run_sender(&self, socket: &UdpSocket) {
         loop {
             self.changed_signal.notified().await;
@@ -119,7 +125,7 @@
             while let Some(delay) = delays.next() {
                 tokio::select! {
                     () = sleep(*delay) => self.send_to_random_peers(socket),
-                    // Something newer: all of it is told from the start.
+                    // An order changed: send all recent orders again, from the first round.
                     () = self.changed_signal.notified() => delays = RESEND_DELAYS.iter(),
                 }
             }
@@ -135,7 +141,7 @@
         ciborium::into_writer(&orders, &mut bytes).expect("writing to memory cannot fail");
         let datagram = Topic::Orders.frame(&bytes);
         for peer in fastrand::choose_multiple(self.peers.borrow().iter(), FANOUT) {
-            // It is told again.
+            // Not retried here: a later round sends the order again.
             if let Err(e) = socket.try_send_to(&datagram, *peer) {
                 self.log.routine("peer", format_args!("to={peer} outcome=unsent cause={e}"));
             }
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -11,8 +11,8 @@
 use crate::error::{Error, Kind, Result};
 use crate::gateway::catalog::{Engine, Share};
 use crate::gateway::cold::ColdBound;
-use crate::gateway::placement::PlacementWeights;
-use crate::gateway::retry_budget::RetryAllowance;
+use crate::gateway::place::PlacementWeights;
+use crate::gateway::retries::RetryAllowance;
 use crate::gateway::zone_filter::ZoneRegions;
 use crate::gateway::{
     Catalog, CatalogParts, Limits, Names, Organisation, Platform, Route, RouteKind, Service,
--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -4,9 +4,7 @@
 
 use kingcupwall::gateway::CatalogParts;
 use kingcupwall::gateway::cold::{ADMISSION_LIFE, ColdBound, Meter, Owner, Pace, WarmUp, owner};
-use kingcupwall::gateway::placement::{
-    Candidate, Placement, PlacementGoal, PlacementWeights, place,
-};
+use kingcupwall::gateway::place::{Candidate, Placement, PlacementGoal, PlacementWeights, place};
 use kingcupwall::standin::gateway::{LocalPlatform, parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::StandinTarget;
--- a/tests/test_gateway_decisions.rs
+++ b/tests/test_gateway_decisions.rs
@@ -5,14 +5,10 @@
 use kingcupwall::gateway::catalog::{Catalog, RouteKind, Share};
 use kingcupwall::gateway::entry::{EntryView, RouterEntry, routers_needed};
 use kingcupwall::gateway::members::Reads;
-use kingcupwall::gateway::placement::{
-    Candidate, Placement, PlacementGoal, PlacementWeights, place,
-};
+use kingcupwall::gateway::outcome::{FinalAnswer, NextStep, SendCounts, SendOutcome, next_step};
+use kingcupwall::gateway::place::{Candidate, Placement, PlacementGoal, PlacementWeights, place};
 use kingcupwall::gateway::refusal::backoff_refusal;
-use kingcupwall::gateway::retry_budget::{RetryAllowance, ServiceRetryBudgets};
-use kingcupwall::gateway::retry_policy::{
-    FinalAnswer, NextStep, SendCounts, SendOutcome, next_step,
-};
+use kingcupwall::gateway::retries::{RetryAllowance, ServiceRetryBudgets};
 use kingcupwall::gateway::sse::Splitter;
 use kingcupwall::gateway::zone_filter::ZoneRegions;
 use kingcupwall::rows::StoreMs;
