--- a/tests/test_gateway_decisions.rs
+++ b/tests/test_gateway_decisions.rs
@@ -1,4 +1,4 @@
-//! The gateway's decisions, without sockets.
+//! Tests of the gateway's decisions, without sockets.
 
 use std::time::Duration;
 
@@ -68,13 +68,13 @@
     #[values(0, 1, 2)] runs: u32,
     #[values(1, 4)] sends: u32,
 ) {
-    // "Not run" after an earlier send of the same request may have run would be a lie.
+    // Answering "not run" would be false if an earlier send of the request may have run.
     let next_step = next_step(RouteKind::Idempotent, ended, SendCounts { runs, sends }, 3);
-    let says_not_run = matches!(
+    let claims_not_run = matches!(
         next_step,
         NextStep::Answer(FinalAnswer::NotRun) | NextStep::Retry(FinalAnswer::NotRun)
     );
-    assert!(runs == 0 || !says_not_run, "{next_step:?}");
+    assert!(runs == 0 || !claims_not_run, "{next_step:?}");
 }
 
 #[test]
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn route_shares() {
+fn route_service_by_share() {
     let mut r = route("/a/", RouteKind::Idempotent, 1);
     r.shares =
         vec![Share { service: "x".into(), weight: 90 }, Share { service: "y".into(), weight: 10 }];
@@ -130,18 +130,18 @@
 }
 
 #[test]
-fn place_cached_before_idle() {
-    // Reading a prompt's shared part again takes time that others wait for.
+fn place_prefers_cached_to_idle() {
+    // Prefilling the shared part again delays all requests that wait behind it.
     let cached = Candidate { wait_ms: 40.0, prefill_ms: 20.0, ..candidate() };
     let idle = Candidate { prefill_ms: 120.0, ..candidate() };
     assert_eq!(sent(place(&[idle, cached], &GOAL, &PlacementWeights::default())), 1);
-    // But a long queue outweighs it.
+    // A long queue outweighs the cached part.
     let queued = Candidate { wait_ms: 400.0, ..cached };
     assert_eq!(sent(place(&[idle, queued], &GOAL, &PlacementWeights::default())), 0);
 }
 
 #[test]
-fn place_unhealthy_last() {
+fn place_unhealthy_as_last_resort() {
     let unhealthy = Candidate { unhealthy: true, ..candidate() };
     let slow = Candidate { wait_ms: 200.0, ..candidate() };
     assert_eq!(sent(place(&[unhealthy, slow], &GOAL, &PlacementWeights::default())), 1);
@@ -152,19 +152,19 @@
 }
 
 #[test]
-fn place_too_late() {
-    // Steady load over capacity: every request is admitted, waits behind all others, and is late.
+fn place_refuses_late_request() {
+    // Under sustained overload, each admitted request would wait behind all others and be late.
     let busy = Candidate { wait_ms: 900.0, ..candidate() };
     let placement = place(&[busy, busy], &GOAL, &PlacementWeights::default());
     let Placement::Busy { room_in_ms } = placement else { panic!("{placement:?}") };
     assert!((600.0..900.0).contains(&room_in_ms), "{room_in_ms}");
 }
 
-/// Guards against callers that are told another time than the first at which a target wants them.
+/// Guards against a retry delay other than the time until the first target accepts requests again.
 #[rstest]
-#[case::all_rest(&[Some(3_000), Some(120)], &[], Some(120))]
-#[case::one_that_was_tried(&[Some(3_000)], &[0], Some(3_000))]
-#[case::none_rests(&[None], &[0], None)]
+#[case::all_backing_off(&[Some(3_000), Some(120)], &[], Some(120))]
+#[case::already_tried(&[Some(3_000)], &[0], Some(3_000))]
+#[case::none_backing_off(&[None], &[0], None)]
 fn place_all_backing_off(
     #[case] backoff_ms: &[Option<u64>],
     #[case] tried: &[usize],
@@ -183,10 +183,10 @@
     assert_eq!(place(&candidates, &GOAL, &PlacementWeights::default()), expected);
 }
 
-/// Guards against callers that come back before a target wants them, or all at once.
+/// Guards against callers that retry before a target accepts requests, or all at once.
 #[rstest]
-#[case::known(3_000, 3_000, 3_400)]
-#[case::at_once(1, 150, 300)]
+#[case::stated_delay(3_000, 3_000, 3_400)]
+#[case::minimum_delay(1, 150, 300)]
 fn backoff_refusal_jitter(#[case] retry_after_ms: u64, #[case] from_ms: u128, #[case] to_ms: u128) {
     let after = || {
         let own = backoff_refusal(Duration::from_millis(retry_after_ms));
@@ -207,9 +207,9 @@
 }
 
 #[test]
-fn retries_over_any_window() {
-    // A service that fails for all gets little more than its share of repeats, from any number
-    // of routers, over any window.
+fn retry_budget_over_any_window() {
+    // Guards against retry storms: when a service fails for all requests, the fleet must stay
+    // within its retry budget over any window, for any number of routers.
     let allowance = RetryAllowance { ratio: 0.2, slack: 52.0 };
     let routers = 6;
     let mut fleet: Vec<ServiceRetryBudgets> =
@@ -219,7 +219,7 @@
     for n in 0..6_000_usize {
         let router = &mut fleet[n % routers as usize];
         router.earn("api");
-        // Quiet at first, then everything fails.
+        // No failures at first, then every request fails.
         repeats.push(u32::from(n > 2_000 && router.take("api")));
     }
     for window in repeats.windows(400) {
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn entry_answer_as_few_as_carry() {
+fn entry_answer_fewest_routers() {
     let router = |n: u8, zone: &str, rate, leaving| RouterEntry {
         front: format!("127.0.0.{n}:80").parse().unwrap(),
         zone: zone.into(),
@@ -255,7 +255,8 @@
     view.routers[1].rate = 60;
     assert_eq!(answer(&view, "a"), ["127.0.0.1", "127.0.0.2"]);
     assert_eq!(answer(&view, "b"), ["127.0.0.3"]);
-    // A leaving one is never named, and a zone without any is served by all others.
+    // A router that is leaving is never named. A zone without routers gets those of all other
+    // zones.
     view.routers[0].leaving = true;
     assert_eq!(answer(&view, "a"), ["127.0.0.2"]);
     assert_eq!(answer(&view, "c"), ["127.0.0.2", "127.0.0.3"]);
@@ -302,23 +303,26 @@
         let named = view.answer("", "a", &ZoneRegions::default());
         named.iter().map(|a| a.ip().to_string()).collect()
     };
-    // Twice what the large one states is little for it; 40 each would be much for the small ones.
+    // Twice the stated capacity is no problem for the large router; 40 requests per second each
+    // would overload the small ones.
     assert_eq!(answer(40), ["127.0.0.10"]);
-    // More than it carries: the small ones as well, in the order of their addresses.
+    // Above that rate the small routers are named too, sorted by address.
     let mut all = vec!["127.0.0.10".to_owned()];
     all.extend((1..=9).map(|n| format!("127.0.0.{n}")));
     assert_eq!(answer(50), all);
 }
 
 #[test]
-fn reads_unnamed_soon_after_end() {
-    // Guards against callers that are sent to routers which ended in a cut, seconds after it.
+fn reads_unnamed_after_termination() {
+    // Guards against naming routers that terminated during a store outage for several seconds after
+    // it.
     const LIMIT: Duration = Duration::from_millis(3_500);
     let mut reads = Reads::default();
     for ms in [1_000, 3_000, 5_000, 13_400] {
         reads.note(StoreMs(ms));
     }
-    // Living routers could not renew their rows: they are named until they have had the time.
+    // Live routers could not renew their rows, so they stay named until they have had time to do
+    // so.
     assert!(reads.unnamed_ms(StoreMs(13_400), LIMIT) > 13_400 - 4_900);
     assert!(reads.unnamed_ms(StoreMs(15_400), LIMIT) > 15_400 - 4_900);
     reads.note(StoreMs(15_400));
@@ -328,15 +332,15 @@
 }
 
 #[rstest]
-#[case::calm(157.0, 2)]
-#[case::nobody(0.0, 1)]
-#[case::one_organisation_sends_many_times_its_usual(450.0, 2)]
-#[case::twice_what_is_stated(800.0, 2)]
-#[case::more_than_the_large_ones_carry(900.0, 25)]
-#[case::more_than_all_carry(5_000.0, 25)]
+#[case::usual_rate(157.0, 2)]
+#[case::no_requests(0.0, 1)]
+#[case::burst_of_one_organisation(450.0, 2)]
+#[case::twice_stated_capacity(800.0, 2)]
+#[case::above_large_routers(900.0, 25)]
+#[case::above_all_routers(5_000.0, 25)]
 fn routers_needed_large_before_small(#[case] rate: f64, #[case] named: usize) {
-    // Guards against a small router that is named beside large ones and gets as much as each of
-    // them, several times what its link carries.
+    // Guards against naming a small router beside large ones. It would get as many callers as each
+    // of them, several times what its link can carry.
     let mut capacities = vec![200.0, 200.0];
     capacities.extend([48.0; 23]);
     assert_eq!(routers_needed(&capacities, rate), named);
@@ -349,11 +353,11 @@
     assert_eq!(routers_needed(&[], 10.0), 0);
 }
 
-/// All routers are cut from the store for eight seconds. Their rows are older than that when the
-/// first of them reads the table again, because none could be renewed. A router that took the
-/// others for gone would name only itself to callers, and each of sixty routers would do so.
+/// Guards against routers that name only themselves to callers after a store outage. All 60 routers
+/// lose the store for eight seconds, so no row is renewed, and every row looks stale to the first
+/// router that reads the table again.
 #[test]
-fn reads_stale_after_cut_of_all() {
+fn reads_stale_after_store_outage() {
     let mut reads = Reads::default();
     let usual = reads.stale_ms(StoreMs(1_000));
     for ms in [1_000, 3_000, 5_000] {
@@ -363,7 +367,7 @@
     reads.note(StoreMs(13_400));
     let last_beat = 4_900;
     assert!(reads.stale_ms(StoreMs(13_400)) > 13_400 - last_beat);
-    // Whoever has not written by then is gone.
+    // Routers that have not renewed their row by now are gone.
     for ms in (15_400..25_000).step_by(2_000) {
         reads.note(StoreMs(ms));
     }
--- a/tests/test_gateway_homes.rs
+++ b/tests/test_gateway_homes.rs
@@ -1,4 +1,4 @@
-//! Routes and organisations that are bound to regions.
+//! Tests of routes and organisations that are restricted to regions.
 
 use kingcupwall::gateway::CatalogParts;
 use kingcupwall::gateway::entry::{EntryView, RouterEntry};
@@ -10,7 +10,7 @@
 
 use crate::gatedir::{Call, eventually, local};
 
-/// The usual configuration, with homes for the first route and the organisation.
+/// The default configuration, with the first route and the organisation restricted to regions.
 fn bound(route: &[&str], org: &[&str]) -> CatalogParts {
     let own = |names: &[&str]| names.iter().map(|n| (*n).into()).collect();
     let mut p = parts(1, 1_000_000);
@@ -27,8 +27,12 @@
 #[case::both_far(&["north", "south"], &["north"], 200)]
 #[case::both_exclude(&["south"], &["north"], 503)]
 #[case::no_such_region(&["east"], &[], 503)]
-fn request_stays_at_home(#[case] route: &[&str], #[case] org: &[&str], #[case] status: u16) {
-    // Guards against a body that reaches a target outside the regions it is bound to.
+fn request_stays_in_allowed_regions(
+    #[case] route: &[&str],
+    #[case] org: &[&str],
+    #[case] status: u16,
+) {
+    // Guards against a request body that reaches a target outside the allowed regions.
     local(async {
         let platform = LocalPlatform::new();
         platform.configure(bound(route, org));
@@ -57,11 +61,11 @@
 #[rstest]
 #[case::own_zone("zone-1", &[1, 2, 3, 4], &[1])]
 #[case::own_region("zone-1", &[2, 3, 4], &[2])]
-#[case::home_region("zone-1", &[3, 4], &[3])]
+#[case::allowed_region("zone-1", &[3, 4], &[3])]
 #[case::any("zone-1", &[4], &[4])]
 #[case::unknown_zone("zone-9", &[1, 3, 4], &[3])]
-fn entry_answer_near_home(#[case] zone: &str, #[case] up: &[u8], #[case] named: &[u8]) {
-    // Guards against callers that are sent to a region which is neither theirs nor a home.
+fn entry_answer_by_region(#[case] zone: &str, #[case] up: &[u8], #[case] named: &[u8]) {
+    // Guards against sending callers to a region that is neither their own nor an allowed one.
     let zones = ["zone-1", "zone-2", "zone-3", "zone-4"];
     let regions = ["south", "south", "north", "east"];
     let router = |n: &u8| RouterEntry {
--- a/tests/test_gateway_orders.rs
+++ b/tests/test_gateway_orders.rs
@@ -1,4 +1,4 @@
-//! Zones that the operator empties and takes back.
+//! Tests of zones that the operator empties and returns to service.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -24,8 +24,8 @@
 #[rstest]
 #[case::first(&[], order("a", 5, true), true)]
 #[case::taken_back(&[order("a", 5, true)], order("a", 6, false), true)]
-#[case::told_again(&[order("a", 5, true)], order("a", 5, true), false)]
-#[case::told_late(&[order("a", 5, true), order("a", 6, false)], order("a", 5, true), false)]
+#[case::duplicate(&[order("a", 5, true)], order("a", 5, true), false)]
+#[case::older_order_late(&[order("a", 5, true), order("a", 6, false)], order("a", 5, true), false)]
 #[case::other_zone(&[order("a", 5, true)], order("b", 4, true), true)]
 #[case::never_emptied(&[], order("a", 5, false), false)]
 fn orders_merge_newer(
@@ -44,8 +44,8 @@
 
 #[test]
 fn orders_missing_from_snapshot_taken_back() {
-    // Guards against a zone that stays emptied for ever because the deletion of its row was
-    // compacted away.
+    // Guards against a zone that stays emptied for ever because the store compacted away the
+    // deletion of its row.
     let mut orders = ZoneOrders::default();
     let now = Instant::now();
     orders.merge_newer(&order("a", 5, true), now);
@@ -60,12 +60,12 @@
 #[case::no_restriction(&[], &[], &[], "a", None)]
 #[case::emptied(&["a"], &[], &[], "a", Some(ExclusionReason::Emptied))]
 #[case::other_emptied(&["b"], &[], &[], "a", None)]
-#[case::home(&[], &["south"], &[], "a", None)]
-#[case::abroad(&[], &["north"], &[], "a", Some(ExclusionReason::OutsideAllowedRegions))]
-#[case::both_bind(&[], &["south", "north"], &["north"], "a", Some(ExclusionReason::OutsideAllowedRegions))]
-#[case::abroad_and_emptied(&["a"], &["north"], &[], "a", Some(ExclusionReason::OutsideAllowedRegions))]
+#[case::allowed_region(&[], &["south"], &[], "a", None)]
+#[case::outside_regions(&[], &["north"], &[], "a", Some(ExclusionReason::OutsideAllowedRegions))]
+#[case::both_restricted(&[], &["south", "north"], &["north"], "a", Some(ExclusionReason::OutsideAllowedRegions))]
+#[case::outside_regions_and_emptied(&["a"], &["north"], &[], "a", Some(ExclusionReason::OutsideAllowedRegions))]
 #[case::unknown_zone(&[], &["south"], &[], "z", Some(ExclusionReason::OutsideAllowedRegions))]
-#[case::unknown_zone_unbound(&[], &[], &[], "z", None)]
+#[case::unknown_zone_unrestricted(&[], &[], &[], "z", None)]
 fn zone_filter_exclusion_reason(
     #[case] emptied: &[&str],
     #[case] route: &[&str],
@@ -84,7 +84,7 @@
     assert_eq!(zone_filter.exclusion_reason(zone), expected);
 }
 
-/// A target in each of two zones and one router or two.
+/// One target in each of two zones, and any number of routers.
 struct Fleet {
     platform: LocalPlatform,
     targets: Vec<StandinTarget>,
@@ -119,7 +119,7 @@
         self.routers.push(host.unwrap());
     }
 
-    /// Sends requests to a router and tells how many each target ran.
+    /// Sends requests to a router. Returns the number of runs at each target.
     async fn send(&self, router: usize, name: &str) -> (usize, usize) {
         let before = self.runs();
         for n in 0..8 {
@@ -134,28 +134,28 @@
         (self.targets[0].runs().len(), self.targets[1].runs().len())
     }
 
-    async fn applied(&self, router: usize, emptied: &[&str]) {
+    async fn wait_for_emptied(&self, router: usize, emptied: &[&str]) {
         let zones = &self.routers[router].gw.zones;
         eventually("the order is known", || zones.emptied() == emptied).await;
     }
 }
 
 #[test]
-fn emptied_zone_gets_nothing_new() {
+fn emptied_zone_gets_no_new_requests() {
     local(async {
         let fleet = Fleet::start(1).await;
         fleet.platform.empty_zone("zone-1");
-        fleet.applied(0, &["zone-1"]).await;
+        fleet.wait_for_emptied(0, &["zone-1"]).await;
         assert_eq!(fleet.send(0, "emptied").await, (0, 8));
         fleet.platform.take_zone_back("zone-1");
-        fleet.applied(0, &[]).await;
+        fleet.wait_for_emptied(0, &[]).await;
         assert!(fleet.send(0, "back").await.0 > 0);
     });
 }
 
 #[test]
-fn emptied_zone_ends_what_it_runs() {
-    // Guards against answers that break off because their zone is emptied.
+fn emptied_zone_completes_running_requests() {
+    // Guards against streams that break off because the zone of their target is emptied.
     local(async {
         let fleet = Fleet::start(1).await;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(100)));
@@ -164,7 +164,7 @@
             spawn_local(async move { Call::get("/stream/a").tokens(10, 16).send(front).await });
         eventually("it runs", || fleet.runs() == (1, 0)).await;
         fleet.platform.empty_zone("zone-1");
-        fleet.applied(0, &["zone-1"]).await;
+        fleet.wait_for_emptied(0, &["zone-1"]).await;
         let got = stream.await.unwrap();
         assert!(got.whole);
         assert_eq!(got.events(), (1..=8).collect::<Vec<_>>());
@@ -173,8 +173,8 @@
 
 #[test]
 fn resumed_stream_leaves_emptied_zone() {
-    // Guards against a stream that is resumed, or a retry that is sent, in a zone that was emptied
-    // while its first target ran it.
+    // Guards against resuming or retrying a request in a zone that was emptied while the first
+    // target was running the request.
     local(async {
         let fleet = Fleet::start(1).await;
         for n in 0..10 {
@@ -196,9 +196,9 @@
         let runs = || fleet.runs().0 - before.0 + third.runs().len();
         eventually("it runs in the zone", || runs() == 1).await;
         fleet.platform.empty_zone("zone-1");
-        fleet.applied(0, &["zone-1"]).await;
+        fleet.wait_for_emptied(0, &["zone-1"]).await;
         let got = stream.await.unwrap();
-        // The target in the other zone cuts it as well, at the same event: nothing new came.
+        // The target in the other zone cuts the stream at the same event, so no new event arrives.
         assert!(!got.events().is_empty());
         assert_eq!((runs(), fleet.runs().1 - before.1), (1, 1));
     });
@@ -206,12 +206,12 @@
 
 #[test]
 fn all_zones_emptied_refused() {
-    // Guards against a request that is held until its time is over though nothing can serve it.
+    // Guards against holding a request until it times out although no target can serve it.
     local(async {
         let fleet = Fleet::start(1).await;
         fleet.platform.empty_zone("zone-1");
         fleet.platform.empty_zone("zone-2");
-        fleet.applied(0, &["zone-1", "zone-2"]).await;
+        fleet.wait_for_emptied(0, &["zone-1", "zone-2"]).await;
         let got = Call::get("/once/a").body("order").send(fleet.routers[0].front).await;
         assert_eq!((got.status(), got.body.as_str()), (503, r#"{"error":"zones_emptied"}"#));
         assert!(got.header("Retry-After").unwrap().parse::<f64>().unwrap() >= 1.0);
@@ -220,25 +220,25 @@
 }
 
 #[test]
-fn order_reaches_router_that_store_turns_away() {
-    // Guards against a router that goes on sending into an emptied zone because the store serves
-    // the others and not itself.
+fn order_reaches_router_rejected_by_store() {
+    // Guards against a router that keeps sending into an emptied zone because the store rejects
+    // this router but not the others.
     local(async {
         let fleet = Fleet::start(2).await;
         fleet.routers[1].platform.rows.set_fault(Fault::Reject(503));
         sleep(Duration::from_millis(100)).await;
         fleet.platform.empty_zone("zone-1");
-        fleet.applied(1, &["zone-1"]).await;
+        fleet.wait_for_emptied(1, &["zone-1"]).await;
         assert_eq!(fleet.send(1, "told").await, (0, 8));
         fleet.platform.take_zone_back("zone-1");
-        fleet.applied(1, &[]).await;
+        fleet.wait_for_emptied(1, &[]).await;
     });
 }
 
 #[test]
-fn order_in_lost_history() {
-    // Guards against an order, or the end of one, that is missed because the store has dropped the
-    // history in which it stood.
+fn order_in_compacted_history() {
+    // Guards against missing the start or the end of an order because the store has compacted the
+    // history that contains it.
     local(async {
         let fleet = Fleet::start(1).await;
         let rows = &fleet.routers[0].platform.rows;
@@ -251,14 +251,14 @@
             }
             fleet.platform.rows.compact();
             rows.set_fault(Fault::None);
-            fleet.applied(0, if emptied { &["zone-1"] } else { &[] }).await;
+            fleet.wait_for_emptied(0, if emptied { &["zone-1"] } else { &[] }).await;
         }
     });
 }
 
 #[test]
 fn router_starts_while_zone_is_emptied() {
-    // Guards against a router whose first requests go into an emptied zone.
+    // Guards against a new router that sends its first requests into an emptied zone.
     local(async {
         let mut fleet = Fleet::start(0).await;
         fleet.platform.empty_zone("zone-1");
@@ -279,8 +279,8 @@
     #[case] topic: Topic,
     #[case] expected: bool,
 ) {
-    // Guards against a router that goes on sending into an emptied zone because its store fell
-    // silent before it had read who the others are.
+    // Guards against a router that keeps sending into an emptied zone because its store stopped
+    // responding before the router had read the list of its peers.
     let known: Vec<IpAddr> = known.iter().map(|a| a.parse().unwrap()).collect();
     assert_eq!(accepts_datagram(&known, from.parse().unwrap(), Some(topic)), expected);
 }
--- a/tests/test_gateway_targets.rs
+++ b/tests/test_gateway_targets.rs
@@ -1,4 +1,4 @@
-//! What routers believe of targets, without sockets.
+//! Tests of the targets that a router tracks, without sockets.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -62,18 +62,18 @@
 #[case::heartbeat(Some(5), Some(5), Change::Same)]
 #[case::newer(Some(5), Some(6), Change::Restarted)]
 #[case::older_arrives_late(Some(5), Some(4), Change::Outdated)]
-#[case::not_said_any_more(Some(5), None, Change::Same)]
-#[case::said_for_the_first_time(None, Some(5), Change::Same)]
-#[case::never_said(None, None, Change::Same)]
-fn set_born(#[case] known: Option<u64>, #[case] next: Option<u64>, #[case] expected: Change) {
+#[case::start_time_dropped(Some(5), None, Change::Same)]
+#[case::start_time_added(None, Some(5), Change::Same)]
+#[case::no_start_time(None, None, Change::Same)]
+fn set_start_time(#[case] known: Option<u64>, #[case] next: Option<u64>, #[case] expected: Change) {
     let targets = Targets::default();
     assert_eq!(targets.set(entry(known, READY)), Change::New);
     assert_eq!(targets.set(entry(next, READY)), expected);
 }
 
 #[test]
-fn set_born_is_remembered() {
-    // An entry without it in between must not let an outdated one pass.
+fn set_start_time_remembered() {
+    // An entry without a start time in between must not let an outdated entry through.
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
     targets.set(entry(None, READY));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn set_gone_and_back() {
+fn set_after_lapse_and_removal() {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
     targets.lapse("t1");
@@ -99,11 +99,11 @@
     assert_eq!(targets.set(entry(Some(5), READY)), Change::New);
 }
 
-/// A target crashes and starts again under the id that it had. Its address is the same, the
-/// entry never vanishes, and prompts whose shared part it had read go on being sent there as to
-/// a warm cache: each is read again, later than was reckoned, and its first token is late.
+/// Guards against treating a restarted target as warm. It restarts under the same id and address
+/// and its entry never disappears, so requests whose shared part was cached are still sent to it.
+/// Each prompt is prefilled again, and its first token is later than predicted.
 #[tokio::test(start_paused = true)]
-async fn set_restart_forgets() {
+async fn set_restart_resets_load() {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
     let before = only(&targets);
@@ -119,14 +119,14 @@
     let seen = targets.candidates(&request()).candidates.remove(0).1;
     assert_eq!((seen.uncached, seen.in_flight_requests, seen.unhealthy), (6_000, 0, false));
     assert!(seen.wait_ms == 0.0);
-    // What ran at the earlier start ends there and does not count here.
+    // Requests of the previous process do not count for the new one.
     drop(flight);
     assert_eq!(targets.candidates(&request()).candidates.remove(0).1.in_flight_requests, 0);
     assert!(!Rc::ptr_eq(&before, &only(&targets)));
 }
 
 #[test]
-fn set_restart_leaves_drain() {
+fn set_restart_ends_draining() {
     let targets = Targets::default();
     targets.set(entry(Some(5), TargetState::Draining));
     assert_eq!(targets.set(entry(Some(6), READY)), Change::Restarted);
@@ -135,19 +135,18 @@
 
 #[test]
 fn set_other_address() {
-    // An id that moves to another address without a word on its start is another process too.
+    // An id that moves to another address without a start time is a new process as well.
     let targets = Targets::default();
     targets.set(entry(None, READY));
     let moved = TargetInfo { addr: "127.0.0.9:81".parse().unwrap(), ..entry(None, READY) };
     assert_eq!(targets.set(moved), Change::Restarted);
 }
 
-/// A long shared part is read again and again although one target or another had it all along.
-/// Each zone sent it to a target of its own, where it was pushed out, before the next request
-/// with it came, by parts that only one request used. Routers did not count those, took it for
-/// cached there, and sent nobody to the target that still had it.
+/// Guards against prefilling a long shared part repeatedly. Parts used by only one request evict it
+/// from a target's cache; if routers did not count those, they would assume it is still cached
+/// there and send no request to the target that does have it.
 #[test]
-fn candidates_unshared_parts_push_out() {
+fn candidates_unshared_parts_evict() {
     const KEPT: u64 = 20_000;
     let targets = Targets::default();
     targets.set(entry(None, READY));
@@ -162,27 +161,27 @@
     for id in 100..113 {
         hint(&[Part { id, tokens: 1_000 }]);
     }
-    assert_eq!(uncached(), 0, "all of it still fits");
+    assert_eq!(uncached(), 0, "all parts still fit");
     hint(&[Part { id: 200, tokens: 5_000 }]);
     assert_eq!(uncached(), 6_000);
 }
 
 const LEAVING: Notice = Notice { leaving: true, retry_after: None };
 
-/// Guards against an entry that undoes what its target said, and a word of an earlier start that
-/// exclusion_reason a later one.
+/// Guards against entries that discard a target's own leaving notice, and against a notice of an
+/// earlier start that excludes the restarted target.
 #[rstest]
 #[case::renewed(Some(5), Some(5), false, 0)]
 #[case::gone_and_back(Some(5), Some(5), true, 0)]
-#[case::start_not_said_any_more(Some(5), None, true, 0)]
-#[case::start_said_for_the_first_time(None, Some(5), true, 0)]
+#[case::start_time_dropped(Some(5), None, true, 0)]
+#[case::start_time_added(None, Some(5), true, 0)]
 #[case::started_again(Some(5), Some(6), false, 1)]
 #[case::gone_and_started_again(Some(5), Some(6), true, 1)]
 fn set_keeps_leaving(
     #[case] born: Option<u64>,
     #[case] next: Option<u64>,
     #[case] gone: bool,
-    #[case] takes_new: usize,
+    #[case] accepting: usize,
 ) {
     let targets = Targets::default();
     targets.set(entry(born, READY));
@@ -191,11 +190,11 @@
         targets.remove("t1");
     }
     targets.set(entry(next, READY));
-    assert_eq!(targets.candidates(&request()).candidates.len(), takes_new);
-    assert_eq!(targets.count(), (1, takes_new));
+    assert_eq!(targets.candidates(&request()).candidates.len(), accepting);
+    assert_eq!(targets.count(), (1, accepting));
 }
 
-/// Guards against an entry of another writer that makes a target's word forgotten.
+/// Guards against losing a leaving notice to an entry from another writer with another address.
 #[test]
 fn set_keeps_leaving_at_other_address() {
     let targets = Targets::default();
@@ -219,44 +218,47 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn standing_rests() {
-    let asks = |ms| Notice {
+async fn standing_backoff() {
+    let retry_after_notice = |ms| Notice {
         leaving: false,
         retry_after: Some(RetryAfter::Delay(Duration::from_millis(ms))),
     };
     let (standing, start) = (Standing::default(), Instant::now());
     let at = |ms| start + Duration::from_millis(ms);
-    let rests_ms = |ms| standing.rests_for(at(ms)).map(|d| d.as_millis());
-    assert!(standing.take(asks(3_000), start));
-    // Neither a shorter time nor an answer without one ends it sooner.
-    assert!(!standing.take(asks(100), at(10)));
-    assert!(!standing.take(asks(0), at(20)));
+    let backoff_ms = |ms| standing.rests_for(at(ms)).map(|d| d.as_millis());
+    assert!(standing.take(retry_after_notice(3_000), start));
+    // Neither a shorter delay nor an answer without a delay shortens the backoff.
+    assert!(!standing.take(retry_after_notice(100), at(10)));
+    assert!(!standing.take(retry_after_notice(0), at(20)));
     assert!(!standing.take(Notice::default(), at(30)));
-    assert_eq!((rests_ms(2_999), rests_ms(3_000)), (Some(1), None));
-    assert!(standing.take(asks(3_000), at(1_000)));
-    assert_eq!(rests_ms(3_500), Some(500));
+    assert_eq!((backoff_ms(2_999), backoff_ms(3_000)), (Some(1), None));
+    assert!(standing.take(retry_after_notice(3_000), at(1_000)));
+    assert_eq!(backoff_ms(3_500), Some(500));
     assert!(
         !standing
             .take(Notice { leaving: false, retry_after: Some(RetryAfter::Unreadable) }, at(9_000))
     );
-    assert_eq!(rests_ms(9_000), None);
+    assert_eq!(backoff_ms(9_000), None);
 }
 
-/// Guards against an entry that is gone and back and makes a target's rest forgotten.
+/// Guards against losing a target's backoff when its entry disappears and reappears.
 #[rstest]
 #[case::same_start(Some(5), 0)]
 #[case::started_again(Some(6), 1)]
 #[tokio::test(start_paused = true)]
-async fn set_keeps_rest(#[case] next: Option<u64>, #[case] takes: usize) {
+async fn set_keeps_backoff(#[case] next: Option<u64>, #[case] accepting: usize) {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
     only(&targets).standing.rest(Instant::now(), Duration::from_secs(3));
     targets.remove("t1");
     targets.set(entry(next, READY));
-    let takes_some = |t: &Targets| {
+    let count_accepting = |t: &Targets| {
         t.candidates(&request()).candidates.iter().filter(|(_, c)| c.backoff.is_none()).count()
     };
-    assert_eq!((takes_some(&targets), targets.count_backing_off()), (takes, 1 - takes));
+    assert_eq!(
+        (count_accepting(&targets), targets.count_backing_off()),
+        (accepting, 1 - accepting)
+    );
     tokio::time::advance(Duration::from_secs(3)).await;
-    assert_eq!(takes_some(&targets), 1);
+    assert_eq!(count_accepting(&targets), 1);
 }
--- a/tests/test_gateway_timing.rs
+++ b/tests/test_gateway_timing.rs
@@ -1,18 +1,18 @@
-//! What is learnt of engines.
+//! Tests of the first-token model and of the targets' slowdown.
 
 use kingcupwall::gateway::timing::{FirstTokenModel, PrefillWork, Slowdown};
 use rstest::rstest;
 
-/// Prompt sizes as they come: many small ones, some large ones.
+/// Typical prompt sizes in tokens: many small ones, some large ones.
 const SIZES: [u64; 6] = [300, 800, 1_500, 400, 9_000, 2_500];
 
 fn uncached_prompt(tokens: u64) -> PrefillWork {
     PrefillWork::of(tokens, tokens)
 }
 
-/// Engines of another maker read 140 tokens a ms and take 55 ms to a first token whatever the
-/// prompt. With figures of the first deployments in the code, every first token was predicted
-/// far off, and one in twenty was late at the worst. Within a dozen answers both are known.
+/// Guards against constants that fit only some engines. With constants from the first deployments,
+/// an engine that prefills 140 tokens per ms with a base time of 55 ms was mispredicted for every
+/// prompt, and 1 in 20 first tokens was late. A dozen answers must suffice to learn both values.
 #[rstest]
 #[case(5.0, 5.0)]
 #[case(33.0, 12.0)]
@@ -32,8 +32,8 @@
     }
 }
 
-/// The largest prompts take far longer than their tokens suggest, because each token looks at all
-/// before it. Predicted by their tokens alone they came too late, and all that waited behind them.
+/// Guards against underestimating the largest prompts. Each token attends to all tokens before it,
+/// so a prediction from the token count alone delays these prompts and all that wait behind them.
 #[test]
 fn first_token_long_prompts() {
     let mut model = FirstTokenModel::default();
@@ -50,7 +50,8 @@
 
 #[test]
 fn first_token_one_answer() {
-    // One answer says how long its like takes; larger ones are not taken for free.
+    // One answer predicts prompts of its size; larger prompts must not be predicted to take no
+    // longer.
     let mut model = FirstTokenModel::default();
     model.note(uncached_prompt(1_000), 40.0);
     let found = model.estimate().unwrap();
@@ -60,7 +61,7 @@
 
 #[test]
 fn first_token_outliers() {
-    // One answer in fifteen waits for a lost packet: 1 s, whatever its prompt.
+    // One answer in fifteen takes 1 s because of a lost packet, whatever its prompt size.
     let mut model = FirstTokenModel::default();
     for (i, tokens) in SIZES.iter().cycle().take(150).enumerate() {
         let ms = if i % 15 == 14 { 1_000.0 } else { 55.0 + *tokens as f64 / 140.0 };
@@ -94,7 +95,7 @@
         slowdown.note(60.0, 60.0 * factor);
     }
     assert!((slowdown.get() - factor).abs() < 0.3 * factor, "{}", slowdown.get());
-    // A single answer moves it little.
+    // A single answer changes the slowdown only slightly.
     let mut slowdown = Slowdown::default();
     slowdown.note(60.0, 180.0);
     assert!(slowdown.get() < 1.4);
