--- a/tests/test_gateway_timing.rs
+++ b/tests/test_gateway_timing.rs
@@ -12,7 +12,7 @@
 
 /// Guards against constants that fit only some engines. With constants from the first deployments,
 /// an engine that prefills 140 tokens per ms with a base time of 55 ms was mispredicted for every
-/// prompt, and up to 1 in 20 first tokens was late. A dozen answers must suffice to learn both values.
+/// prompt, and up to 1 in 20 first tokens was late. A dozen answers must suffice to learn both.
 #[rstest]
 #[case(5.0, 5.0)]
 #[case(33.0, 12.0)]
