--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -14,14 +14,14 @@
 use super::crashes::Crashes;
 use super::entry::EntryView;
 use super::feed::{Confirmation, Feed, Reader};
-use super::hints::Hints;
-use super::place::Weights;
-use super::reach::ZoneRegions;
+use super::hints::PlacementHints;
+use super::place::PlacementWeights;
 use super::request::Names;
-use super::retries::{RetryAllowance, RetryShares};
+use super::retries::{RetryAllowance, ServiceRetryBudgets};
 use super::targets::Targets;
 use super::warmup::Admissions;
-use super::zones::Zones;
+use super::zone_filter::ZoneRegions;
+use super::zones::ZoneGossip;
 use crate::allowance::{HolderName, Keeper, KeeperSettings};
 use crate::error::Result;
 use crate::oplog::Log;
@@ -77,7 +77,7 @@
     /// Settings of budgets.
     pub budgets: KeeperSettings,
     /// Weights of placement.
-    pub weights: Weights,
+    pub weights: PlacementWeights,
     /// Requests a second that this router is meant to take.
     pub capacity: u32,
     /// Lifetime of entry answers.
@@ -118,17 +118,17 @@
     /// Addresses of the other routers, sorted: datagrams of others are not read.
     pub peers: RefCell<Vec<IpAddr>>,
     /// What routers tell one another.
-    pub hints: Hints,
+    pub hints: PlacementHints,
     /// Requests under which targets ended.
     pub crashes: Crashes,
     /// Zones that the operator has emptied.
-    pub zones: Zones,
+    pub zones: ZoneGossip,
     /// Requests to cold targets.
     pub cold: Admissions,
     /// Budgets.
     pub keeper: Rc<Keeper<P>>,
     /// Shares of the retry budget.
-    pub retries: RefCell<RetryShares>,
+    pub retries: RefCell<ServiceRetryBudgets>,
     /// Reads tables that are followed.
     pub reader: Reader<P>,
     /// How far the configuration was read.
@@ -163,11 +163,11 @@
         let stats = Stats::new();
         Rc::new(Gateway {
             crashes: Crashes::new(log.clone(), stats.clone()),
-            zones: Zones::new(log.clone(), stats.clone()),
+            zones: ZoneGossip::new(log.clone(), stats.clone()),
             cold: Admissions::new(settings.instance.clone(), log.clone(), stats.clone()),
             reader: Reader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
             keeper,
-            retries: RefCell::new(RetryShares::new(settings.retries)),
+            retries: RefCell::new(ServiceRetryBudgets::new(settings.retries)),
             platform,
             settings,
             log,
@@ -175,7 +175,7 @@
             catalog: RefCell::default(),
             targets: Targets::default(),
             peers: RefCell::default(),
-            hints: Hints::default(),
+            hints: PlacementHints::default(),
             config_feed: Feed::default(),
             confirmed: tokio::sync::Mutex::new(None),
             phase: watch::Sender::new(Phase::Up),
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -7,9 +7,9 @@
 
 use super::catalog::{Catalog, Route};
 use super::feed::{Confirmation, Feed};
-use super::orders::ZoneOrder;
 use super::state::{Gateway, Platform};
 use super::targets::Change;
+use super::zone_orders::ZoneOrder;
 use crate::rows::{Page, Row, Ver};
 
 /// How long after the store's return entries that lapsed meanwhile may come back: the targets
@@ -108,9 +108,9 @@
     };
     let orders: Vec<ZoneOrder> = page.rows.iter().filter_map(order).collect();
     if whole {
-        gw.zones.take_whole(&orders, page.ver);
+        gw.zones.apply_snapshot(&orders, page.ver);
     } else {
-        gw.zones.take(&orders, "store");
+        gw.zones.merge_newer(&orders, "store");
     }
     let (_, key) = gw.platform.config_row();
     page.rows.iter().filter(|r| r.at.key == key).for_each(|r| apply_config(gw, r));
@@ -199,12 +199,12 @@
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
         gw.stats.targets_cold.set(count(gw.targets.count_cold()));
         gw.stats.targets_leaving.set(count(gw.targets.count_leaving()));
-        gw.stats.targets_resting.set(count(gw.targets.count_resting()));
+        gw.stats.targets_resting.set(count(gw.targets.count_backing_off()));
         let link = gw.reader.link();
         if link.away || may_return(&gw) {
             continue;
         }
-        for id in gw.targets.sweep() {
+        for id in gw.targets.remove_lapsed() {
             gw.log.note("target", format_args!("target={id} state=gone"));
         }
     }
