--- a/src/allowance/calls.rs
+++ b/src/allowance/calls.rs
@@ -9,10 +9,10 @@
 use compact_str::CompactString;
 use tokio::time::{Instant, sleep};
 
-use super::account::{GrantPlan, Sizing};
+use super::account::{GrantChange, Sizing};
 use super::keeper::{Keeper, REREAD, Seen, Slot};
-use super::ledger::{Closing, Ledger};
-use super::spending::{Former, OrgLine, Spending};
+use super::ledger::{ClosedGrant, Ledger};
+use super::spending::{OrgSpending, PredecessorSpending, Spending};
 use crate::rows::{Committed, Page, Row, RowKey, RowStore, StoreError, StoreResult, Tx, Ver};
 
 /// The table of ledgers, one row an organisation.
@@ -43,7 +43,7 @@
     WritePlace,
     Read(CompactString),
     /// A change of this router's grant, and what it closes of predecessors.
-    Write(CompactString, GrantPlan, Vec<Former>),
+    Write(CompactString, GrantChange, Vec<PredecessorSpending>),
 }
 
 /// How a call went.
@@ -78,7 +78,7 @@
         let room = CALLS_AT_ONCE.saturating_sub(self.under_way.get());
         let mut calls: Vec<Call> = self.place_call(now).into_iter().collect();
         let mut of_orgs = self.org_calls(now);
-        of_orgs.sort_by_key(|(starved, _)| !starved);
+        of_orgs.sort_by_key(|(awaited, _)| !awaited);
         calls.extend(of_orgs.into_iter().map(|(_, call)| call));
         calls.truncate(room);
         for call in &calls {
@@ -89,7 +89,7 @@
                     s.sent = Some(now);
                     // From here on, not from when it is sent: what is taken in between could be
                     // more than a lower ceiling allows.
-                    s.account.sending_grant(plan);
+                    s.account.begin_grant_write(plan);
                 })),
             }
         }
@@ -113,9 +113,10 @@
             return Some(Call::ReadPlace);
         }
         let slots = self.slots.borrow();
-        let former = !place.orphans.is_empty() || slots.iter().any(|s| !s.former.is_empty());
-        let fence = former && !place.mine;
-        let due = || slots.iter().any(|s| s.account.line_due(now).is_some());
+        let predecessors =
+            !place.orphans.is_empty() || slots.iter().any(|s| !s.predecessors.is_empty());
+        let fence = predecessors && !place.mine;
+        let due = || slots.iter().any(|s| s.account.limit_due(now).is_some());
         (fence || place.outdated || due()).then_some(Call::WritePlace)
     }
 
@@ -124,26 +125,26 @@
         let (mine, sizing) = (self.place.borrow().mine, self.sizing());
         let slots = self.slots.borrow();
         let of_slot = |s: &Slot| {
-            let starved = s.account.is_starved(now);
+            let awaited = s.account.has_unmet_demand(now);
             if !s.account.is_known() {
-                let needed = starved || !s.former.is_empty();
-                return needed.then(|| (starved, Call::Read(s.org.clone())));
+                let needed = awaited || !s.predecessors.is_empty();
+                return needed.then(|| (awaited, Call::Read(s.org.clone())));
             }
             // What predecessors left may be closed once none of their writes can take effect.
-            let former = if mine { &s.former[..] } else { &[] };
-            if let Some(plan) = s.account.next_grant(former, now, sizing) {
+            let predecessors = if mine { &s.predecessors[..] } else { &[] };
+            if let Some(plan) = s.account.next_grant_change(predecessors, now, sizing) {
                 let fresh = now.saturating_duration_since(s.read) < FRESH;
                 if !fresh && s.account.is_shared() {
-                    return Some((starved, Call::Read(s.org.clone())));
+                    return Some((awaited, Call::Read(s.org.clone())));
                 }
-                return Some((starved, Call::Write(s.org.clone(), plan, former.to_vec())));
+                return Some((awaited, Call::Write(s.org.clone(), plan, predecessors.to_vec())));
             }
             // Other routers give back what they do not need, or are nearly at the end, and this
             // one would not hear of it.
             let age = now.saturating_duration_since(s.read);
-            let stale = starved && age > s.reread;
+            let stale = awaited && age > s.reread;
             let unseen = s.account.is_spending(now) && age > LOOK;
-            (stale || unseen).then(|| (starved, Call::Read(s.org.clone())))
+            (stale || unseen).then(|| (awaited, Call::Read(s.org.clone())))
         };
         slots.iter().filter(|s| s.is_free(now)).filter_map(of_slot).collect()
     }
@@ -163,8 +164,8 @@
                 let went = self.read(&org).await;
                 self.end_call(&org, went).await;
             }
-            Call::Write(org, plan, former) => {
-                let went = self.write(&org, &plan, &former).await;
+            Call::Write(org, plan, predecessors) => {
+                let went = self.write(&org, &plan, &predecessors).await;
                 self.end_call(&org, went).await;
             }
         }
@@ -204,7 +205,7 @@
     }
 
     fn place_at(&self) -> RowKey {
-        RowKey::alone(SPENDING, &self.me.place)
+        RowKey::alone(SPENDING, &self.me.endpoint)
     }
 
     fn place_tx(&self, row: &Spending, expect: Ver) -> Tx {
@@ -247,22 +248,22 @@
         if was_mine {
             self.log.note("spending", format_args!("row_ver={} outcome=taken_over", row.ver));
             self.place.borrow_mut().lost = true;
-            self.slots.borrow_mut().iter_mut().for_each(|s| s.account.omitting_line());
+            self.slots.borrow_mut().iter_mut().for_each(|s| s.account.omit_limit());
             return Went::Failed;
         }
         let ended = self.began.get().unwrap_or_default();
-        self.set_former(spending.into_former(ended));
+        self.set_former(spending.into_predecessors(ended));
         self.place.borrow_mut().known = true;
         Went::Lost
     }
 
-    fn set_former(&self, former: Vec<Former>) {
+    fn set_former(&self, predecessors: Vec<PredecessorSpending>) {
         let mut orphans = Vec::new();
         let mut slots = self.slots.borrow_mut();
-        slots.iter_mut().for_each(|s| s.former.clear());
-        for f in former {
+        slots.iter_mut().for_each(|s| s.predecessors.clear());
+        for f in predecessors {
             match slots.binary_search_by(|s| s.org.cmp(&f.org)) {
-                Ok(i) => slots[i].former.push(f),
+                Ok(i) => slots[i].predecessors.push(f),
                 Err(_) => orphans.push(f),
             }
         }
@@ -272,7 +273,7 @@
     /// Write `number` of this place's row is the one in force.
     fn line_in_force(&self, number: u64) {
         let now = Instant::now();
-        self.slots.borrow_mut().iter_mut().for_each(|s| s.account.line_written(number, now));
+        self.slots.borrow_mut().iter_mut().for_each(|s| s.account.limit_written(number, now));
         self.place.borrow_mut().mine = true;
     }
 
@@ -281,15 +282,19 @@
         let (now, sizing) = (Instant::now(), self.sizing());
         let mut slots = self.slots.borrow_mut();
         let mut next = Spending::new(self.me.incarnation, number);
-        next.former.clone_from(&self.place.borrow().orphans);
+        next.predecessors.clone_from(&self.place.borrow().orphans);
         for s in slots.iter_mut() {
-            next.former.extend(s.former.iter().cloned());
-            match s.account.next_line(seen.at, now, sizing) {
-                Some((settled, line)) => {
-                    s.account.sending_line(number, line, seen.learnt);
-                    next.lines.push(OrgLine { org: s.org.clone(), settled, line });
+            next.predecessors.extend(s.predecessors.iter().cloned());
+            match s.account.next_limit(seen.at, now, sizing) {
+                Some((settled, spending_limit)) => {
+                    s.account.begin_limit_write(number, spending_limit, seen.received_at);
+                    next.spending_limits.push(OrgSpending {
+                        org: s.org.clone(),
+                        settled,
+                        spending_limit,
+                    });
                 }
-                None => s.account.omitting_line(),
+                None => s.account.omit_limit(),
             }
         }
         next
@@ -311,7 +316,7 @@
         let sent = Instant::now();
         let outcome = self.store.commit(&self.place_tx(&next, expect)).await;
         let ms = sent.elapsed().as_millis();
-        let n = next.lines.len();
+        let n = next.spending_limits.len();
         match outcome {
             Ok(done) => {
                 self.saw(done.now);
@@ -327,14 +332,14 @@
                 Went::Well
             }
             Err(StoreError::Conflict(rows)) => {
-                self.line_rejected(number);
+                self.limit_rejected(number);
                 self.log.note("spending", format_args!("orgs={n} took_ms={ms} outcome=conflict"));
-                let own = rows.iter().find(|r| r.at.key == self.me.place);
+                let own = rows.iter().find(|r| r.at.key == self.me.endpoint);
                 own.map_or(Went::Failed, |row| self.take_in_place(row))
             }
             Err(e) => {
                 if matches!(e, StoreError::Rejected(_)) {
-                    self.line_rejected(number);
+                    self.limit_rejected(number);
                 }
                 self.log.note("spending", format_args!("orgs={n} took_ms={ms} outcome={e}"));
                 Went::Failed
@@ -343,8 +348,8 @@
     }
 
     /// A write of this place's row never happens. What it should have said is due again.
-    fn line_rejected(&self, number: u64) {
-        self.slots.borrow_mut().iter_mut().for_each(|s| s.account.line_rejected(number));
+    fn limit_rejected(&self, number: u64) {
+        self.slots.borrow_mut().iter_mut().for_each(|s| s.account.limit_rejected(number));
     }
 
     /// Reads a ledger; a missing row is an untouched budget.
@@ -386,7 +391,12 @@
     }
 
     /// Writes a change of this router's grant.
-    async fn write(&self, org: &str, plan: &GrantPlan, former: &[Former]) -> Went {
+    async fn write(
+        &self,
+        org: &str,
+        plan: &GrantChange,
+        predecessors: &[PredecessorSpending],
+    ) -> Went {
         // Once this process has left the ledgers, a new grant would count its spending twice.
         if self.stopped.get() {
             self.with(org, |a| a.grant_rejected(plan));
@@ -399,7 +409,7 @@
         let ceiling = plan.ceiling.map_or(0, |c| c.0);
         match outcome {
             Ok(done) => {
-                self.granted(org, plan, former, done);
+                self.granted(org, plan, predecessors, done);
                 self.log.routine(
                     "grant",
                     format_args!(
@@ -427,16 +437,22 @@
         }
     }
 
-    fn granted(&self, org: &str, plan: &GrantPlan, former: &[Former], done: Committed) {
+    fn granted(
+        &self,
+        org: &str,
+        plan: &GrantChange,
+        predecessors: &[PredecessorSpending],
+        done: Committed,
+    ) {
         self.saw(done.now);
         let now = Instant::now();
         self.with_slot(org, |s| {
             s.account.grant_written(plan, done.ver, now);
             s.read = now;
-            s.former.retain(|f| !former.contains(f));
+            s.predecessors.retain(|f| !predecessors.contains(f));
             s.forget_nowhere();
         });
-        if !former.is_empty() {
+        if !predecessors.is_empty() {
             self.place.borrow_mut().outdated = true;
         }
         plan.closes.iter().for_each(|c| self.note_closing(org, c));
@@ -444,24 +460,24 @@
 
     /// What a dead process may have spent: the first line to read when an organisation disputes
     /// a refusal after a death.
-    fn note_closing(&self, org: &str, c: &Closing) {
+    fn note_closing(&self, org: &str, c: &ClosedGrant) {
         self.log.note(
             "closed",
             format_args!(
                 "org={org} process={:x} settled={} floor={} spent={} doubt={} back={} age_ms={}",
-                c.former.incarnation,
+                c.predecessor.incarnation,
                 c.settled,
-                c.former.floor,
+                c.predecessor.floor,
                 c.spent,
                 c.doubt(),
-                c.back,
-                c.former.age_ms
+                c.returned,
+                c.predecessor.age_ms
             ),
         );
     }
 
     pub(super) fn farewells(&self) -> Vec<(CompactString, Ledger, Ver)> {
-        let leaving = |s: &Slot| s.account.farewell().map(|(l, v)| (s.org.clone(), l, v));
+        let leaving = |s: &Slot| s.account.released_ledger().map(|(l, v)| (s.org.clone(), l, v));
         self.slots.borrow().iter().filter_map(leaving).collect()
     }
 
@@ -492,12 +508,13 @@
             let place = self.place.borrow();
             (place.mine, place.number + 1, place.ver)
         };
-        let unresolved = self.slots.borrow().iter().any(|s| s.account.is_unresolved());
+        let unresolved = self.slots.borrow().iter().any(|s| s.account.has_pending_change());
         if !mine || unresolved {
             return;
         }
         let mut left = Spending::new(self.me.incarnation, number);
-        left.former = self.slots.borrow().iter().flat_map(|s| s.former.iter().cloned()).collect();
+        left.predecessors =
+            self.slots.borrow().iter().flat_map(|s| s.predecessors.iter().cloned()).collect();
         if let Err(e) = self.store.commit(&self.place_tx(&left, expect)).await {
             self.log.note("spending", format_args!("outcome=farewell_failed cause={e}"));
         }
--- a/src/allowance/demand.rs
+++ b/src/allowance/demand.rs
@@ -9,36 +9,36 @@
 const RATE_WINDOW_MS: u64 = 1_500;
 /// How much of the averaged rate is kept when it falls, per window, in per cent. Slow, because a
 /// partition that begins in a lull must still be outlasted.
-const RATE_KEEP_PERCENT: u64 = 85;
+const RATE_RETAINED_PERCENT: u64 = 85;
 /// Time constant of the mean rate, which the slope of a line follows, s. Longer than the gaps
 /// between the clumps in which requests come.
-const MEAN_RATE_S: f64 = 3.0;
+const MEAN_RATE_TIME_CONSTANT_S: f64 = 3.0;
 /// The same of the rate that sizes a grant, s. Longer, so that an organisation whose requests come
 /// seconds apart does not have its grant cut back and extended again between them.
-const LASTING_RATE_S: f64 = 12.0;
+const SIZING_RATE_TIME_CONSTANT_S: f64 = 12.0;
 /// Spending that began more recently counts as having begun so long ago, s: a few requests in the
 /// same moment are no rate.
-const LEAST_SINCE_S: f64 = 1.0;
+const MIN_SPENDING_AGE_S: f64 = 1.0;
 /// Weight of the latest request in the mean size, as a divisor.
-const MEAN_DIVISOR: u64 = 8;
+const MEAN_SIZE_DIVISOR: u64 = 8;
 /// A request that could not be covered is still counted as demand for so long, ms.
-const UNMET_MS: u64 = 2_000;
+const UNMET_DEMAND_MS: u64 = 2_000;
 
 /// One organisation's demand at one router.
 #[derive(Clone, Debug)]
 pub(super) struct Demand {
     /// Mean size of requests at their most.
-    mean: u64,
+    mean_size: u64,
     /// Spending, tokens a second.
     rate: u64,
     window_start: Instant,
     window_spent: u64,
     /// Mean rate of spending, tokens a second, as of some time.
     mean_rate: f64,
-    lasting_rate: f64,
-    mean_at: Instant,
+    sizing_rate: f64,
+    rates_updated_at: Instant,
     /// When spending began.
-    began: Option<Instant>,
+    spending_since: Option<Instant>,
     /// A request that could not be covered, and when.
     unmet: Option<(Tokens, Instant)>,
     /// What the requests that wait now need together.
@@ -48,54 +48,54 @@
 impl Demand {
     pub(super) fn new(now: Instant) -> Demand {
         Demand {
-            mean: 0,
+            mean_size: 0,
             rate: 0,
             window_start: now,
             window_spent: 0,
             mean_rate: 0.0,
-            lasting_rate: 0.0,
-            mean_at: now,
-            began: None,
+            sizing_rate: 0.0,
+            rates_updated_at: now,
+            spending_since: None,
             unmet: None,
             waiting: 0,
         }
     }
 
     /// A request of `most` was covered.
-    pub(super) fn met(&mut self, most: Tokens, now: Instant) {
-        self.roll(now);
-        self.began.get_or_insert(now);
-        self.mean += (most.0.max(self.mean) - self.mean) / MEAN_DIVISOR;
-        self.mean -= self.mean.saturating_sub(most.0) / MEAN_DIVISOR;
-        self.window_spent += most.0;
-        self.mean_rate = self.mean_rate(now) + most.0 as f64 / MEAN_RATE_S;
-        self.lasting_rate = self.decayed(self.lasting_rate, LASTING_RATE_S, now);
-        self.lasting_rate += most.0 as f64 / LASTING_RATE_S;
-        self.mean_at = now;
+    pub(super) fn record_covered(&mut self, max_cost: Tokens, now: Instant) {
+        self.roll_window(now);
+        self.spending_since.get_or_insert(now);
+        self.mean_size += (max_cost.0.max(self.mean_size) - self.mean_size) / MEAN_SIZE_DIVISOR;
+        self.mean_size -= self.mean_size.saturating_sub(max_cost.0) / MEAN_SIZE_DIVISOR;
+        self.window_spent += max_cost.0;
+        self.mean_rate = self.mean_rate(now) + max_cost.0 as f64 / MEAN_RATE_TIME_CONSTANT_S;
+        self.sizing_rate = self.decayed(self.sizing_rate, SIZING_RATE_TIME_CONSTANT_S, now);
+        self.sizing_rate += max_cost.0 as f64 / SIZING_RATE_TIME_CONSTANT_S;
+        self.rates_updated_at = now;
     }
 
     /// A request of `most` was not.
-    pub(super) fn missed(&mut self, most: Tokens, now: Instant) {
-        self.roll(now);
-        self.unmet = Some((most, now));
+    pub(super) fn record_uncovered(&mut self, max_cost: Tokens, now: Instant) {
+        self.roll_window(now);
+        self.unmet = Some((max_cost, now));
     }
 
     /// What was asked for in vain may be there now.
-    pub(super) fn forget_unmet(&mut self) {
+    pub(super) fn clear_unmet(&mut self) {
         self.unmet = None;
     }
 
     /// A request of `most` begins to wait.
-    pub(super) fn wait(&mut self, most: Tokens) {
-        self.waiting += most.0;
+    pub(super) fn add_waiting(&mut self, max_cost: Tokens) {
+        self.waiting += max_cost.0;
     }
 
     /// It waits no longer.
-    pub(super) fn end_wait(&mut self, most: Tokens) {
-        self.waiting -= most.0;
+    pub(super) fn remove_waiting(&mut self, max_cost: Tokens) {
+        self.waiting -= max_cost.0;
     }
 
-    fn roll(&mut self, now: Instant) {
+    fn roll_window(&mut self, now: Instant) {
         let ms = now.saturating_duration_since(self.window_start).as_millis();
         let ms = u64::try_from(ms).unwrap_or(u64::MAX);
         if ms < RATE_WINDOW_MS {
@@ -103,34 +103,37 @@
         }
         let windows = (ms / RATE_WINDOW_MS).min(64);
         let latest = self.window_spent.saturating_mul(1_000) / ms;
-        let kept = (0..windows).fold(self.rate, |r, _| r * RATE_KEEP_PERCENT / 100);
-        self.rate = latest.max(kept);
+        let retained = (0..windows).fold(self.rate, |r, _| r * RATE_RETAINED_PERCENT / 100);
+        self.rate = latest.max(retained);
         self.window_spent = 0;
         self.window_start = now;
     }
 
     /// Mean size of a request, tokens.
-    pub(super) fn mean(&self) -> u64 {
-        self.mean
+    pub(super) fn mean_size(&self) -> u64 {
+        self.mean_size
     }
 
     fn decayed(&self, rate: f64, constant_s: f64, now: Instant) -> f64 {
-        let s = now.saturating_duration_since(self.mean_at).as_secs_f64();
+        let s = now.saturating_duration_since(self.rates_updated_at).as_secs_f64();
         rate * (-s / constant_s).exp()
     }
 
     /// Mean spending, tokens a second.
     pub(super) fn mean_rate(&self, now: Instant) -> f64 {
-        self.decayed(self.mean_rate, MEAN_RATE_S, now)
+        self.decayed(self.mean_rate, MEAN_RATE_TIME_CONSTANT_S, now)
     }
 
     /// Mean spending, tokens a second: rises at once, falls slowly. Of an organisation that has
     /// just begun to spend it is the mean since then, and no longer weighed down by the time before.
-    pub(super) fn lasting_rate(&self, now: Instant) -> f64 {
-        let since = self.began.map_or(0.0, |t| now.saturating_duration_since(t).as_secs_f64());
-        let part = 1.0 - (-since.max(LEAST_SINCE_S) / LASTING_RATE_S).exp();
-        let lasting = self.decayed(self.lasting_rate, LASTING_RATE_S, now) / part;
-        lasting.max(self.mean_rate(now))
+    pub(super) fn sizing_rate(&self, now: Instant) -> f64 {
+        let age_s =
+            self.spending_since.map_or(0.0, |t| now.saturating_duration_since(t).as_secs_f64());
+        let observed_share =
+            1.0 - (-age_s.max(MIN_SPENDING_AGE_S) / SIZING_RATE_TIME_CONSTANT_S).exp();
+        let corrected =
+            self.decayed(self.sizing_rate, SIZING_RATE_TIME_CONSTANT_S, now) / observed_share;
+        corrected.max(self.mean_rate(now))
     }
 
     /// Spending in tokens a second, the running window included.
@@ -142,14 +145,14 @@
 
     /// What requests wait for, or were refused a short while ago.
     pub(super) fn wanted(&self, now: Instant) -> u64 {
-        let (most, at) = self.unmet.unwrap_or((Tokens(0), now));
+        let (max_cost, at) = self.unmet.unwrap_or((Tokens(0), now));
         let ms = now.saturating_duration_since(at).as_millis();
-        let unmet = if ms < u128::from(UNMET_MS) { most.0 } else { 0 };
+        let unmet = if ms < u128::from(UNMET_DEMAND_MS) { max_cost.0 } else { 0 };
         unmet.max(self.waiting)
     }
 
     /// Since when nothing was asked for.
     pub(super) fn idle_since(&self) -> Instant {
-        self.unmet.map_or(self.mean_at, |(_, at)| at.max(self.mean_at))
+        self.unmet.map_or(self.rates_updated_at, |(_, at)| at.max(self.rates_updated_at))
     }
 }
--- a/src/allowance/keeper.rs
+++ b/src/allowance/keeper.rs
@@ -10,13 +10,13 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-use super::account::{Account, Denied, Row};
+use super::account::{Account, Denied, MissingCover};
 use super::calls::{BACKOFF, Went};
-use super::ledger::HolderName;
+use super::ledger::ProcessId;
 use super::order::{Lender, Lenders, Source};
 use super::peers::Peers;
 use super::place::Place;
-use super::spending::Former;
+use super::spending::PredecessorSpending;
 use crate::ids::Tokens;
 use crate::oplog::Log;
 use crate::rows::{RowStore, StoreMs};
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Seen {
     pub(super) at: StoreMs,
-    pub(super) learnt: Instant,
+    pub(super) received_at: Instant,
 }
 
 /// One organisation at this router.
@@ -88,7 +88,7 @@
     pub(super) org: CompactString,
     pub(super) account: Account,
     /// What earlier processes at this place left open.
-    pub(super) former: Vec<Former>,
+    pub(super) predecessors: Vec<PredecessorSpending>,
     /// When the call for its row that is under way was sent.
     pub(super) sent: Option<Instant>,
     /// No call for its row before this.
@@ -107,11 +107,11 @@
 }
 
 impl Slot {
-    fn new(org: CompactString, me: &HolderName, now: Instant) -> Slot {
+    fn new(org: CompactString, me: &ProcessId, now: Instant) -> Slot {
         Slot {
             org,
             account: Account::new(me.clone(), now),
-            former: Vec::new(),
+            predecessors: Vec::new(),
             sent: None,
             not_before: now,
             failing: false,
@@ -148,7 +148,7 @@
 /// All accounts of a router.
 pub struct Keeper<S> {
     pub(super) store: S,
-    pub(super) me: HolderName,
+    pub(super) me: ProcessId,
     pub(super) settings: KeeperSettings,
     pub(super) log: Log,
     pub(super) slots: RefCell<Vec<Slot>>,
@@ -241,20 +241,20 @@
 
 impl<'a, S: RowStore> Waiting<'a, S> {
     fn begin(keeper: &'a Keeper<S>, org: &'a str, most: Tokens) -> Waiting<'a, S> {
-        keeper.change(org, |a| a.wait(most));
+        keeper.change(org, |a| a.add_waiting(most));
         Waiting { keeper, org, most }
     }
 }
 
 impl<S: RowStore> Drop for Waiting<'_, S> {
     fn drop(&mut self) {
-        self.keeper.change(self.org, |a| a.end_wait(self.most));
+        self.keeper.change(self.org, |a| a.remove_waiting(self.most));
     }
 }
 
 impl<S: RowStore> Keeper<S> {
     /// A keeper for the process `me`.
-    pub fn new(store: S, me: HolderName, settings: KeeperSettings, log: Log) -> Keeper<S> {
+    pub fn new(store: S, me: ProcessId, settings: KeeperSettings, log: Log) -> Keeper<S> {
         Keeper {
             store,
             me,
@@ -284,7 +284,7 @@
                 Ok(i) => i,
                 Err(i) => {
                     let mut slot = Slot::new(org, &self.me, now);
-                    slot.former = self.place.borrow_mut().take_orphans(&slot.org);
+                    slot.predecessors = self.place.borrow_mut().take_orphans(&slot.org);
                     slots.insert(i, slot);
                     i
                 }
@@ -325,13 +325,14 @@
             self.began.set(Some(at));
         }
         if self.seen.get().is_none_or(|s| s.at < at) {
-            self.seen.set(Some(Seen { at, learnt: Instant::now() }));
+            self.seen.set(Some(Seen { at, received_at: Instant::now() }));
         }
     }
 
     /// The store's time as far as it is known; 0 before its first answer.
     pub fn store_now(&self) -> StoreMs {
-        let since = |s: Seen| s.at.0 + u64::try_from(s.learnt.elapsed().as_millis()).unwrap_or(0);
+        let since =
+            |s: Seen| s.at.0 + u64::try_from(s.received_at.elapsed().as_millis()).unwrap_or(0);
         StoreMs(self.seen.get().map_or(0, since))
     }
 
@@ -487,7 +488,7 @@
             }
             self.urgent.notify_one();
             if now >= until || self.is_in_vain(org, most, now) {
-                let room = self.with(org, |a| a.room_in(most, now)).flatten();
+                let room = self.with(org, |a| a.time_until_allowed(most, now)).flatten();
                 return Err(Short::NoneHere(room));
             }
             // Either the time is over or something changed: both are looked at above.
@@ -498,9 +499,9 @@
     /// Whether no write that is under way or due can help a request of `most`.
     fn is_in_vain(&self, org: &str, most: Tokens, now: Instant) -> bool {
         let place_slow = self.place.borrow().is_slow(now, SLOW);
-        let of_slot = |s: &mut Slot| match s.account.shortage(most, now) {
-            Some(Row::Grant) => s.is_slow(now) || s.is_empty_for(most, now) || place_slow,
-            Some(Row::Line) => place_slow,
+        let of_slot = |s: &mut Slot| match s.account.missing_cover(most, now) {
+            Some(MissingCover::Grant) => s.is_slow(now) || s.is_empty_for(most, now) || place_slow,
+            Some(MissingCover::SpendingLimit) => place_slow,
             None => false,
         };
         self.with_slot(org, of_slot).unwrap_or(true)
--- a/src/allowance/ledger.rs
+++ b/src/allowance/ledger.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-use super::spending::Former;
+use super::spending::PredecessorSpending;
 use crate::error::{Error, Kind, Result};
 use crate::ids::Tokens;
 use crate::rows::StoreMs;
@@ -16,17 +16,18 @@
 /// A place that runs one process at a time, and the process that runs there now.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
-pub struct HolderName {
+pub struct ProcessId {
     /// Instance and address. The platform starts the next process of the same name only once
     /// the one before has ended.
-    pub place: CompactString,
+    #[serde(rename = "place")]
+    pub endpoint: CompactString,
     /// One start of a process there; never used again.
     pub incarnation: u64,
 }
 
-impl fmt::Display for HolderName {
+impl fmt::Display for ProcessId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}@{:x}", self.place, self.incarnation)
+        write!(f, "{}@{:x}", self.endpoint, self.incarnation)
     }
 }
 
@@ -35,7 +36,7 @@
 #[derive(Deserialize, Serialize)]
 pub struct Grant {
     /// Whose it is.
-    pub name: HolderName,
+    pub name: ProcessId,
     /// The most that it may spend in all. Nobody else may use it.
     pub ceiling: Tokens,
     /// What it had surely spent when it wrote this.
@@ -58,18 +59,18 @@
 
 /// What became of the grant of a process that has ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Closing {
+pub struct ClosedGrant {
     /// What was known of its spending.
-    pub former: Former,
+    pub predecessor: PredecessorSpending,
     /// The most that it can have spent; this much stays spent.
     pub spent: Tokens,
     /// The part of `spent` that is proved.
     pub settled: Tokens,
     /// What goes back to the organisation.
-    pub back: Tokens,
+    pub returned: Tokens,
 }
 
-impl Closing {
+impl ClosedGrant {
     /// The part of `spent` that nobody can prove.
     pub fn doubt(&self) -> Tokens {
         self.spent.minus(self.settled)
@@ -98,8 +99,8 @@
     /// `BadFormat` if the row is damaged or of another format. Spending from it is refused then:
     /// a budget that cannot be read must not be taken for an unused one.
     pub fn decode(value: &[u8]) -> Result<Ledger> {
-        let bad = |_| Error::new(Kind::BadFormat, "budget row cannot be read");
-        let ledger: Ledger = ciborium::from_reader(value).map_err(bad)?;
+        let unreadable = |_| Error::new(Kind::BadFormat, "budget row cannot be read");
+        let ledger: Ledger = ciborium::from_reader(value).map_err(unreadable)?;
         if ledger.format != FORMAT {
             return Err(Error::new(Kind::BadFormat, "budget row is of another format"));
         }
@@ -116,14 +117,14 @@
 
     /// What is granted or spent: nobody else may use it.
     pub fn committed(&self) -> Tokens {
-        let open: u64 = self.grants.iter().map(|g| g.ceiling.0).sum();
-        Tokens(self.closed.0 + open)
+        let granted: u64 = self.grants.iter().map(|g| g.ceiling.0).sum();
+        Tokens(self.closed.0 + granted)
     }
 
     /// What is surely spent.
     pub fn settled(&self) -> Tokens {
-        let open: u64 = self.grants.iter().map(|g| g.settled.0).sum();
-        Tokens((self.closed.0 + open).saturating_sub(self.doubt.0))
+        let granted: u64 = self.grants.iter().map(|g| g.settled.0).sum();
+        Tokens((self.closed.0 + granted).saturating_sub(self.doubt.0))
     }
 
     /// What may still be granted out of `prepaid`.
@@ -131,23 +132,23 @@
         prepaid.minus(self.committed())
     }
 
-    fn find(&self, name: &HolderName) -> std::result::Result<usize, usize> {
+    fn position(&self, name: &ProcessId) -> std::result::Result<usize, usize> {
         self.grants.binary_search_by(|g| g.name.cmp(name))
     }
 
     /// A process's grant.
-    pub fn grant(&self, name: &HolderName) -> Option<&Grant> {
-        self.find(name).ok().map(|i| &self.grants[i])
+    pub fn grant(&self, name: &ProcessId) -> Option<&Grant> {
+        self.position(name).ok().map(|i| &self.grants[i])
     }
 
     /// The grants of all other processes.
-    pub fn others<'a>(&'a self, name: &'a HolderName) -> impl Iterator<Item = &'a Grant> {
+    pub fn others<'a>(&'a self, name: &'a ProcessId) -> impl Iterator<Item = &'a Grant> {
         self.grants.iter().filter(move |g| g.name != *name)
     }
 
     /// Sets a process's grant. The caller has checked that it fits.
     pub fn set(&mut self, grant: Grant) {
-        match self.find(&grant.name) {
+        match self.position(&grant.name) {
             Ok(i) => self.grants[i] = grant,
             Err(i) => self.grants.insert(i, grant),
         }
@@ -155,22 +156,26 @@
 
     /// Closes the grant of a process that has ended. None if there is none (any more): it was
     /// closed before, or the process never got one.
-    pub fn close(&mut self, place: &str, former: &Former) -> Option<Closing> {
-        let name = HolderName { place: place.into(), incarnation: former.incarnation };
-        let i = self.find(&name).ok()?;
+    pub fn close(
+        &mut self,
+        endpoint: &str,
+        predecessor: &PredecessorSpending,
+    ) -> Option<ClosedGrant> {
+        let name = ProcessId { endpoint: endpoint.into(), incarnation: predecessor.incarnation };
+        let i = self.position(&name).ok()?;
         let grant = self.grants.remove(i);
-        let settled = grant.settled.max(former.settled);
-        let spent = former.spent.min(grant.ceiling).max(settled);
+        let settled = grant.settled.max(predecessor.settled);
+        let spent = predecessor.spent.min(grant.ceiling).max(settled);
         self.closed.0 += spent.0;
         self.doubt.0 += spent.0 - settled.0;
-        let back = grant.ceiling.minus(spent);
-        Some(Closing { former: former.clone(), spent, settled, back })
+        let returned = grant.ceiling.minus(spent);
+        Some(ClosedGrant { predecessor: predecessor.clone(), spent, settled, returned })
     }
 
     /// Ends a process's grant: it spent at most `spent`, of which `settled` for sure, and will
     /// spend no more.
-    pub fn leave(&mut self, me: &HolderName, spent: Tokens, settled: Tokens) {
-        if let Ok(i) = self.find(me) {
+    pub fn close_own(&mut self, me: &ProcessId, spent: Tokens, settled: Tokens) {
+        if let Ok(i) = self.position(me) {
             self.grants.remove(i);
             self.closed.0 += spent.0;
             self.doubt.0 += spent.0 - settled.0;
--- a/src/allowance/lending.rs
+++ b/src/allowance/lending.rs
@@ -128,7 +128,7 @@
     fn lose_loans(&self) {
         let lost = self.peers.lent.borrow_mut().lost(Instant::now());
         for loan in lost {
-            self.change(&loan.org, |a| a.lose(loan.most, loan.proven));
+            self.change(&loan.org, |a| a.write_off(loan.most, loan.proven));
             let (borrower, number) = loan.id;
             self.log.note(
                 "loan",
--- a/src/allowance/line.rs
+++ b/src/allowance/limit.rs
@@ -19,7 +19,7 @@
 /// ended at some time; what nobody else may use is the ceiling of its grant.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Line {
+pub struct SpendingLimit {
     /// May be spent at once.
     pub floor: Tokens,
     /// Becomes available with time, tokens a second.
@@ -31,14 +31,14 @@
     pub opens: u64,
 }
 
-impl Line {
-    fn after(&self, ms: u64) -> Tokens {
+impl SpendingLimit {
+    fn spendable_after(&self, ms: u64) -> Tokens {
         let opened = self.rate.0.saturating_mul(ms.saturating_sub(self.opens)) / 1_000;
         Tokens(self.floor.0.saturating_add(opened))
     }
 
     /// Time after `seen` at which `amount` may be spent; none if never.
-    fn reaches(&self, amount: Tokens) -> Option<u64> {
+    fn time_until(&self, amount: Tokens) -> Option<u64> {
         let missing = amount.0.saturating_sub(self.floor.0);
         match (missing, self.rate.0) {
             (0, _) => Some(0),
@@ -49,7 +49,7 @@
 
     /// The most that was spent by a process that ended before store time `now`.
     pub fn at(&self, now: StoreMs) -> Tokens {
-        self.after(now.0.saturating_sub(self.seen.0))
+        self.spendable_after(now.0.saturating_sub(self.seen.0))
     }
 }
 
@@ -59,27 +59,27 @@
 /// the local time gone by. A process that is paused sees less time go by, not more. What it
 /// allows itself is therefore never above [`Line::at`] of the store time at which it ends.
 #[derive(Clone, Copy, Debug)]
-pub struct Anchored {
+pub struct AnchoredLimit {
     /// The line.
-    pub line: Line,
+    pub spending_limit: SpendingLimit,
     /// Local time at which the answer with `line.seen` had arrived.
-    pub learnt: Instant,
+    pub received_at: Instant,
 }
 
-impl Anchored {
+impl AnchoredLimit {
     /// How long it takes from local time `now` until `amount` may be spent; none if never.
-    pub fn reaches(&self, amount: Tokens, now: Instant) -> Option<Duration> {
-        let at = self.line.reaches(amount)?;
+    pub fn time_until(&self, amount: Tokens, now: Instant) -> Option<Duration> {
+        let at = self.spending_limit.time_until(amount)?;
         // Rounded up: one who waits for so long and is still short would ask again at once.
         let local = (at * 1_000).div_ceil(1_000 - CLOCK_DRIFT_PER_MILLE) + 1;
-        let due = self.learnt + Duration::from_millis(if at == 0 { 0 } else { local });
+        let due = self.received_at + Duration::from_millis(if at == 0 { 0 } else { local });
         Some(due.saturating_duration_since(now))
     }
 
     /// The most that may have been spent by local time `now`.
     pub fn at(&self, now: Instant) -> Tokens {
-        let ms = now.saturating_duration_since(self.learnt).as_millis();
+        let ms = now.saturating_duration_since(self.received_at).as_millis();
         let ms = u64::try_from(ms).unwrap_or(u64::MAX / 1_000);
-        self.line.after(ms - ms * CLOCK_DRIFT_PER_MILLE / 1_000)
+        self.spending_limit.spendable_after(ms - ms * CLOCK_DRIFT_PER_MILLE / 1_000)
     }
 }
--- a/src/allowance/mod.rs
+++ b/src/allowance/mod.rs
@@ -12,22 +12,22 @@
 mod account;
 mod calls;
 mod demand;
+mod headroom;
 mod keeper;
 mod ledger;
 mod lending;
-mod line;
+mod limit;
 mod loans;
 mod order;
 mod peers;
 mod place;
-mod slack;
 mod spending;
 mod wire;
 
-pub use account::{Account, Cause, Denied, GrantPlan, Row, Sizing};
+pub use account::{Account, Cause, Denied, GrantChange, MissingCover, Sizing};
 pub use keeper::{Asked, Hold, Keeper, KeeperSettings, Refusal};
-pub use ledger::{Closing, Grant, HolderName, Ledger};
-pub use line::{Anchored, Line};
+pub use ledger::{ClosedGrant, Grant, Ledger, ProcessId};
+pub use limit::{AnchoredLimit, SpendingLimit};
 pub use order::{Lender, Lenders, Source};
 pub use peers::Outgoing;
-pub use spending::{Former, OrgLine, Spending};
+pub use spending::{OrgSpending, PredecessorSpending, Spending};
--- a/src/allowance/place.rs
+++ b/src/allowance/place.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::spending::Former;
+use super::spending::PredecessorSpending;
 use crate::rows::Ver;
 
 /// State of a place's row.
@@ -23,7 +23,7 @@
     /// Whether it names predecessors whose spending has been closed since.
     pub(super) outdated: bool,
     /// What predecessors left for organisations that the configuration does not have (yet).
-    pub(super) orphans: Vec<Former>,
+    pub(super) orphans: Vec<PredecessorSpending>,
     /// When the call that is under way was sent.
     pub(super) sent: Option<Instant>,
     /// No call before this.
@@ -43,7 +43,7 @@
     }
 
     /// Takes out what predecessors left for an organisation.
-    pub(super) fn take_orphans(&mut self, org: &str) -> Vec<Former> {
+    pub(super) fn take_orphans(&mut self, org: &str) -> Vec<PredecessorSpending> {
         let (of_org, others) = self.orphans.drain(..).partition(|f| f.org == org);
         self.orphans = others;
         of_org
--- a/src/allowance/spending.rs
+++ b/src/allowance/spending.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-use super::line::Line;
+use super::limit::SpendingLimit;
 use crate::error::{Error, Kind, Result};
 use crate::ids::Tokens;
 use crate::rows::StoreMs;
@@ -18,20 +18,21 @@
 /// What a process says of its spending for one organisation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct OrgLine {
+pub struct OrgSpending {
     /// The organisation.
     pub org: CompactString,
     /// What it has surely spent so far.
     pub settled: Tokens,
     /// The most it may have spent.
-    pub line: Line,
+    #[serde(rename = "line")]
+    pub spending_limit: SpendingLimit,
 }
 
 /// The spending of an earlier process at this place that is not closed in the organisation's row
 /// yet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Former {
+pub struct PredecessorSpending {
     /// The organisation.
     pub org: CompactString,
     /// Which process.
@@ -56,9 +57,11 @@
     /// Number of the write among that process's.
     pub number: u64,
     /// What that process may have spent, by organisation.
-    pub lines: Vec<OrgLine>,
+    #[serde(rename = "lines")]
+    pub spending_limits: Vec<OrgSpending>,
     /// What earlier processes left.
-    pub former: Vec<Former>,
+    #[serde(rename = "former")]
+    pub predecessors: Vec<PredecessorSpending>,
 }
 
 impl Spending {
@@ -72,8 +75,8 @@
     /// # Errors
     /// `BadFormat` if the row is damaged or of another format. Nothing is closed by it then.
     pub fn decode(value: &[u8]) -> Result<Spending> {
-        let bad = |_| Error::new(Kind::BadFormat, "spending row cannot be read");
-        let row: Spending = ciborium::from_reader(value).map_err(bad)?;
+        let unreadable = |_| Error::new(Kind::BadFormat, "spending row cannot be read");
+        let row: Spending = ciborium::from_reader(value).map_err(unreadable)?;
         if row.format != FORMAT {
             return Err(Error::new(Kind::BadFormat, "spending row is of another format"));
         }
@@ -82,7 +85,8 @@
 
     /// The row's value.
     pub fn encode(&self) -> Vec<u8> {
-        let mut out = Vec::with_capacity(64 + 96 * (self.lines.len() + self.former.len()));
+        let mut out =
+            Vec::with_capacity(64 + 96 * (self.spending_limits.len() + self.predecessors.len()));
         let row = Spending { format: FORMAT, ..self.clone() };
         ciborium::into_writer(&row, &mut out).expect("writing to memory cannot fail");
         out
@@ -90,18 +94,18 @@
 
     /// What is left of this row's process and those before it, once it has ended before store time
     /// `ended`: each line bounds what was spent by then.
-    pub fn into_former(self, ended: StoreMs) -> Vec<Former> {
+    pub fn into_predecessors(self, ended: StoreMs) -> Vec<PredecessorSpending> {
         let incarnation = self.incarnation;
-        let close = |l: OrgLine| Former {
+        let as_predecessor = |l: OrgSpending| PredecessorSpending {
             org: l.org,
             incarnation,
-            spent: l.line.at(ended).max(l.settled),
+            spent: l.spending_limit.at(ended).max(l.settled),
             settled: l.settled,
-            floor: l.line.floor,
-            age_ms: ended.0.saturating_sub(l.line.seen.0),
+            floor: l.spending_limit.floor,
+            age_ms: ended.0.saturating_sub(l.spending_limit.seen.0),
         };
-        let mut former = self.former;
-        former.extend(self.lines.into_iter().map(close));
-        former
+        let mut predecessors = self.predecessors;
+        predecessors.extend(self.spending_limits.into_iter().map(as_predecessor));
+        predecessors
     }
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -22,7 +22,7 @@
 use super::targets::Targets;
 use super::warmup::Admissions;
 use super::zones::Zones;
-use crate::allowance::{HolderName, Keeper, KeeperSettings};
+use crate::allowance::{Keeper, KeeperSettings, ProcessId};
 use crate::error::Result;
 use crate::oplog::Log;
 use crate::rows::RowStore;
@@ -152,12 +152,12 @@
     /// Fires when the last request has ended.
     pub idle: Notify,
     /// This process.
-    pub me: HolderName,
+    pub me: ProcessId,
 }
 
 impl<P: Platform> Gateway<P> {
     /// A router that knows nothing yet.
-    pub fn new(platform: P, settings: Settings, me: HolderName, log: Log) -> Rc<Gateway<P>> {
+    pub fn new(platform: P, settings: Settings, me: ProcessId, log: Log) -> Rc<Gateway<P>> {
         let keeper = Keeper::new(platform.clone(), me.clone(), settings.budgets, log.clone());
         let keeper = Rc::new(keeper);
         let stats = Stats::new();
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -274,6 +274,6 @@
 }
 
 /// The name of a process at an instance.
-pub fn process(instance: &str, incarnation: u64) -> crate::allowance::HolderName {
-    crate::allowance::HolderName { place: format_compact!("{instance}/127.0.0.1"), incarnation }
+pub fn process(instance: &str, incarnation: u64) -> crate::allowance::ProcessId {
+    crate::allowance::ProcessId { endpoint: format_compact!("{instance}/127.0.0.1"), incarnation }
 }
--- a/tests/keeperdir.rs
+++ b/tests/keeperdir.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupwall::allowance::{HolderName, Keeper, KeeperSettings};
+use kingcupwall::allowance::{Keeper, KeeperSettings, ProcessId};
 use kingcupwall::ids::Tokens;
 use kingcupwall::oplog::Log;
 use kingcupwall::rows::MemoryRows;
@@ -27,7 +27,7 @@
         horizon_ms: u64,
         (org, prepaid): (&str, u64),
     ) -> KeeperHost {
-        let me = HolderName { place: format!("r{place}").into(), incarnation };
+        let me = ProcessId { endpoint: format!("r{place}").into(), incarnation };
         let settings = KeeperSettings { horizon_ms, patience: Duration::from_millis(60) };
         let keeper = Rc::new(Keeper::new(rows.clone(), me, settings, Log::new()));
         keeper.set_routers(routers as u64);
--- a/tests/lenddir.rs
+++ b/tests/lenddir.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use kingcupwall::allowance::{
-    HolderName, Keeper, KeeperSettings, Ledger, Lender, Outgoing, Refusal,
+    Keeper, KeeperSettings, Ledger, Lender, Outgoing, ProcessId, Refusal,
 };
 use kingcupwall::ids::Tokens;
 use kingcupwall::oplog::Log;
@@ -120,7 +120,7 @@
         rows.set_fault(Fault::Slow(STORE));
         let incarnation = self.incarnation.get();
         self.incarnation.set(incarnation + 1);
-        let me = HolderName { place: format!("r{place}").into(), incarnation };
+        let me = ProcessId { endpoint: format!("r{place}").into(), incarnation };
         let settings =
             KeeperSettings { horizon_ms: self.horizon_ms, patience: Duration::from_millis(60) };
         let keeper = Rc::new(Keeper::new(rows.clone(), me, settings, Log::new()));
--- a/tests/test_allowance.rs
+++ b/tests/test_allowance.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use kingcupwall::allowance::{
-    Account, Anchored, Denied, Former, Grant, GrantPlan, HolderName, Ledger, Line, OrgLine, Row,
-    Sizing, Spending,
+    Account, AnchoredLimit, Denied, Grant, GrantChange, Ledger, MissingCover, OrgSpending,
+    PredecessorSpending, ProcessId, Sizing, Spending, SpendingLimit,
 };
 use kingcupwall::ids::Tokens;
 use kingcupwall::rows::{StoreMs, Ver};
@@ -13,15 +13,15 @@
 
 const SIZING: Sizing = Sizing { horizon_ms: 10_000, spenders: 2, now: StoreMs(1_000) };
 
-fn me(place: &str, incarnation: u64) -> HolderName {
-    HolderName { place: place.into(), incarnation }
+fn me(endpoint: &str, incarnation: u64) -> ProcessId {
+    ProcessId { endpoint: endpoint.into(), incarnation }
 }
 
-fn line(floor: u64, rate: u64, seen: u64) -> Line {
-    Line { floor: Tokens(floor), rate: Tokens(rate), seen: StoreMs(seen), opens: 0 }
+fn spending_limit(floor: u64, rate: u64, seen: u64) -> SpendingLimit {
+    SpendingLimit { floor: Tokens(floor), rate: Tokens(rate), seen: StoreMs(seen), opens: 0 }
 }
 
-fn grant(name: HolderName, ceiling: u64, settled: u64, rate: u64) -> Grant {
+fn grant(name: ProcessId, ceiling: u64, settled: u64, rate: u64) -> Grant {
     let (settled, rate) = (Tokens(settled), Tokens(rate));
     Grant { name, ceiling: Tokens(ceiling), settled, rate, seen: StoreMs(1_000) }
 }
@@ -32,7 +32,7 @@
 #[case(2_000, 150)]
 #[case(60_000, 3_050)]
 fn line_at(#[case] now: u64, #[case] most: u64) {
-    assert_eq!(line(100, 50, 1_000).at(StoreMs(now)), Tokens(most));
+    assert_eq!(spending_limit(100, 50, 1_000).at(StoreMs(now)), Tokens(most));
 }
 
 #[tokio::test(start_paused = true)]
@@ -40,8 +40,8 @@
     // A process must never allow itself more than its successor takes for granted.
     // The store's clock was past `seen` when the answer arrived; whatever the local clock says
     // later, the line read by store time is above the line followed by local time.
-    let l = line(100, 1_000, 5_000);
-    let anchored = Anchored { line: l, learnt: Instant::now() };
+    let l = spending_limit(100, 1_000, 5_000);
+    let anchored = AnchoredLimit { spending_limit: l, received_at: Instant::now() };
     for ms in [0, 1, 10, 100, 1_000, 7_777, 60_000] {
         let own = anchored.at(Instant::now() + Duration::from_millis(ms));
         assert!(own <= l.at(StoreMs(5_000 + ms)), "{ms}");
@@ -51,17 +51,22 @@
 #[tokio::test(start_paused = true)]
 async fn anchored_reaches() {
     let now = Instant::now();
-    let anchored = Anchored { line: line(100, 1_000, 0), learnt: now };
-    assert_eq!(anchored.reaches(Tokens(100), now), Some(Duration::ZERO));
-    let wait = anchored.reaches(Tokens(1_100), now).unwrap();
-    assert!(anchored.at(now + wait + Duration::from_millis(2)) >= Tokens(1_100));
-    let flat = Anchored { line: line(100, 0, 0), learnt: now };
-    assert_eq!(flat.reaches(Tokens(101), now), None);
+    let anchored =
+        AnchoredLimit { spending_limit: spending_limit(100, 1_000, 0), received_at: now };
+    assert_eq!(anchored.time_until(Tokens(100), now), Some(Duration::ZERO));
+    let add_waiting = anchored.time_until(Tokens(1_100), now).unwrap();
+    assert!(anchored.at(now + add_waiting + Duration::from_millis(2)) >= Tokens(1_100));
+    let flat = AnchoredLimit { spending_limit: spending_limit(100, 0, 0), received_at: now };
+    assert_eq!(flat.time_until(Tokens(101), now), None);
 }
 
-fn spending(incarnation: u64, settled: u64, line: Line) -> Spending {
+fn spending(incarnation: u64, settled: u64, spending_limit: SpendingLimit) -> Spending {
     let mut row = Spending::new(incarnation, 1);
-    row.lines.push(OrgLine { org: "norte".into(), settled: Tokens(settled), line });
+    row.spending_limits.push(OrgSpending {
+        org: "norte".into(),
+        settled: Tokens(settled),
+        spending_limit,
+    });
     row
 }
 
@@ -69,26 +74,29 @@
 fn spending_into_former() {
     // Two processes die before anything of theirs is closed: what the first one can have spent
     // does not grow while the second one lives.
-    let first = spending(1, 80, line(100, 50, 1_000)).into_former(StoreMs(3_000));
-    let [former] = &first[..] else { panic!("{first:?}") };
-    assert_eq!((former.incarnation, former.spent, former.age_ms), (1, Tokens(200), 2_000));
-    let mut second = spending(2, 10, line(10, 0, 4_000));
-    second.former = first.clone();
-    let both = second.into_former(StoreMs(60_000));
+    let first = spending(1, 80, spending_limit(100, 50, 1_000)).into_predecessors(StoreMs(3_000));
+    let [predecessor] = &first[..] else { panic!("{first:?}") };
+    assert_eq!(
+        (predecessor.incarnation, predecessor.spent, predecessor.age_ms),
+        (1, Tokens(200), 2_000)
+    );
+    let mut second = spending(2, 10, spending_limit(10, 0, 4_000));
+    second.predecessors = first.clone();
+    let both = second.into_predecessors(StoreMs(60_000));
     assert_eq!(both[..1], first[..]);
     assert_eq!((both[1].incarnation, both[1].spent), (2, Tokens(10)));
 }
 
 #[test]
 fn spending_decode_damaged() {
-    let value = spending(1, 80, line(100, 50, 1_000)).encode();
-    assert_eq!(Spending::decode(&value).unwrap().lines.len(), 1);
+    let value = spending(1, 80, spending_limit(100, 50, 1_000)).encode();
+    assert_eq!(Spending::decode(&value).unwrap().spending_limits.len(), 1);
     assert!(Spending::decode(&value[..value.len() - 1]).is_err());
     assert!(Spending::decode(b"").is_err());
 }
 
-fn former(incarnation: u64, spent: u64, settled: u64) -> Former {
-    Former {
+fn predecessor(incarnation: u64, spent: u64, settled: u64) -> PredecessorSpending {
+    PredecessorSpending {
         org: "norte".into(),
         incarnation,
         spent: Tokens(spent),
@@ -104,14 +112,14 @@
     ledger.set(grant(me("a", 1), 1_000, 60, 10));
     ledger.set(grant(me("b", 1), 1_000, 80, 10));
     assert_eq!(ledger.committed(), Tokens(2_000));
-    let closing = ledger.close("a", &former(1, 200, 80)).unwrap();
-    assert_eq!((closing.back, closing.doubt()), (Tokens(800), Tokens(120)));
+    let closing = ledger.close("a", &predecessor(1, 200, 80)).unwrap();
+    assert_eq!((closing.returned, closing.doubt()), (Tokens(800), Tokens(120)));
     assert_eq!((ledger.closed, ledger.doubt), (Tokens(200), Tokens(120)));
     assert_eq!(ledger.grants.len(), 1);
     // The doubt stays spent, but proves nothing.
     assert_eq!(ledger.settled(), Tokens(80 + 80));
     // Closed once, it is closed.
-    assert!(ledger.close("a", &former(1, 200, 80)).is_none());
+    assert!(ledger.close("a", &predecessor(1, 200, 80)).is_none());
     assert_eq!(ledger.closed, Tokens(200));
 }
 
@@ -121,7 +129,7 @@
 fn ledger_close_bounds(#[case] spent: u64, #[case] settled: u64, #[case] closed: u64) {
     let mut ledger = Ledger::default();
     ledger.set(grant(me("a", 1), 1_000, 60, 10));
-    ledger.close("a", &former(1, spent, settled)).unwrap();
+    ledger.close("a", &predecessor(1, spent, settled)).unwrap();
     assert_eq!(ledger.closed, Tokens(closed));
 }
 
@@ -150,27 +158,28 @@
     }
 
     /// Sends the place's row, which nobody has answered yet. Returns the number of the write.
-    fn send_line(&mut self, seen: u64, at: Instant) -> u64 {
-        let (_, line) = self.account.next_line(StoreMs(seen), at, SIZING).expect("it is used");
+    fn send_limit(&mut self, seen: u64, at: Instant) -> u64 {
+        let (_, spending_limit) =
+            self.account.next_limit(StoreMs(seen), at, SIZING).expect("it is used");
         self.number += 1;
-        self.account.sending_line(self.number, line, at);
+        self.account.begin_limit_write(self.number, spending_limit, at);
         self.number
     }
 
-    fn write_line(&mut self) {
+    fn write_limit(&mut self) {
         let now = Instant::now();
-        let number = self.send_line(1_000, now);
-        self.account.line_written(number, now);
+        let number = self.send_limit(1_000, now);
+        self.account.limit_written(number, now);
     }
 
-    fn next_grant(&self, at: Instant) -> Option<GrantPlan> {
-        self.account.next_grant(&[], at, SIZING)
+    fn next_grant_change(&self, at: Instant) -> Option<GrantChange> {
+        self.account.next_grant_change(&[], at, SIZING)
     }
 
     fn write_grant(&mut self) {
         let now = Instant::now();
-        let plan = self.next_grant(now).expect("a grant is due");
-        self.account.sending_grant(&plan);
+        let plan = self.next_grant_change(now).expect("a grant is due");
+        self.account.begin_grant_write(&plan);
         let ver = Ver(self.account.ver().0 + 1);
         self.account.grant_written(&plan, ver, now);
     }
@@ -182,11 +191,11 @@
     /// Takes a part, and writes whatever that needs.
     fn hold_written(&mut self, most: u64) {
         while self.hold(most).is_err() {
-            match self.account.shortage(Tokens(most), Instant::now()) {
-                Some(Row::Grant) if self.next_grant(Instant::now()).is_some() => {
+            match self.account.missing_cover(Tokens(most), Instant::now()) {
+                Some(MissingCover::Grant) if self.next_grant_change(Instant::now()).is_some() => {
                     self.write_grant();
                 }
-                _ => self.write_line(),
+                _ => self.write_limit(),
             }
         }
     }
@@ -202,8 +211,8 @@
     assert_eq!(rows.hold(500), Err(Denied::NoneHere));
     // The place's row names the organisation before anything is granted: a successor that does
     // not find it there would leave the grant open for ever.
-    assert!(rows.next_grant(Instant::now()).is_none());
-    rows.write_line();
+    assert!(rows.next_grant_change(Instant::now()).is_none());
+    rows.write_limit();
     assert_eq!(rows.hold(500), Err(Denied::NoneHere));
     rows.write_grant();
     assert_eq!(rows.hold(500), Ok(()));
@@ -217,10 +226,10 @@
     // it closes nothing, so nothing may be spent, nor granted.
     let mut rows = Rows::new(10_000);
     rows.hold_written(500);
-    rows.account.omitting_line();
+    rows.account.omit_limit();
     assert_eq!(rows.account.allowed(Instant::now()), Tokens(0));
     assert_eq!(rows.hold(5_000), Err(Denied::NoneHere));
-    assert!(rows.next_grant(Instant::now() + Duration::from_secs(2)).is_none());
+    assert!(rows.next_grant_change(Instant::now() + Duration::from_secs(2)).is_none());
 }
 
 #[tokio::test(start_paused = true)]
@@ -237,10 +246,10 @@
     let large = headroom + 1;
     assert!(rows.account.charged().0 + large < rows.account.ceiling().0);
     assert_eq!(rows.hold(large), Err(Denied::NoneHere));
-    assert_eq!(rows.account.shortage(Tokens(large), now), Some(Row::Line));
-    assert!(rows.next_grant(now).is_none());
-    assert_eq!(rows.account.line_due(now), Some(true));
-    rows.write_line();
+    assert_eq!(rows.account.missing_cover(Tokens(large), now), Some(MissingCover::SpendingLimit));
+    assert!(rows.next_grant_change(now).is_none());
+    assert_eq!(rows.account.limit_due(now), Some(true));
+    rows.write_limit();
     assert_eq!(rows.hold(large), Ok(()));
 }
 
@@ -252,14 +261,14 @@
     rows.hold_written(500);
     for _ in 0..10 {
         assert_eq!(rows.hold(5_000), Err(Denied::NoneHere));
-        rows.account.wait(Tokens(5_000));
+        rows.account.add_waiting(Tokens(5_000));
     }
-    rows.write_line();
-    if rows.next_grant(Instant::now()).is_some() {
+    rows.write_limit();
+    if rows.next_grant_change(Instant::now()).is_some() {
         rows.write_grant();
     }
     for n in 0..10 {
-        rows.account.end_wait(Tokens(5_000));
+        rows.account.remove_waiting(Tokens(5_000));
         assert_eq!(rows.hold(5_000), Ok(()), "request {n}");
     }
 }
@@ -276,9 +285,9 @@
     assert!(before >= Tokens(4_000));
     // Nobody asks any more: it is given back.
     let later = Instant::now() + Duration::from_secs(15);
-    let plan = rows.next_grant(later).expect("it is given back");
+    let plan = rows.next_grant_change(later).expect("it is given back");
     assert_eq!(plan.ledger.committed(), Tokens(0));
-    rows.account.sending_grant(&plan);
+    rows.account.begin_grant_write(&plan);
     assert_eq!(rows.account.ceiling(), Tokens(0));
     assert_eq!(rows.account.hold(Tokens(4_000), later), Err(Denied::NoneHere));
     // The store turned it away: nothing was given back.
@@ -298,11 +307,11 @@
     }
     let now = Instant::now();
     let before = rows.account.allowed(now);
-    rows.send_line(500, now);
+    rows.send_limit(500, now);
     let lower = rows.account.allowed(now);
     assert!(lower <= before);
     for _ in 0..4 {
-        rows.send_line(500, now);
+        rows.send_limit(500, now);
         assert_eq!(rows.account.allowed(now), lower);
     }
 }
@@ -312,14 +321,14 @@
     // A write that was not answered can no longer take effect once the row has moved on.
     let mut rows = Rows::new(10_000);
     assert_eq!(rows.hold(100), Err(Denied::NoneHere));
-    rows.write_line();
-    let lost = rows.next_grant(Instant::now()).expect("a grant is due");
-    rows.account.sending_grant(&lost);
+    rows.write_limit();
+    let lost = rows.next_grant_change(Instant::now()).expect("a grant is due");
+    rows.account.begin_grant_write(&lost);
     let mut others = Ledger::default();
     others.set(grant(me("b", 9), 9_990, 0, 0));
     rows.account.observe(others, Ver(5));
     assert_eq!(rows.account.allowed(Instant::now()), Tokens(0));
-    let next = rows.next_grant(Instant::now());
+    let next = rows.next_grant_change(Instant::now());
     assert!(next.is_none_or(|p| p.ceiling.is_none_or(|c| c <= Tokens(10))));
 }
 
@@ -328,9 +337,9 @@
     // The same, but it did take effect before another router wrote: the ceiling is ours.
     let mut rows = Rows::new(10_000);
     assert_eq!(rows.hold(100), Err(Denied::NoneHere));
-    rows.write_line();
-    let lost = rows.next_grant(Instant::now()).expect("a grant is due");
-    rows.account.sending_grant(&lost);
+    rows.write_limit();
+    let lost = rows.next_grant_change(Instant::now()).expect("a grant is due");
+    rows.account.begin_grant_write(&lost);
     let mut row = lost.ledger.clone();
     row.set(grant(me("b", 9), 10, 0, 0));
     rows.account.observe(row, Ver(5));
@@ -352,10 +361,10 @@
     rows.account.observe(ledger.clone(), Ver(8));
     assert_eq!(rows.hold(2_500), Err(Denied::NoneHere));
     assert!(!rows.account.may_be_granted(Tokens(2_500)));
-    assert!(rows.next_grant(now).is_none(), "2,000 are free");
+    assert!(rows.next_grant_change(now).is_none(), "2,000 are free");
     ledger.set(grant(me("b", 1), 1_000, 0, 0));
     rows.account.observe(ledger, Ver(9));
-    let plan = rows.next_grant(now).expect("8,000 are free");
+    let plan = rows.next_grant_change(now).expect("8,000 are free");
     assert!(plan.ceiling.is_some_and(|c| c >= Tokens(1_000 + 2_500)));
 }
 
@@ -380,10 +389,10 @@
     let mut rows = Rows::new(1_000);
     rows.hold_written(800);
     rows.account.prove(Tokens(100));
-    rows.account.lose(Tokens(800), Tokens(100));
+    rows.account.write_off(Tokens(800), Tokens(100));
     assert_eq!((rows.account.charged(), rows.account.settled()), (Tokens(800), Tokens(100)));
     assert_eq!(rows.hold(300), Err(Denied::NoneHere));
-    let (ledger, _) = rows.account.farewell().unwrap();
+    let (ledger, _) = rows.account.released_ledger().unwrap();
     assert_eq!((ledger.closed, ledger.doubt), (Tokens(800), Tokens(700)));
 }
 
@@ -400,7 +409,7 @@
         rows.hold_written(3_000);
     }
     let later = Instant::now() + Duration::from_secs(1);
-    if let Some(plan) = rows.next_grant(later) {
+    if let Some(plan) = rows.next_grant_change(later) {
         assert!(plan.ceiling.is_some_and(|c| c < Tokens(60_000)), "{:?}", plan.ceiling);
         assert!(plan.ledger.committed() <= Tokens(1_000_000));
     }
@@ -415,12 +424,12 @@
     rows.hold_written(1_000);
     rows.settle(1_000, 400);
     let later = Instant::now() + Duration::from_secs(30);
-    let plan = rows.next_grant(later).expect("it is given back");
+    let plan = rows.next_grant_change(later).expect("it is given back");
     assert_eq!((plan.ceiling, plan.ledger.closed), (None, Tokens(400)));
-    rows.account.sending_grant(&plan);
+    rows.account.begin_grant_write(&plan);
     rows.account.grant_written(&plan, Ver(50), later);
     assert_eq!((rows.account.charged(), rows.account.allowed(later)), (Tokens(0), Tokens(0)));
-    assert!(rows.account.next_line(StoreMs(1_000), later, SIZING).is_none());
+    assert!(rows.account.next_limit(StoreMs(1_000), later, SIZING).is_none());
     rows.hold_written(1_000);
     assert_eq!(rows.account.charged(), Tokens(1_000));
 }
@@ -431,6 +440,6 @@
     rows.hold_written(500);
     rows.settle(500, 300);
     let ver = rows.account.ver();
-    let (ledger, expect) = rows.account.farewell().unwrap();
+    let (ledger, expect) = rows.account.released_ledger().unwrap();
     assert_eq!((ledger.closed, ledger.committed(), expect), (Tokens(300), Tokens(300), ver));
 }
--- a/tests/test_allowance_lending.rs
+++ b/tests/test_allowance_lending.rs
@@ -139,7 +139,7 @@
         let fleet = Fleet::start(16, 4, 100_000_000);
         sleep(SECOND).await;
         fleet.load(2_000, 100, 4_000).await;
-        let lender = fleet.ledger().grants[0].name.place.clone();
+        let lender = fleet.ledger().grants[0].name.endpoint.clone();
         let place: usize = lender[1..].parse().unwrap();
         fleet.cut.borrow_mut().push(place);
         sleep(Duration::from_millis(100)).await;
@@ -203,7 +203,7 @@
         let fleet = Fleet::start(16, 2, 100_000_000);
         sleep(SECOND).await;
         fleet.load(4_000, 60, 4_000).await;
-        let lender = fleet.ledger().grants[0].name.place.clone();
+        let lender = fleet.ledger().grants[0].name.endpoint.clone();
         let place: usize = lender[1..].parse().unwrap();
         fleet.kill(place);
         fleet.load(1_000, 60, 4_000).await;
--- a/tests/test_allowance_random.rs
+++ b/tests/test_allowance_random.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupwall::allowance::{Hold, HolderName, Keeper, KeeperSettings, Ledger};
+use kingcupwall::allowance::{Hold, Keeper, KeeperSettings, Ledger, ProcessId};
 use kingcupwall::ids::Tokens;
 use kingcupwall::oplog::Log;
 use kingcupwall::rows::{Fault, MemoryRows, RowStore};
@@ -256,7 +256,7 @@
         let start = |incarnation| {
             let settings =
                 KeeperSettings { horizon_ms: 10_000, patience: Duration::from_millis(60) };
-            let me = HolderName { place: "r0".into(), incarnation };
+            let me = ProcessId { endpoint: "r0".into(), incarnation };
             let keeper = Rc::new(Keeper::new(store.another(), me, settings, Log::new()));
             let orgs = ["este", "norte", "sur"].map(|o| (o.into(), Tokens(1_000_000)));
             keeper.set_prepaid(orgs.into_iter());
