--- a/src/allowance/account.rs
+++ b/src/allowance/account.rs
@@ -206,7 +206,7 @@
     ///
     /// # Errors
     /// `Spent` only if the ledger in the store proves it, by what is settled for good there.
-    pub fn hold(&mut self, max_cost: Tokens, now: Instant) -> Result<(), Denied> {
+    pub fn reserve_tokens(&mut self, max_cost: Tokens, now: Instant) -> Result<(), Denied> {
         if self.charged().0 + max_cost.0 <= self.allowed(now).0 {
             self.held.0 += max_cost.0;
             self.demand.record_covered(max_cost, now);
--- a/src/allowance/calls.rs
+++ b/src/allowance/calls.rs
@@ -10,8 +10,8 @@
 use tokio::time::{Instant, sleep};
 
 use super::account::{GrantChange, Sizing};
-use super::keeper::{Keeper, REREAD, Seen, Slot};
 use super::ledger::{ClosedGrant, Ledger};
+use super::manager::{BudgetManager, ObservedStoreTime, OrgState, REREAD_BACKOFF};
 use super::spending::{OrgSpending, PredecessorSpending, Spending};
 use crate::rows::{Committed, Page, Row, RowKey, RowStore, StoreError, StoreResult, Tx, Ver};
 
@@ -20,39 +20,39 @@
 /// The table of what processes have spent, one row a place.
 const SPENDING: &str = "spending";
 /// Pause for a row after a call for it that the store turned away or did not answer.
-pub(super) const BACKOFF: Duration = Duration::from_millis(150);
+pub(super) const CALL_BACKOFF: Duration = Duration::from_millis(150);
 /// A row that others write too is read before it is written, unless it was seen so lately. Grants
 /// change every few seconds, so most have been written by somebody else since: of 133 writes a
 /// second at 195 routers half met a newer version, which costs the store a write and brings the
 /// same row.
-const FRESH: Duration = Duration::from_millis(150);
+const MAX_READ_AGE_BEFORE_WRITE: Duration = Duration::from_millis(150);
 /// A row of an organisation that spends here is read again after so long: how generous lines are
 /// rests on what the others have spent.
-const LOOK: Duration = Duration::from_millis(2_500);
+const LEDGER_REREAD_INTERVAL: Duration = Duration::from_millis(2_500);
 /// Calls to the store at once. Each takes some 10 ms, so this is over a thousand a second, more
 /// than a router's part of what the store takes; partitions that are silent hold up some.
-const CALLS_AT_ONCE: usize = 12;
+const MAX_CALLS_IN_FLIGHT: usize = 12;
 /// Writes of a ledger in a row that lost the race for it before a pause is made.
-const RACES: u32 = 2;
+const CONFLICTS_BEFORE_PAUSE: u32 = 2;
 /// The pause after lost races, ms.
-const RACE_PAUSE_MS: std::ops::Range<u64> = 2..20;
+const CONFLICT_PAUSE_MS: std::ops::Range<u64> = 2..20;
 
 /// A call for one row.
 pub(super) enum Call {
-    ReadPlace,
-    WritePlace,
-    Read(CompactString),
+    ReadSpending,
+    WriteSpending,
+    ReadLedger(CompactString),
     /// A change of this router's grant, and what it closes of predecessors.
-    Write(CompactString, GrantChange, Vec<PredecessorSpending>),
+    WriteLedger(CompactString, GrantChange, Vec<PredecessorSpending>),
 }
 
 /// How a call went.
 #[derive(Clone, Copy, Eq, PartialEq)]
-pub(super) enum Went {
+pub(super) enum CallOutcome {
     /// It did what it was for.
-    Well,
+    Succeeded,
     /// Another write came first; the row as it stands was in the answer.
-    Lost,
+    Conflicted,
     /// It was turned away or not answered.
     Failed,
 }
@@ -66,27 +66,29 @@
     }
 }
 
-fn org_tx(org: &str, ledger: &Ledger, expect: Ver) -> Tx {
+fn ledger_tx(org: &str, ledger: &Ledger, expect: Ver) -> Tx {
     replace(RowKey::alone(BUDGETS, org), ledger.encode(), expect)
 }
 
-impl<S: RowStore> Keeper<S> {
+impl<S: RowStore> BudgetManager<S> {
     /// The calls to make now; their rows count as under way from here on. Those that requests
     /// wait for come first.
     pub(super) fn due_calls(&self) -> Vec<Call> {
         let now = Instant::now();
-        let room = CALLS_AT_ONCE.saturating_sub(self.under_way.get());
-        let mut calls: Vec<Call> = self.place_call(now).into_iter().collect();
-        let mut of_orgs = self.org_calls(now);
-        of_orgs.sort_by_key(|(awaited, _)| !awaited);
-        calls.extend(of_orgs.into_iter().map(|(_, call)| call));
-        calls.truncate(room);
+        let free_slots = MAX_CALLS_IN_FLIGHT.saturating_sub(self.calls_in_flight.get());
+        let mut calls: Vec<Call> = self.due_spending_call(now).into_iter().collect();
+        let mut for_ledgers = self.due_ledger_calls(now);
+        for_ledgers.sort_by_key(|(awaited, _)| !awaited);
+        calls.extend(for_ledgers.into_iter().map(|(_, call)| call));
+        calls.truncate(free_slots);
         for call in &calls {
             match call {
-                Call::ReadPlace | Call::WritePlace => self.place.borrow_mut().sent = Some(now),
-                Call::Read(org) => drop(self.with_slot(org, |s| s.sent = Some(now))),
-                Call::Write(org, plan, _) => drop(self.with_slot(org, |s| {
-                    s.sent = Some(now);
+                Call::ReadSpending | Call::WriteSpending => {
+                    self.spending_row.borrow_mut().sent_at = Some(now)
+                }
+                Call::ReadLedger(org) => drop(self.with_org_state(org, |s| s.sent_at = Some(now))),
+                Call::WriteLedger(org, plan, _) => drop(self.with_org_state(org, |s| {
+                    s.sent_at = Some(now);
                     // From here on, not from when it is sent: what is taken in between could be
                     // more than a lower ceiling allows.
                     s.account.begin_grant_write(plan);
@@ -104,120 +106,123 @@
         }
     }
 
-    fn place_call(&self, now: Instant) -> Option<Call> {
-        let place = self.place.borrow();
-        if !place.is_free(now) {
+    fn due_spending_call(&self, now: Instant) -> Option<Call> {
+        let spending_row = self.spending_row.borrow();
+        if !spending_row.can_call(now) {
             return None;
         }
-        if !place.known {
-            return Some(Call::ReadPlace);
+        if !spending_row.known {
+            return Some(Call::ReadSpending);
         }
-        let slots = self.slots.borrow();
-        let predecessors =
-            !place.orphans.is_empty() || slots.iter().any(|s| !s.predecessors.is_empty());
-        let fence = predecessors && !place.mine;
-        let due = || slots.iter().any(|s| s.account.limit_due(now).is_some());
-        (fence || place.outdated || due()).then_some(Call::WritePlace)
+        let org_states = self.org_states.borrow();
+        let predecessors = !spending_row.unassigned.is_empty()
+            || org_states.iter().any(|s| !s.predecessors.is_empty());
+        let fence = predecessors && !spending_row.owned;
+        let due = || org_states.iter().any(|s| s.account.limit_due(now).is_some());
+        (fence || spending_row.needs_rewrite || due()).then_some(Call::WriteSpending)
     }
 
     /// Calls for organisations' rows, and whether requests wait for them.
-    fn org_calls(&self, now: Instant) -> Vec<(bool, Call)> {
-        let (mine, sizing) = (self.place.borrow().mine, self.sizing());
-        let slots = self.slots.borrow();
-        let of_slot = |s: &Slot| {
+    fn due_ledger_calls(&self, now: Instant) -> Vec<(bool, Call)> {
+        let (owned, sizing) = (self.spending_row.borrow().owned, self.sizing());
+        let org_states = self.org_states.borrow();
+        let due_call = |s: &OrgState| {
             let awaited = s.account.has_unmet_demand(now);
             if !s.account.is_known() {
                 let needed = awaited || !s.predecessors.is_empty();
-                return needed.then(|| (awaited, Call::Read(s.org.clone())));
+                return needed.then(|| (awaited, Call::ReadLedger(s.org.clone())));
             }
             // What predecessors left may be closed once none of their writes can take effect.
-            let predecessors = if mine { &s.predecessors[..] } else { &[] };
+            let predecessors = if owned { &s.predecessors[..] } else { &[] };
             if let Some(plan) = s.account.next_grant_change(predecessors, now, sizing) {
-                let fresh = now.saturating_duration_since(s.read) < FRESH;
+                let fresh = now.saturating_duration_since(s.read_at) < MAX_READ_AGE_BEFORE_WRITE;
                 if !fresh && s.account.is_shared() {
-                    return Some((awaited, Call::Read(s.org.clone())));
+                    return Some((awaited, Call::ReadLedger(s.org.clone())));
                 }
-                return Some((awaited, Call::Write(s.org.clone(), plan, predecessors.to_vec())));
+                return Some((
+                    awaited,
+                    Call::WriteLedger(s.org.clone(), plan, predecessors.to_vec()),
+                ));
             }
             // Other routers give back what they do not need, or are nearly at the end, and this
             // one would not hear of it.
-            let age = now.saturating_duration_since(s.read);
-            let stale = awaited && age > s.reread;
-            let unseen = s.account.is_spending(now) && age > LOOK;
-            (stale || unseen).then(|| (awaited, Call::Read(s.org.clone())))
+            let age = now.saturating_duration_since(s.read_at);
+            let stale = awaited && age > s.reread_backoff;
+            let outdated = s.account.is_spending(now) && age > LEDGER_REREAD_INTERVAL;
+            (stale || outdated).then(|| (awaited, Call::ReadLedger(s.org.clone())))
         };
-        slots.iter().filter(|s| s.is_free(now)).filter_map(of_slot).collect()
+        org_states.iter().filter(|s| s.can_call(now)).filter_map(due_call).collect()
     }
 
     pub(super) async fn perform(&self, call: Call) {
-        self.under_way.set(self.under_way.get() + 1);
+        self.calls_in_flight.set(self.calls_in_flight.get() + 1);
         match call {
-            Call::ReadPlace => {
-                let went = self.read_place().await;
-                self.end_place_call(went);
+            Call::ReadSpending => {
+                let outcome = self.read_spending().await;
+                self.finish_spending_call(outcome);
             }
-            Call::WritePlace => {
-                let went = self.write_place().await;
-                self.end_place_call(went);
+            Call::WriteSpending => {
+                let outcome = self.write_spending().await;
+                self.finish_spending_call(outcome);
             }
-            Call::Read(org) => {
-                let went = self.read(&org).await;
-                self.end_call(&org, went).await;
+            Call::ReadLedger(org) => {
+                let outcome = self.read_ledger(&org).await;
+                self.finish_ledger_call(&org, outcome).await;
             }
-            Call::Write(org, plan, predecessors) => {
-                let went = self.write(&org, &plan, &predecessors).await;
-                self.end_call(&org, went).await;
+            Call::WriteLedger(org, plan, predecessors) => {
+                let outcome = self.write_ledger(&org, &plan, &predecessors).await;
+                self.finish_ledger_call(&org, outcome).await;
             }
         }
-        self.under_way.set(self.under_way.get() - 1);
+        self.calls_in_flight.set(self.calls_in_flight.get() - 1);
         self.changed.notify_waiters();
     }
 
-    fn end_place_call(&self, went: Went) {
+    fn finish_spending_call(&self, outcome: CallOutcome) {
         let now = Instant::now();
-        let mut place = self.place.borrow_mut();
-        place.sent = None;
-        place.failing = went == Went::Failed;
-        place.not_before = place.failing.then(|| now + BACKOFF);
+        let mut spending_row = self.spending_row.borrow_mut();
+        spending_row.sent_at = None;
+        spending_row.last_call_failed = outcome == CallOutcome::Failed;
+        spending_row.not_before = spending_row.last_call_failed.then(|| now + CALL_BACKOFF);
     }
 
-    async fn end_call(&self, org: &str, went: Went) {
-        let races = self.with_slot(org, |s| {
-            s.races = if went == Went::Lost { s.races + 1 } else { 0 };
-            s.races
+    async fn finish_ledger_call(&self, org: &str, outcome: CallOutcome) {
+        let conflicts = self.with_org_state(org, |s| {
+            s.conflicts = if outcome == CallOutcome::Conflicted { s.conflicts + 1 } else { 0 };
+            s.conflicts
         });
-        if races.unwrap_or(0) >= RACES {
-            sleep(Duration::from_millis(fastrand::u64(RACE_PAUSE_MS))).await;
+        if conflicts.unwrap_or(0) >= CONFLICTS_BEFORE_PAUSE {
+            sleep(Duration::from_millis(fastrand::u64(CONFLICT_PAUSE_MS))).await;
         }
         let now = Instant::now();
-        self.with_slot(org, |s| {
-            s.sent = None;
-            s.failing = went == Went::Failed;
-            s.not_before = if s.failing { now + BACKOFF } else { now };
+        self.with_org_state(org, |s| {
+            s.sent_at = None;
+            s.last_call_failed = outcome == CallOutcome::Failed;
+            s.not_before = if s.last_call_failed { now + CALL_BACKOFF } else { now };
         });
     }
 
-    async fn scan_row(&self, at: &RowKey) -> StoreResult<Row> {
+    async fn read_row(&self, at: &RowKey) -> StoreResult<Row> {
         let page: Page = self.store.scan(&at.table, &at.part).await?;
-        self.saw(page.now);
+        self.observe_store_time(page.now);
         let row = page.rows.into_iter().find(|r| r.at.key == at.key);
         Ok(row.unwrap_or(Row { at: at.clone(), ver: Ver(0), value: None }))
     }
 
-    fn place_at(&self) -> RowKey {
+    fn spending_key(&self) -> RowKey {
         RowKey::alone(SPENDING, &self.me.endpoint)
     }
 
-    fn place_tx(&self, row: &Spending, expect: Ver) -> Tx {
-        replace(self.place_at(), row.encode(), expect)
+    fn spending_tx(&self, row: &Spending, expect: Ver) -> Tx {
+        replace(self.spending_key(), row.encode(), expect)
     }
 
-    async fn read_place(&self) -> Went {
-        match self.scan_row(&self.place_at()).await {
-            Ok(row) => self.take_in_place(&row),
+    async fn read_spending(&self) -> CallOutcome {
+        match self.read_row(&self.spending_key()).await {
+            Ok(row) => self.apply_spending_row(&row),
             Err(e) => {
                 self.log.note("spending", format_args!("outcome=unread cause={e}"));
-                Went::Failed
+                CallOutcome::Failed
             }
         }
     }
@@ -226,7 +231,7 @@
     ///
     /// Until this process has written it, it is a predecessor's, which has ended; one of that
     /// one's writes may still take effect, and the row is read anew then.
-    fn take_in_place(&self, row: &Row) -> Went {
+    fn apply_spending_row(&self, row: &Row) -> CallOutcome {
         let value = row.value.clone().unwrap_or_default();
         // Only a row without a version is a place where nothing was spent.
         let spending =
@@ -235,59 +240,59 @@
             Ok(spending) => spending,
             Err(e) => {
                 self.log.note("spending", format_args!("row_ver={} error={e}", row.ver));
-                return Went::Failed;
+                return CallOutcome::Failed;
             }
         };
-        let (mine, was_mine) =
-            (spending.incarnation == self.me.incarnation, self.place.borrow().mine);
-        self.place.borrow_mut().ver = row.ver;
-        if mine && row.ver.0 > 0 {
-            self.line_in_force(spending.number);
-            return Went::Lost;
+        let (owned, was_owned) =
+            (spending.incarnation == self.me.incarnation, self.spending_row.borrow().owned);
+        self.spending_row.borrow_mut().ver = row.ver;
+        if owned && row.ver.0 > 0 {
+            self.limits_in_force(spending.number);
+            return CallOutcome::Conflicted;
         }
-        if was_mine {
+        if was_owned {
             self.log.note("spending", format_args!("row_ver={} outcome=taken_over", row.ver));
-            self.place.borrow_mut().lost = true;
-            self.slots.borrow_mut().iter_mut().for_each(|s| s.account.omit_limit());
-            return Went::Failed;
+            self.spending_row.borrow_mut().taken_over = true;
+            self.org_states.borrow_mut().iter_mut().for_each(|s| s.account.omit_limit());
+            return CallOutcome::Failed;
         }
-        let ended = self.began.get().unwrap_or_default();
-        self.set_former(spending.into_predecessors(ended));
-        self.place.borrow_mut().known = true;
-        Went::Lost
+        let ended_by = self.first_store_time.get().unwrap_or_default();
+        self.assign_predecessors(spending.into_predecessors(ended_by));
+        self.spending_row.borrow_mut().known = true;
+        CallOutcome::Conflicted
     }
 
-    fn set_former(&self, predecessors: Vec<PredecessorSpending>) {
-        let mut orphans = Vec::new();
-        let mut slots = self.slots.borrow_mut();
-        slots.iter_mut().for_each(|s| s.predecessors.clear());
+    fn assign_predecessors(&self, predecessors: Vec<PredecessorSpending>) {
+        let mut unassigned = Vec::new();
+        let mut org_states = self.org_states.borrow_mut();
+        org_states.iter_mut().for_each(|s| s.predecessors.clear());
         for f in predecessors {
-            match slots.binary_search_by(|s| s.org.cmp(&f.org)) {
-                Ok(i) => slots[i].predecessors.push(f),
-                Err(_) => orphans.push(f),
+            match org_states.binary_search_by(|s| s.org.cmp(&f.org)) {
+                Ok(i) => org_states[i].predecessors.push(f),
+                Err(_) => unassigned.push(f),
             }
         }
-        self.place.borrow_mut().orphans = orphans;
+        self.spending_row.borrow_mut().unassigned = unassigned;
     }
 
     /// Write `number` of this place's row is the one in force.
-    fn line_in_force(&self, number: u64) {
+    fn limits_in_force(&self, number: u64) {
         let now = Instant::now();
-        self.slots.borrow_mut().iter_mut().for_each(|s| s.account.limit_written(number, now));
-        self.place.borrow_mut().mine = true;
+        self.org_states.borrow_mut().iter_mut().for_each(|s| s.account.limit_written(number, now));
+        self.spending_row.borrow_mut().owned = true;
     }
 
     /// The row of this place as it should stand.
-    fn next_spending(&self, seen: Seen, number: u64) -> Spending {
+    fn next_spending(&self, store_time: ObservedStoreTime, number: u64) -> Spending {
         let (now, sizing) = (Instant::now(), self.sizing());
-        let mut slots = self.slots.borrow_mut();
+        let mut org_states = self.org_states.borrow_mut();
         let mut next = Spending::new(self.me.incarnation, number);
-        next.predecessors.clone_from(&self.place.borrow().orphans);
-        for s in slots.iter_mut() {
+        next.predecessors.clone_from(&self.spending_row.borrow().unassigned);
+        for s in org_states.iter_mut() {
             next.predecessors.extend(s.predecessors.iter().cloned());
-            match s.account.next_limit(seen.at, now, sizing) {
+            match s.account.next_limit(store_time.at, now, sizing) {
                 Some((settled, spending_limit)) => {
-                    s.account.begin_limit_write(number, spending_limit, seen.received_at);
+                    s.account.begin_limit_write(number, spending_limit, store_time.received_at);
                     next.spending_limits.push(OrgSpending {
                         org: s.org.clone(),
                         settled,
@@ -300,28 +305,28 @@
         next
     }
 
-    async fn write_place(&self) -> Went {
-        let Some(seen) = self.seen.get() else { return Went::Failed };
+    async fn write_spending(&self) -> CallOutcome {
+        let Some(store_time) = self.store_time.get() else { return CallOutcome::Failed };
         // Once this process has left, nothing may be listed any more.
         if self.stopped.get() {
-            return Went::Failed;
+            return CallOutcome::Failed;
         }
         let (number, expect) = {
-            let mut place = self.place.borrow_mut();
-            place.number += 1;
-            place.outdated = false;
-            (place.number, place.ver)
+            let mut spending_row = self.spending_row.borrow_mut();
+            spending_row.number += 1;
+            spending_row.needs_rewrite = false;
+            (spending_row.number, spending_row.ver)
         };
-        let next = self.next_spending(seen, number);
-        let sent = Instant::now();
-        let outcome = self.store.commit(&self.place_tx(&next, expect)).await;
-        let ms = sent.elapsed().as_millis();
+        let next = self.next_spending(store_time, number);
+        let sent_at = Instant::now();
+        let outcome = self.store.commit(&self.spending_tx(&next, expect)).await;
+        let ms = sent_at.elapsed().as_millis();
         let n = next.spending_limits.len();
         match outcome {
             Ok(done) => {
-                self.saw(done.now);
-                self.place.borrow_mut().ver = done.ver;
-                self.line_in_force(number);
+                self.observe_store_time(done.now);
+                self.spending_row.borrow_mut().ver = done.ver;
+                self.limits_in_force(number);
                 self.log.routine(
                     "spending",
                     format_args!(
@@ -329,87 +334,91 @@
                         done.ver, done.now
                     ),
                 );
-                Went::Well
+                CallOutcome::Succeeded
             }
             Err(StoreError::Conflict(rows)) => {
                 self.limit_rejected(number);
                 self.log.note("spending", format_args!("orgs={n} took_ms={ms} outcome=conflict"));
-                let own = rows.iter().find(|r| r.at.key == self.me.endpoint);
-                own.map_or(Went::Failed, |row| self.take_in_place(row))
+                let own_row = rows.iter().find(|r| r.at.key == self.me.endpoint);
+                own_row.map_or(CallOutcome::Failed, |row| self.apply_spending_row(row))
             }
             Err(e) => {
                 if matches!(e, StoreError::Rejected(_)) {
                     self.limit_rejected(number);
                 }
                 self.log.note("spending", format_args!("orgs={n} took_ms={ms} outcome={e}"));
-                Went::Failed
+                CallOutcome::Failed
             }
         }
     }
 
     /// A write of this place's row never happens. What it should have said is due again.
     fn limit_rejected(&self, number: u64) {
-        self.slots.borrow_mut().iter_mut().for_each(|s| s.account.limit_rejected(number));
+        self.org_states.borrow_mut().iter_mut().for_each(|s| s.account.limit_rejected(number));
     }
 
     /// Reads a ledger; a missing row is an untouched budget.
-    async fn read(&self, org: &str) -> Went {
-        match self.scan_row(&RowKey::alone(BUDGETS, org)).await {
+    async fn read_ledger(&self, org: &str) -> CallOutcome {
+        match self.read_row(&RowKey::alone(BUDGETS, org)).await {
             Ok(row) => {
-                let read = self.with_slot(org, |s| {
+                let read = self.with_org_state(org, |s| {
                     let before = s.account.ver();
-                    let read = self.take_in(s, &row);
+                    let read = self.apply_ledger_row(s, &row);
                     let same = s.account.ver() == before;
-                    s.reread = if same { (s.reread * 2).min(REREAD.1) } else { REREAD.0 };
+                    s.reread_backoff = if same {
+                        (s.reread_backoff * 2).min(REREAD_BACKOFF.1)
+                    } else {
+                        REREAD_BACKOFF.0
+                    };
                     read
                 });
-                if read == Some(true) { Went::Well } else { Went::Failed }
+                if read == Some(true) { CallOutcome::Succeeded } else { CallOutcome::Failed }
             }
             Err(e) => {
                 self.log.note("budget_read", format_args!("org={org} outcome=failed cause={e}"));
-                Went::Failed
+                CallOutcome::Failed
             }
         }
     }
 
     /// Only a row without a version is an untouched budget. One that has a version and no
     /// readable value is an error, and nothing is spent from it. Returns whether it was read.
-    fn take_in(&self, slot: &mut Slot, row: &Row) -> bool {
+    fn apply_ledger_row(&self, org_state: &mut OrgState, row: &Row) -> bool {
         let value = row.value.clone().unwrap_or_default();
         let ledger = if row.ver.0 == 0 { Ok(Ledger::default()) } else { Ledger::decode(&value) };
         match ledger {
             Ok(ledger) => {
-                slot.account.observe(ledger, row.ver);
-                slot.read = Instant::now();
+                org_state.account.observe(ledger, row.ver);
+                org_state.read_at = Instant::now();
                 true
             }
             Err(e) => {
-                self.log.note("budget_row", format_args!("org={} error={e}", slot.org));
+                self.log.note("budget_row", format_args!("org={} error={e}", org_state.org));
                 false
             }
         }
     }
 
     /// Writes a change of this router's grant.
-    async fn write(
+    async fn write_ledger(
         &self,
         org: &str,
         plan: &GrantChange,
         predecessors: &[PredecessorSpending],
-    ) -> Went {
+    ) -> CallOutcome {
         // Once this process has left the ledgers, a new grant would count its spending twice.
         if self.stopped.get() {
-            self.with(org, |a| a.grant_rejected(plan));
-            return Went::Failed;
+            self.with_account(org, |a| a.grant_rejected(plan));
+            return CallOutcome::Failed;
         }
-        let sent = Instant::now();
-        let tx = org_tx(org, &plan.ledger, plan.expect);
+        let sent_at = Instant::now();
+        let tx = ledger_tx(org, &plan.ledger, plan.expect);
         let outcome = self.store.commit(&tx).await;
-        let ms = sent.elapsed().as_millis();
+        let ms = sent_at.elapsed().as_millis();
         let ceiling = plan.ceiling.map_or(0, |c| c.0);
         match outcome {
             Ok(done) => {
-                self.granted(org, plan, predecessors, done);
+                self.apply_written_grant(org, plan, predecessors, done);
                 self.log.routine(
                     "grant",
                     format_args!(
@@ -417,50 +426,50 @@
                         plan.cause, done.ver, done.now
                     ),
                 );
-                Went::Well
+                CallOutcome::Succeeded
             }
             Err(StoreError::Conflict(rows)) => {
-                self.with(org, |a| a.grant_rejected(plan));
+                self.with_account(org, |a| a.grant_rejected(plan));
                 for row in rows.iter().filter(|r| r.at.key == org) {
-                    self.with_slot(org, |s| self.take_in(s, row));
+                    self.with_org_state(org, |s| self.apply_ledger_row(s, row));
                 }
                 self.log.routine("grant", format_args!("org={org} took_ms={ms} outcome=conflict"));
-                Went::Lost
+                CallOutcome::Conflicted
             }
             Err(e) => {
                 if matches!(e, StoreError::Rejected(_)) {
-                    self.with(org, |a| a.grant_rejected(plan));
+                    self.with_account(org, |a| a.grant_rejected(plan));
                 }
                 self.log.note("grant", format_args!("org={org} took_ms={ms} outcome={e}"));
-                Went::Failed
+                CallOutcome::Failed
             }
         }
     }
 
-    fn granted(
+    fn apply_written_grant(
         &self,
         org: &str,
         plan: &GrantChange,
         predecessors: &[PredecessorSpending],
         done: Committed,
     ) {
-        self.saw(done.now);
+        self.observe_store_time(done.now);
         let now = Instant::now();
-        self.with_slot(org, |s| {
+        self.with_org_state(org, |s| {
             s.account.grant_written(plan, done.ver, now);
-            s.read = now;
+            s.read_at = now;
             s.predecessors.retain(|f| !predecessors.contains(f));
-            s.forget_nowhere();
+            s.clear_unavailable();
         });
         if !predecessors.is_empty() {
-            self.place.borrow_mut().outdated = true;
+            self.spending_row.borrow_mut().needs_rewrite = true;
         }
-        plan.closes.iter().for_each(|c| self.note_closing(org, c));
+        plan.closes.iter().for_each(|c| self.log_closed_grant(org, c));
     }
 
     /// What a dead process may have spent: the first line to read when an organisation disputes
     /// a refusal after a death.
-    fn note_closing(&self, org: &str, c: &ClosedGrant) {
+    fn log_closed_grant(&self, org: &str, c: &ClosedGrant) {
         self.log.note(
             "closed",
             format_args!(
@@ -476,26 +485,32 @@
         );
     }
 
-    pub(super) fn farewells(&self) -> Vec<(CompactString, Ledger, Ver)> {
-        let leaving = |s: &Slot| s.account.released_ledger().map(|(l, v)| (s.org.clone(), l, v));
-        self.slots.borrow().iter().filter_map(leaving).collect()
+    pub(super) fn pending_releases(&self) -> Vec<(CompactString, Ledger, Ver)> {
+        let releases =
+            |s: &OrgState| s.account.released_ledger().map(|(l, v)| (s.org.clone(), l, v));
+        self.org_states.borrow().iter().filter_map(releases).collect()
     }
 
-    pub(super) async fn take_leave(&self, org: CompactString, ledger: Ledger, ver: Ver) -> Went {
-        match self.store.commit(&org_tx(&org, &ledger, ver)).await {
+    pub(super) async fn write_release(
+        &self,
+        org: CompactString,
+        ledger: Ledger,
+        ver: Ver,
+    ) -> CallOutcome {
+        match self.store.commit(&ledger_tx(&org, &ledger, ver)).await {
             Ok(done) => {
-                self.with(&org, |a| a.observe(ledger, done.ver));
-                Went::Well
+                self.with_account(&org, |a| a.observe(ledger, done.ver));
+                CallOutcome::Succeeded
             }
             Err(StoreError::Conflict(rows)) => {
                 for row in rows.iter().filter(|r| r.at.key == org) {
-                    self.with_slot(&org, |s| self.take_in(s, row));
+                    self.with_org_state(&org, |s| self.apply_ledger_row(s, row));
                 }
-                Went::Lost
+                CallOutcome::Conflicted
             }
             Err(e) => {
                 self.log.note("grant", format_args!("org={org} outcome=farewell_failed cause={e}"));
-                Went::Failed
+                CallOutcome::Failed
             }
         }
     }
@@ -503,19 +518,19 @@
     /// Writes that nothing is spent here any more, so that the next process at this place has
     /// nothing to close. If it fails, that one finds no grants for what it closes. A grant that may
     /// still be written, late, would be nobody's then: such a row is left as it is.
-    pub(super) async fn clear_place(&self) {
-        let (mine, number, expect) = {
-            let place = self.place.borrow();
-            (place.mine, place.number + 1, place.ver)
+    pub(super) async fn clear_spending(&self) {
+        let (owned, number, expect) = {
+            let spending_row = self.spending_row.borrow();
+            (spending_row.owned, spending_row.number + 1, spending_row.ver)
         };
-        let unresolved = self.slots.borrow().iter().any(|s| s.account.has_pending_change());
-        if !mine || unresolved {
+        let unresolved = self.org_states.borrow().iter().any(|s| s.account.has_pending_change());
+        if !owned || unresolved {
             return;
         }
-        let mut left = Spending::new(self.me.incarnation, number);
-        left.predecessors =
-            self.slots.borrow().iter().flat_map(|s| s.predecessors.iter().cloned()).collect();
-        if let Err(e) = self.store.commit(&self.place_tx(&left, expect)).await {
+        let mut cleared = Spending::new(self.me.incarnation, number);
+        cleared.predecessors =
+            self.org_states.borrow().iter().flat_map(|s| s.predecessors.iter().cloned()).collect();
+        if let Err(e) = self.store.commit(&self.spending_tx(&cleared, expect)).await {
             self.log.note("spending", format_args!("outcome=farewell_failed cause={e}"));
         }
     }
--- a/src/allowance/lending.rs
+++ b/src/allowance/lending.rs
@@ -8,8 +8,8 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 use super::account::Denied;
-use super::keeper::{Keeper, Short};
 use super::loans::{Lent, LoanId, Settled};
+use super::manager::{BudgetManager, Shortfall};
 use super::peers::Outgoing;
 use super::wire::{Answer, Ask, Envelope, MAX_USES, Message, Use};
 use crate::ids::Tokens;
@@ -26,7 +26,7 @@
 /// Pause between two looks at what lenders have not acknowledged, and at loans that are lost.
 const LOOK: Duration = Duration::from_millis(250);
 
-impl<S: RowStore> Keeper<S> {
+impl<S: RowStore> BudgetManager<S> {
     /// Waits until there are datagrams to send.
     pub async fn outgoing(&self) -> Vec<Outgoing> {
         loop {
@@ -48,17 +48,17 @@
         &self,
         addr: SocketAddr,
         org: &str,
-        most: Tokens,
-    ) -> Option<Result<u64, Short>> {
+        max_cost: Tokens,
+    ) -> Option<Result<u64, Shortfall>> {
         if self.peers.passes_over(addr, Instant::now()) {
             return None;
         }
-        let prepaid = self.with(org, |a| a.prepaid())?;
+        let prepaid = self.with_account(org, |a| a.prepaid())?;
         let (number, mut answer) = self.peers.register();
-        self.peers.debts.borrow_mut().ask(number, addr, most);
+        self.peers.debts.borrow_mut().ask(number, addr, max_cost);
         let mut asked = Pending { keeper: self, number, over: false };
         let until = Instant::now() + self.settings.patience;
-        let ask = Message::Ask(Ask { number, org: org.into(), most, prepaid });
+        let ask = Message::Ask(Ask { number, org: org.into(), max_cost, prepaid });
         let mut again = Instant::now();
         let answered = loop {
             self.say(addr, ask.clone());
@@ -77,8 +77,10 @@
         asked.over = true;
         let refused = match answer {
             Answer::Lent => return Some(Ok(number)),
-            Answer::NoneHere(ms) => Short::NoneHere(ms.map(|ms| Duration::from_millis(ms.into()))),
-            Answer::Spent => Short::Spent,
+            Answer::NoneHere(ms) => {
+                Shortfall::NoneHere(ms.map(|ms| Duration::from_millis(ms.into())))
+            }
+            Answer::Spent => Shortfall::Spent,
         };
         self.peers.debts.borrow_mut().denied(number);
         Some(Err(refused))
@@ -97,7 +99,7 @@
 
     /// Tells lenders what became of their loans, and gives up on loans of which nobody tells, for
     /// ever.
-    pub async fn tell(self: Rc<Self>) {
+    pub async fn report_loans(self: Rc<Self>) {
         loop {
             // Either there is news or it is time to look at what was not acknowledged.
             let _ = timeout(LOOK, self.peers.news.notified()).await;
@@ -128,20 +130,20 @@
     fn lose_loans(&self) {
         let lost = self.peers.lent.borrow_mut().lost(Instant::now());
         for loan in lost {
-            self.change(&loan.org, |a| a.write_off(loan.most, loan.proven));
+            self.update_account(&loan.org, |a| a.write_off(loan.max_cost, loan.proven));
             let (borrower, number) = loan.id;
             self.log.note(
                 "loan",
                 format_args!(
                     "org={} borrower={borrower:x} number={number} most={} proven={} outcome=lost",
-                    loan.org, loan.most, loan.proven
+                    loan.org, loan.max_cost, loan.proven
                 ),
             );
         }
     }
 
     /// Takes in a datagram of another router.
-    pub fn heard(self: &Rc<Self>, from: SocketAddr, bytes: &[u8]) {
+    pub fn receive(self: &Rc<Self>, from: SocketAddr, bytes: &[u8]) {
         let envelope = match Envelope::decode(bytes) {
             Ok(envelope) => envelope,
             Err(e) => {
@@ -178,17 +180,17 @@
         if known(&mut self.peers.lent.borrow_mut()) {
             return;
         }
-        if self.leaving.get() || self.stopped.get() {
+        if self.lending_stopped.get() || self.stopped.get() {
             return answer(Answer::NoneHere(None));
         }
-        let taken = self.with(&ask.org, |a| {
+        let taken = self.with_account(&ask.org, |a| {
             a.set_prepaid(ask.prepaid);
-            a.hold(ask.most, now)
+            a.reserve_tokens(ask.max_cost, now)
         });
         match taken {
             None => answer(Answer::NoneHere(None)),
             Some(Ok(())) => {
-                self.peers.lent.borrow_mut().lend(id, from, &ask.org, ask.most, now);
+                self.peers.lent.borrow_mut().lend(id, from, &ask.org, ask.max_cost, now);
                 answer(Answer::Lent);
             }
             Some(Err(Denied::Spent)) => answer(Answer::Spent),
@@ -202,21 +204,21 @@
 
     async fn lend_later(self: Rc<Self>, from: SocketAddr, id: LoanId, ask: Ask) {
         let patience = self.settings.patience * LENDERS_PATIENCE.0 / LENDERS_PATIENCE.1;
-        let lent = self.lend(&ask.org, ask.most, patience).await;
+        let lent = self.reserve_own(&ask.org, ask.max_cost, patience).await;
         let wanted = self.peers.lent.borrow_mut().end_wait(id);
         let answer = match lent {
             Ok(()) if !wanted => {
                 let zero = Tokens(0);
-                return self.change(&ask.org, |a| a.settle(ask.most, zero, zero));
+                return self.update_account(&ask.org, |a| a.settle(ask.max_cost, zero, zero));
             }
             Ok(()) => {
                 let now = Instant::now();
-                self.peers.lent.borrow_mut().lend(id, from, &ask.org, ask.most, now);
+                self.peers.lent.borrow_mut().lend(id, from, &ask.org, ask.max_cost, now);
                 Answer::Lent
             }
-            Err(Short::Spent) => Answer::Spent,
-            Err(Short::NoneHere(room)) => {
-                let ms = room.map(|r| u32::try_from(r.as_millis()).unwrap_or(u32::MAX));
+            Err(Shortfall::Spent) => Answer::Spent,
+            Err(Shortfall::NoneHere(available_in)) => {
+                let ms = available_in.map(|r| u32::try_from(r.as_millis()).unwrap_or(u32::MAX));
                 Answer::NoneHere(ms)
             }
         };
@@ -252,9 +254,9 @@
         }
         let settled = self.peers.lent.borrow_mut().used(borrower, u, Instant::now());
         match settled {
-            Some(Settled::Proved(org, more)) => self.change(&org, |a| a.prove(more)),
-            Some(Settled::Ended { org, most, actual, proven }) => {
-                self.change(&org, |a| a.settle(most, actual, proven));
+            Some(Settled::Proved(org, more)) => self.update_account(&org, |a| a.prove(more)),
+            Some(Settled::Ended { org, max_cost, actual, proven }) => {
+                self.update_account(&org, |a| a.settle(max_cost, actual, proven));
                 self.changed.notify_waiters();
             }
             None => (),
@@ -263,7 +265,7 @@
     }
 
     /// Waits until all that was lent has come back and all lenders know what this router owes.
-    pub async fn loans_over(&self) {
+    pub async fn wait_for_loans(&self) {
         while !self.peers.lent.borrow().is_empty() || self.peers.debts.borrow().is_owing() {
             sleep(GATHER).await;
         }
@@ -273,7 +275,7 @@
 /// An ask whose answer is waited for. Given up, it is taken back: what may have been lent on it
 /// is not used.
 struct Pending<'a, S: RowStore> {
-    keeper: &'a Keeper<S>,
+    keeper: &'a BudgetManager<S>,
     number: u64,
     over: bool,
 }
--- a/src/allowance/loans.rs
+++ b/src/allowance/loans.rs
@@ -38,7 +38,7 @@
     /// Where its borrower is.
     pub(super) borrower: SocketAddr,
     pub(super) org: CompactString,
-    pub(super) most: Tokens,
+    pub(super) max_cost: Tokens,
     pub(super) proven: Tokens,
     /// When its borrower spoke of it, and when it was last reminded.
     heard: Instant,
@@ -51,7 +51,7 @@
     /// So much more is proved.
     Proved(CompactString, Tokens),
     /// It has ended: what it was, what it cost, what of it was proved before.
-    Ended { org: CompactString, most: Tokens, actual: Tokens, proven: Tokens },
+    Ended { org: CompactString, max_cost: Tokens, actual: Tokens, proven: Tokens },
 }
 
 /// All loans that this router has made, by id.
@@ -110,12 +110,12 @@
         id: LoanId,
         borrower: SocketAddr,
         org: &str,
-        most: Tokens,
+        max_cost: Tokens,
         now: Instant,
     ) {
         let Err(i) = self.find(id) else { return };
         let (org, proven) = (org.into(), Tokens(0));
-        let loan = Loan { id, borrower, org, most, proven, heard: now, reminded: now };
+        let loan = Loan { id, borrower, org, max_cost, proven, heard: now, reminded: now };
         self.loans.insert(i, loan);
     }
 
@@ -146,11 +146,11 @@
         let loan = &mut self.loans[i];
         loan.heard = now;
         if u.ended {
-            let Loan { org, most, proven, .. } = self.loans.remove(i);
+            let Loan { org, max_cost, proven, .. } = self.loans.remove(i);
             self.ended.push_back((id, now));
-            return Some(Settled::Ended { org, most, actual: u.actual, proven });
+            return Some(Settled::Ended { org, max_cost, actual: u.actual, proven });
         }
-        let proven = u.proven.min(loan.most);
+        let proven = u.proven.min(loan.max_cost);
         let more = proven.minus(loan.proven);
         loan.proven = loan.proven.max(proven);
         (more.0 > 0).then(|| Settled::Proved(loan.org.clone(), more))
@@ -172,7 +172,7 @@
     pub(super) lender: SocketAddr,
     /// The lender's process; 0 while it has not answered.
     process: u64,
-    most: Tokens,
+    max_cost: Tokens,
     actual: Tokens,
     proven: Tokens,
     ended: Option<Instant>,
@@ -189,7 +189,7 @@
             return self.told.is_none_or(|t| now.saturating_duration_since(t) >= pause);
         }
         let more = self.proven.minus(self.told_proven);
-        more.0 > 0 && more.0 * 100 >= self.most.0 * TELL_PERCENT
+        more.0 > 0 && more.0 * 100 >= self.max_cost.0 * TELL_PERCENT
     }
 
     fn as_use(&self) -> Use {
@@ -215,13 +215,13 @@
 
     /// Notes an ask; `number` is higher than all before. Until it is answered it counts as one that
     /// must be taken back.
-    pub(super) fn ask(&mut self, number: u64, lender: SocketAddr, most: Tokens) {
+    pub(super) fn ask(&mut self, number: u64, lender: SocketAddr, max_cost: Tokens) {
         let zero = Tokens(0);
         self.0.push(Debt {
             number,
             lender,
             process: 0,
-            most,
+            max_cost,
             actual: zero,
             proven: zero,
             ended: None,
--- a/src/allowance/wire.rs
+++ b/src/allowance/wire.rs
@@ -24,7 +24,8 @@
     /// The organisation.
     pub org: CompactString,
     /// How much.
-    pub most: Tokens,
+    #[serde(rename = "most")]
+    pub max_cost: Tokens,
     /// What the organisation prepaid, as the sender knows it.
     pub prepaid: Tokens,
 }
--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -20,7 +20,7 @@
     gw.log.note("stop", format_args!("phase=leaving active={}", gw.active.get()));
     gw.phase.send_replace(Phase::Leaving);
     members::leave(gw);
-    gw.keeper.leave();
+    gw.keeper.stop_lending();
     sleep(gw.settings.entry_ttl * STALE_ANSWERS_X).await;
     gw.log.note("stop", format_args!("phase=finishing active={}", gw.active.get()));
     gw.phase.send_replace(Phase::Finishing);
@@ -39,7 +39,7 @@
         ),
     );
     // What is still lent when this router goes counts as spent at the most.
-    if timeout_at(end, gw.keeper.loans_over()).await.is_err() {
+    if timeout_at(end, gw.keeper.wait_for_loans()).await.is_err() {
         gw.log.note("stop", format_args!("outcome=loans_left"));
     }
     gw.keeper.stop().await;
--- a/src/gateway/feed.rs
+++ b/src/gateway/feed.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::allowance::Keeper;
+use crate::allowance::BudgetManager;
 use crate::oplog::Log;
 use crate::rows::{Arriving, Page, RowStore, StoreError, StoreResult, Ver};
 use crate::stats::{Reason, Stats};
@@ -46,7 +46,7 @@
 /// Reads tables, and notes what each reading says of the store.
 pub struct Reader<P: RowStore> {
     rows: P,
-    keeper: Rc<Keeper<P>>,
+    keeper: Rc<BudgetManager<P>>,
     log: Log,
     stats: Stats,
     link: Cell<StoreLink>,
@@ -117,7 +117,7 @@
 
 impl<P: RowStore> Reader<P> {
     /// A reader of a store that has not answered yet.
-    pub fn new(rows: P, keeper: Rc<Keeper<P>>, log: Log, stats: Stats) -> Reader<P> {
+    pub fn new(rows: P, keeper: Rc<BudgetManager<P>>, log: Log, stats: Stats) -> Reader<P> {
         let link = Cell::new(StoreLink { answered: None, back: None, away: true });
         Reader { rows, keeper, log, stats, link }
     }
@@ -157,7 +157,7 @@
         match outcome {
             Ok(page) => {
                 self.note_read(reading, page);
-                self.keeper.saw(page.now);
+                self.keeper.observe_store_time(page.now);
                 if before.away {
                     let ms = before.answered.map(|t| (now - t).as_millis());
                     self.log.note(
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -22,7 +22,7 @@
 use super::stats::sent;
 use super::sync::confirm_config;
 use super::targets::{Found, PlaceRequest};
-use crate::allowance::{Asked, Hold, Refusal};
+use crate::allowance::{LenderSearch, Refusal, Reservation};
 use crate::http1::RequestHead;
 use crate::ids::Tokens;
 
@@ -69,7 +69,7 @@
     /// Whose it is.
     pub org: Option<CompactString>,
     /// Its part of the budget.
-    pub hold: Option<Hold<P>>,
+    pub hold: Option<Reservation<P>>,
     /// Sends so far.
     pub made: Made,
     /// Whether some target may have run it.
@@ -177,13 +177,13 @@
             return Ok(());
         }
         let keeper = &self.gw.keeper;
-        let mut taken = keeper.hold_by(org, most, self.until).await;
+        let mut taken = keeper.reserve_by(org, most, self.until).await;
         // The amount may have been raised a moment ago.
         if matches!(taken, Err(Refusal::Spent)) && confirm_config(self.gw).await {
-            taken = keeper.hold_by(org, most, self.until).await;
+            taken = keeper.reserve_by(org, most, self.until).await;
             if matches!(taken, Err(Refusal::Spent)) {
                 let own = Own::new(402, "budget_spent");
-                return Err(self.no_budget(org, Asked::default(), own));
+                return Err(self.no_budget(org, LenderSearch::default(), own));
             }
         }
         match taken {
@@ -194,23 +194,23 @@
             Err(refusal) => {
                 let asked = match refusal {
                     Refusal::NoneHere(asked) => asked,
-                    Refusal::Spent => Asked::default(),
+                    Refusal::Spent => LenderSearch::default(),
                 };
-                let after = asked.room.unwrap_or(COME_BACK_BUDGET);
+                let after = asked.available_in.unwrap_or(COME_BACK_BUDGET);
                 let after = after.clamp(COME_BACK, MOST_COME_BACK);
                 Err(self.no_budget(org, asked, Own::refusal("budget_not_here", after)))
             }
         }
     }
 
-    fn no_budget(&self, org: &str, asked: Asked, own: Own) -> Own {
+    fn no_budget(&self, org: &str, asked: LenderSearch, own: Own) -> Own {
         let state = self.gw.keeper.describe(org);
         let (id, most) = (&self.facts.id, self.facts.most());
         self.gw.log.note(
             "budget",
             format_args!(
                 "id={id} route={} org={org} most={most} short={} silent={} {state} config={} outcome={}",
-                self.route.name, asked.short, asked.silent, self.catalog.version, own.reason
+                self.route.name, asked.insufficient, asked.unresponsive, self.catalog.version, own.reason
             ),
         );
         own
@@ -237,9 +237,9 @@
     pub fn charge(&mut self, events: u64) {
         let cost = self.facts.prompt + self.tokens_of(events);
         if let Some(hold) = &mut self.hold {
-            hold.cost(Tokens(cost));
+            hold.set_cost(Tokens(cost));
             if events > 0 {
-                hold.prove();
+                hold.confirm_delivered();
             }
         }
     }
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -197,7 +197,7 @@
     let at = RowKey::new(TABLE, &s.instance);
     let tx = Tx { write: vec![(at, entry.encode())], ..Tx::default() };
     match gw.platform.commit(&tx).await {
-        Ok(done) => gw.keeper.saw(done.now),
+        Ok(done) => gw.keeper.observe_store_time(done.now),
         Err(e) => gw.log.routine("members", format_args!("outcome=unwritten cause={e}")),
     }
 }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -86,7 +86,7 @@
                     self.made.runs -= 1;
                     self.may_have_run.set(ran_before);
                     if let Some(hold) = self.hold.as_mut().filter(|_| self.made.runs == 0) {
-                        hold.cost(Tokens(0));
+                        hold.set_cost(Tokens(0));
                     }
                     link.put_back(&mut backend.pool.borrow_mut());
                 }
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -26,7 +26,7 @@
         spawn_local(sync::sweep_targets(gw.clone())),
         spawn_local(members::run(gw.clone())),
         spawn_local(gw.keeper.clone().run()),
-        spawn_local(gw.keeper.clone().tell()),
+        spawn_local(gw.keeper.clone().report_loans()),
         spawn_local(async move { hints.hints.tell(&hints_socket).await }),
         spawn_local(async move { crashes.crashes.tell(&crashes_socket).await }),
         spawn_local(async move { zones.zones.tell(&zones_socket).await }),
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -22,7 +22,7 @@
 use super::targets::Targets;
 use super::warmup::Admissions;
 use super::zones::Zones;
-use crate::allowance::{Keeper, KeeperSettings, ProcessId};
+use crate::allowance::{BudgetManager, BudgetSettings, ProcessId};
 use crate::error::Result;
 use crate::oplog::Log;
 use crate::rows::RowStore;
@@ -75,7 +75,7 @@
     /// The fleet's allowance of repeated sends.
     pub retries: RetryAllowance,
     /// Settings of budgets.
-    pub budgets: KeeperSettings,
+    pub budgets: BudgetSettings,
     /// Weights of placement.
     pub weights: Weights,
     /// Requests a second that this router is meant to take.
@@ -126,7 +126,7 @@
     /// Requests to cold targets.
     pub cold: Admissions,
     /// Budgets.
-    pub keeper: Rc<Keeper<P>>,
+    pub keeper: Rc<BudgetManager<P>>,
     /// Shares of the retry budget.
     pub retries: RefCell<RetryShares>,
     /// Reads tables that are followed.
@@ -158,7 +158,8 @@
 impl<P: Platform> Gateway<P> {
     /// A router that knows nothing yet.
     pub fn new(platform: P, settings: Settings, me: ProcessId, log: Log) -> Rc<Gateway<P>> {
-        let keeper = Keeper::new(platform.clone(), me.clone(), settings.budgets, log.clone());
+        let keeper =
+            BudgetManager::new(platform.clone(), me.clone(), settings.budgets, log.clone());
         let keeper = Rc::new(keeper);
         let stats = Stats::new();
         Rc::new(Gateway {
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -260,7 +260,7 @@
         front,
         peer: front,
         retries: RetryAllowance { ratio: 0.5, slack: 60.0 },
-        budgets: crate::allowance::KeeperSettings {
+        budgets: crate::allowance::BudgetSettings {
             horizon_ms: 10_000,
             patience: Duration::from_millis(500),
         },
--- a/tests/keeperdir.rs
+++ b/tests/keeperdir.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupwall::allowance::{Keeper, KeeperSettings, ProcessId};
+use kingcupwall::allowance::{BudgetManager, BudgetSettings, ProcessId};
 use kingcupwall::ids::Tokens;
 use kingcupwall::oplog::Log;
 use kingcupwall::rows::MemoryRows;
@@ -12,7 +12,7 @@
 /// A keeper and its task.
 pub struct KeeperHost {
     /// The keeper.
-    pub keeper: Rc<Keeper<MemoryRows>>,
+    pub keeper: Rc<BudgetManager<MemoryRows>>,
     /// Its handle of the store, to inject faults.
     pub rows: MemoryRows,
     task: JoinHandle<()>,
@@ -28,8 +28,8 @@
         (org, prepaid): (&str, u64),
     ) -> KeeperHost {
         let me = ProcessId { endpoint: format!("r{place}").into(), incarnation };
-        let settings = KeeperSettings { horizon_ms, patience: Duration::from_millis(60) };
-        let keeper = Rc::new(Keeper::new(rows.clone(), me, settings, Log::new()));
+        let settings = BudgetSettings { horizon_ms, patience: Duration::from_millis(60) };
+        let keeper = Rc::new(BudgetManager::new(rows.clone(), me, settings, Log::new()));
         keeper.set_routers(routers as u64);
         keeper.set_prepaid([(org.into(), Tokens(prepaid))].into_iter());
         let task = spawn_local(keeper.clone().run());
--- a/tests/lenddir.rs
+++ b/tests/lenddir.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use kingcupwall::allowance::{
-    Keeper, KeeperSettings, Ledger, Lender, Outgoing, ProcessId, Refusal,
+    BudgetManager, BudgetSettings, Ledger, Lender, Outgoing, ProcessId, Refusal,
 };
 use kingcupwall::ids::Tokens;
 use kingcupwall::oplog::Log;
@@ -34,7 +34,7 @@
 /// One router.
 pub struct Host {
     /// Its keeper.
-    pub keeper: Rc<Keeper<MemoryRows>>,
+    pub keeper: Rc<BudgetManager<MemoryRows>>,
     /// Its handle of the store, to inject faults.
     pub rows: MemoryRows,
     tasks: Vec<JoinHandle<()>>,
@@ -122,13 +122,13 @@
         self.incarnation.set(incarnation + 1);
         let me = ProcessId { endpoint: format!("r{place}").into(), incarnation };
         let settings =
-            KeeperSettings { horizon_ms: self.horizon_ms, patience: Duration::from_millis(60) };
-        let keeper = Rc::new(Keeper::new(rows.clone(), me, settings, Log::new()));
+            BudgetSettings { horizon_ms: self.horizon_ms, patience: Duration::from_millis(60) };
+        let keeper = Rc::new(BudgetManager::new(rows.clone(), me, settings, Log::new()));
         keeper.set_prepaid([(ORG.into(), Tokens(self.prepaid.get()))].into_iter());
         keeper.set_lenders(&format!("r{place}"), &self.zone(place), self.lenders());
         let tasks = vec![
             spawn_local(keeper.clone().run()),
-            spawn_local(keeper.clone().tell()),
+            spawn_local(keeper.clone().report_loans()),
             spawn_local(carry(self.clone(), place, keeper.clone())),
         ];
         self.hosts.borrow_mut()[place] = Some(Host { keeper, rows, tasks });
@@ -158,16 +158,16 @@
     /// Ends a router as planned, once its own requests have ended.
     pub async fn stop(&self, place: usize) {
         let Some(keeper) = self.keeper(place) else { return };
-        keeper.leave();
+        keeper.stop_lending();
         sleep(Duration::from_millis(1_500)).await;
         // Loans that are still open then are closed at their most.
-        drop(tokio::time::timeout(Duration::from_secs(4), keeper.loans_over()).await);
+        drop(tokio::time::timeout(Duration::from_secs(4), keeper.wait_for_loans()).await);
         keeper.stop().await;
         self.kill(place);
     }
 
     /// The keeper of a router.
-    pub fn keeper(&self, place: usize) -> Option<Rc<Keeper<MemoryRows>>> {
+    pub fn keeper(&self, place: usize) -> Option<Rc<BudgetManager<MemoryRows>>> {
         self.hosts.borrow()[place].as_ref().map(|h| h.keeper.clone())
     }
 
@@ -205,10 +205,10 @@
         let fleet = self.clone();
         spawn_local(async move {
             let asked = tokio::time::Instant::now();
-            let taken = keeper.hold(ORG, Tokens(most)).await;
+            let taken = keeper.reserve_tokens(ORG, Tokens(most)).await;
             fleet.longest.set(fleet.longest.get().max(asked.elapsed()));
-            let mut hold = match taken {
-                Ok(hold) => hold,
+            let mut reservation = match taken {
+                Ok(reservation) => reservation,
                 Err(refusal) => {
                     fleet.refused.set(fleet.refused.get() + 1);
                     if refusal == Refusal::Spent {
@@ -220,10 +220,10 @@
             // Whatever part of it a caller gets, it gets no more.
             fleet.spent.set(fleet.spent.get() + actual);
             sleep(runs / 2).await;
-            hold.cost(Tokens(actual / 2));
-            hold.prove();
+            reservation.set_cost(Tokens(actual / 2));
+            reservation.confirm_delivered();
             sleep(runs / 2).await;
-            hold.cost(Tokens(actual));
+            reservation.set_cost(Tokens(actual));
         });
     }
 
@@ -254,13 +254,13 @@
             return;
         }
         if let Some(keeper) = self.keeper(to) {
-            keeper.heard(addr(from), &out.bytes);
+            keeper.receive(addr(from), &out.bytes);
         }
     }
 }
 
 /// Carries the datagrams of one router, for ever.
-async fn carry(fleet: Rc<Fleet>, from: usize, keeper: Rc<Keeper<MemoryRows>>) {
+async fn carry(fleet: Rc<Fleet>, from: usize, keeper: Rc<BudgetManager<MemoryRows>>) {
     loop {
         for out in keeper.outgoing().await {
             let weather = fleet.weather.get();
--- a/tests/test_allowance.rs
+++ b/tests/test_allowance.rs
@@ -184,13 +184,13 @@
         self.account.grant_written(&plan, ver, now);
     }
 
-    fn hold(&mut self, most: u64) -> Result<(), Denied> {
-        self.account.hold(Tokens(most), Instant::now())
+    fn reserve_tokens(&mut self, most: u64) -> Result<(), Denied> {
+        self.account.reserve_tokens(Tokens(most), Instant::now())
     }
 
     /// Takes a part, and writes whatever that needs.
-    fn hold_written(&mut self, most: u64) {
-        while self.hold(most).is_err() {
+    fn reserve_written(&mut self, most: u64) {
+        while self.reserve_tokens(most).is_err() {
             match self.account.missing_cover(Tokens(most), Instant::now()) {
                 Some(MissingCover::Grant) if self.next_grant_change(Instant::now()).is_some() => {
                     self.write_grant();
@@ -208,14 +208,14 @@
 #[tokio::test(start_paused = true)]
 async fn account_first_hold() {
     let mut rows = Rows::new(10_000);
-    assert_eq!(rows.hold(500), Err(Denied::NoneHere));
+    assert_eq!(rows.reserve_tokens(500), Err(Denied::NoneHere));
     // The place's row names the organisation before anything is granted: a successor that does
     // not find it there would leave the grant open for ever.
     assert!(rows.next_grant_change(Instant::now()).is_none());
     rows.write_limit();
-    assert_eq!(rows.hold(500), Err(Denied::NoneHere));
+    assert_eq!(rows.reserve_tokens(500), Err(Denied::NoneHere));
     rows.write_grant();
-    assert_eq!(rows.hold(500), Ok(()));
+    assert_eq!(rows.reserve_tokens(500), Ok(()));
     rows.settle(500, 120);
     assert_eq!(rows.account.charged(), Tokens(120));
 }
@@ -225,10 +225,10 @@
     // A place's row that no longer names the organisation is on its way: a successor that finds
     // it closes nothing, so nothing may be spent, nor granted.
     let mut rows = Rows::new(10_000);
-    rows.hold_written(500);
+    rows.reserve_written(500);
     rows.account.omit_limit();
     assert_eq!(rows.account.allowed(Instant::now()), Tokens(0));
-    assert_eq!(rows.hold(5_000), Err(Denied::NoneHere));
+    assert_eq!(rows.reserve_tokens(5_000), Err(Denied::NoneHere));
     assert!(rows.next_grant_change(Instant::now() + Duration::from_secs(2)).is_none());
 }
 
@@ -239,18 +239,18 @@
     // once, and no change of the grant.
     let mut rows = Rows::new(60_000);
     for _ in 0..20 {
-        rows.hold_written(500);
+        rows.reserve_written(500);
     }
     let now = Instant::now();
     let headroom = rows.account.allowed(now).0 - rows.account.charged().0;
     let large = headroom + 1;
     assert!(rows.account.charged().0 + large < rows.account.ceiling().0);
-    assert_eq!(rows.hold(large), Err(Denied::NoneHere));
+    assert_eq!(rows.reserve_tokens(large), Err(Denied::NoneHere));
     assert_eq!(rows.account.missing_cover(Tokens(large), now), Some(MissingCover::SpendingLimit));
     assert!(rows.next_grant_change(now).is_none());
     assert_eq!(rows.account.limit_due(now), Some(true));
     rows.write_limit();
-    assert_eq!(rows.hold(large), Ok(()));
+    assert_eq!(rows.reserve_tokens(large), Ok(()));
 }
 
 #[tokio::test(start_paused = true)]
@@ -258,9 +258,9 @@
     // Many requests come in one moment and all but one wait for a second write each.
     // A line covers what all that wait need together.
     let mut rows = Rows::new(1_000_000);
-    rows.hold_written(500);
+    rows.reserve_written(500);
     for _ in 0..10 {
-        assert_eq!(rows.hold(5_000), Err(Denied::NoneHere));
+        assert_eq!(rows.reserve_tokens(5_000), Err(Denied::NoneHere));
         rows.account.add_waiting(Tokens(5_000));
     }
     rows.write_limit();
@@ -269,7 +269,7 @@
     }
     for n in 0..10 {
         rows.account.remove_waiting(Tokens(5_000));
-        assert_eq!(rows.hold(5_000), Ok(()), "request {n}");
+        assert_eq!(rows.reserve_tokens(5_000), Ok(()), "request {n}");
     }
 }
 
@@ -279,7 +279,7 @@
     // A write that gives part of the grant back is not answered. If it took effect, another router
     // has that part; so it must not be spent here from the moment of sending.
     let mut rows = Rows::new(10_000);
-    rows.hold_written(4_000);
+    rows.reserve_written(4_000);
     rows.settle(4_000, 0);
     let before = rows.account.ceiling();
     assert!(before >= Tokens(4_000));
@@ -289,11 +289,11 @@
     assert_eq!(plan.ledger.committed(), Tokens(0));
     rows.account.begin_grant_write(&plan);
     assert_eq!(rows.account.ceiling(), Tokens(0));
-    assert_eq!(rows.account.hold(Tokens(4_000), later), Err(Denied::NoneHere));
+    assert_eq!(rows.account.reserve_tokens(Tokens(4_000), later), Err(Denied::NoneHere));
     // The store turned it away: nothing was given back.
     rows.account.grant_rejected(&plan);
     assert_eq!(rows.account.ceiling(), before);
-    assert_eq!(rows.account.hold(Tokens(4_000), later), Ok(()));
+    assert_eq!(rows.account.reserve_tokens(Tokens(4_000), later), Ok(()));
 }
 
 #[tokio::test(start_paused = true)]
@@ -303,7 +303,7 @@
     // is no lower than what this router surely has, or each lost answer would take some away.
     let mut rows = Rows::new(1_000_000);
     for _ in 0..5 {
-        rows.hold_written(4_000);
+        rows.reserve_written(4_000);
     }
     let now = Instant::now();
     let before = rows.account.allowed(now);
@@ -320,7 +320,7 @@
 async fn account_late_grant_is_dead() {
     // A write that was not answered can no longer take effect once the row has moved on.
     let mut rows = Rows::new(10_000);
-    assert_eq!(rows.hold(100), Err(Denied::NoneHere));
+    assert_eq!(rows.reserve_tokens(100), Err(Denied::NoneHere));
     rows.write_limit();
     let lost = rows.next_grant_change(Instant::now()).expect("a grant is due");
     rows.account.begin_grant_write(&lost);
@@ -336,7 +336,7 @@
 async fn account_late_grant_took_effect() {
     // The same, but it did take effect before another router wrote: the ceiling is ours.
     let mut rows = Rows::new(10_000);
-    assert_eq!(rows.hold(100), Err(Denied::NoneHere));
+    assert_eq!(rows.reserve_tokens(100), Err(Denied::NoneHere));
     rows.write_limit();
     let lost = rows.next_grant_change(Instant::now()).expect("a grant is due");
     rows.account.begin_grant_write(&lost);
@@ -344,7 +344,7 @@
     row.set(grant(me("b", 9), 10, 0, 0));
     rows.account.observe(row, Ver(5));
     assert_eq!(rows.account.ceiling(), lost.ceiling.unwrap());
-    assert_eq!(rows.hold(100), Ok(()));
+    assert_eq!(rows.reserve_tokens(100), Ok(()));
 }
 
 #[tokio::test(start_paused = true)]
@@ -353,13 +353,13 @@
     // request, while each request that is refused makes all of them race for the row.
     // What is free does not cover the request that waits: it is left to smaller requests.
     let mut rows = Rows::new(10_000);
-    rows.hold_written(1_000);
+    rows.reserve_written(1_000);
     let now = Instant::now();
     let mut ledger = Ledger::default();
     ledger.set(grant(me("a", 1), 1_000, 0, 0));
     ledger.set(grant(me("b", 1), 7_000, 0, 0));
     rows.account.observe(ledger.clone(), Ver(8));
-    assert_eq!(rows.hold(2_500), Err(Denied::NoneHere));
+    assert_eq!(rows.reserve_tokens(2_500), Err(Denied::NoneHere));
     assert!(!rows.account.may_be_granted(Tokens(2_500)));
     assert!(rows.next_grant_change(now).is_none(), "2,000 are free");
     ledger.set(grant(me("b", 1), 1_000, 0, 0));
@@ -375,23 +375,23 @@
     let mut ledger = Ledger::default();
     ledger.set(grant(me("b", 1), 1_000, 200, 0));
     rows.account.observe(ledger.clone(), Ver(1));
-    assert_eq!(rows.hold(300), Err(Denied::NoneHere));
+    assert_eq!(rows.reserve_tokens(300), Err(Denied::NoneHere));
     ledger.set(grant(me("b", 1), 1_000, 800, 0));
     rows.account.observe(ledger, Ver(2));
-    assert_eq!(rows.hold(300), Err(Denied::Spent));
+    assert_eq!(rows.reserve_tokens(300), Err(Denied::Spent));
     rows.account.set_prepaid(Tokens(2_000));
-    assert_eq!(rows.hold(300), Err(Denied::NoneHere));
+    assert_eq!(rows.reserve_tokens(300), Err(Denied::NoneHere));
 }
 
 #[tokio::test(start_paused = true)]
 async fn account_lost_loan_proves_nothing() {
     // A customer is told "budget spent" because of a request of which nobody knows what became.
     let mut rows = Rows::new(1_000);
-    rows.hold_written(800);
+    rows.reserve_written(800);
     rows.account.prove(Tokens(100));
     rows.account.write_off(Tokens(800), Tokens(100));
     assert_eq!((rows.account.charged(), rows.account.settled()), (Tokens(800), Tokens(100)));
-    assert_eq!(rows.hold(300), Err(Denied::NoneHere));
+    assert_eq!(rows.reserve_tokens(300), Err(Denied::NoneHere));
     let (ledger, _) = rows.account.released_ledger().unwrap();
     assert_eq!((ledger.closed, ledger.doubt), (Tokens(800), Tokens(700)));
 }
@@ -406,7 +406,7 @@
     ledger.set(grant(me("b", 1), 20_000, 0, 30_000));
     rows.account.observe(ledger, Ver(1));
     for _ in 0..10 {
-        rows.hold_written(3_000);
+        rows.reserve_written(3_000);
     }
     let later = Instant::now() + Duration::from_secs(1);
     if let Some(plan) = rows.next_grant_change(later) {
@@ -421,7 +421,7 @@
     // Rows hold a grant for every router that ever spent. One that nobody asks of goes, with what
     // was spent of it; what is spent later counts anew, and needs a line of its own.
     let mut rows = Rows::new(100_000);
-    rows.hold_written(1_000);
+    rows.reserve_written(1_000);
     rows.settle(1_000, 400);
     let later = Instant::now() + Duration::from_secs(30);
     let plan = rows.next_grant_change(later).expect("it is given back");
@@ -430,14 +430,14 @@
     rows.account.grant_written(&plan, Ver(50), later);
     assert_eq!((rows.account.charged(), rows.account.allowed(later)), (Tokens(0), Tokens(0)));
     assert!(rows.account.next_limit(StoreMs(1_000), later, SIZING).is_none());
-    rows.hold_written(1_000);
+    rows.reserve_written(1_000);
     assert_eq!(rows.account.charged(), Tokens(1_000));
 }
 
 #[tokio::test(start_paused = true)]
 async fn account_farewell_is_final() {
     let mut rows = Rows::new(10_000);
-    rows.hold_written(500);
+    rows.reserve_written(500);
     rows.settle(500, 300);
     let ver = rows.account.ver();
     let (ledger, expect) = rows.account.released_ledger().unwrap();
--- a/tests/test_allowance_death.rs
+++ b/tests/test_allowance_death.rs
@@ -69,16 +69,17 @@
         let keeper = self.routers.borrow()[r].keeper.clone();
         let fleet = self.clone();
         spawn_local(async move {
-            let Ok(mut hold) = keeper.hold(ORG, Tokens(PROMPT + OUTPUT)).await else {
+            let Ok(mut reservation) = keeper.reserve_tokens(ORG, Tokens(PROMPT + OUTPUT)).await
+            else {
                 fleet.refused.set(fleet.refused.get() + 1);
                 return;
             };
             sleep(Duration::from_millis(70)).await;
-            hold.cost(Tokens(PROMPT));
-            hold.prove();
+            reservation.set_cost(Tokens(PROMPT));
+            reservation.confirm_delivered();
             fleet.spent.set(fleet.spent.get() + PROMPT);
             sleep(STREAM).await;
-            hold.cost(Tokens(PROMPT + OUTPUT / 2));
+            reservation.set_cost(Tokens(PROMPT + OUTPUT / 2));
             fleet.spent.set(fleet.spent.get() + OUTPUT / 2);
         });
     }
--- a/tests/test_allowance_fleet_random.rs
+++ b/tests/test_allowance_fleet_random.rs
@@ -165,7 +165,7 @@
         in_virtual_time(1, async {
             let fleet = Fleet::start(1, 1, 1_000);
             let keeper = fleet.keeper(0).expect("it was started");
-            keeper.heard(([10, 0, 0, 9], 7_000).into(), &bytes);
+            keeper.receive(([10, 0, 0, 9], 7_000).into(), &bytes);
         });
     }
 }
--- a/tests/test_allowance_lending.rs
+++ b/tests/test_allowance_lending.rs
@@ -266,7 +266,7 @@
         let keeper = fleet.hosts.borrow()[0].as_ref().unwrap().keeper.clone();
         let (asked, most) = (tokio::time::Instant::now(), kingcupwall::ids::Tokens(30_000));
         let until = asked + Duration::from_millis(300);
-        assert!(keeper.hold_by(ORG, most, until).await.is_err());
+        assert!(keeper.reserve_by(ORG, most, until).await.is_err());
         assert!(asked.elapsed() <= Duration::from_millis(310), "{:?}", asked.elapsed());
     });
 }
@@ -282,11 +282,11 @@
         let keeper = fleet.hosts.borrow()[0].as_ref().unwrap().keeper.clone();
         fleet.start_at(0);
         sleep(SECOND).await;
-        let held = keeper.hold(ORG, kingcupwall::ids::Tokens(4_000)).await;
+        let held = keeper.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await;
         // The first attempt after the take-over may still find its old line; its write cannot.
         drop(held);
         sleep(SECOND).await;
-        assert!(keeper.hold(ORG, kingcupwall::ids::Tokens(4_000)).await.is_err());
+        assert!(keeper.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await.is_err());
     });
 }
 
--- a/tests/test_allowance_random.rs
+++ b/tests/test_allowance_random.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupwall::allowance::{Hold, Keeper, KeeperSettings, Ledger, ProcessId};
+use kingcupwall::allowance::{BudgetManager, BudgetSettings, Ledger, ProcessId, Reservation};
 use kingcupwall::ids::Tokens;
 use kingcupwall::oplog::Log;
 use kingcupwall::rows::{Fault, MemoryRows, RowStore};
@@ -135,13 +135,14 @@
         let Some(router) = &self.routers[r] else { return };
         let (keeper, spent) = (router.keeper.clone(), self.spent.clone());
         spawn_local(async move {
-            let taken: Result<Hold<MemoryRows>, _> = keeper.hold(ORG, Tokens(most)).await;
-            let Ok(mut hold) = taken else { return };
+            let taken: Result<Reservation<MemoryRows>, _> =
+                keeper.reserve_tokens(ORG, Tokens(most)).await;
+            let Ok(mut reservation) = taken else { return };
             let actual = most * percent / 100;
             spent.set(spent.get() + actual);
-            hold.cost(Tokens(actual));
+            reservation.set_cost(Tokens(actual));
             if most.is_multiple_of(2) {
-                hold.prove();
+                reservation.confirm_delivered();
             }
             sleep(Duration::from_millis(most)).await;
         });
@@ -255,9 +256,9 @@
         let store = MemoryRows::new();
         let start = |incarnation| {
             let settings =
-                KeeperSettings { horizon_ms: 10_000, patience: Duration::from_millis(60) };
+                BudgetSettings { horizon_ms: 10_000, patience: Duration::from_millis(60) };
             let me = ProcessId { endpoint: "r0".into(), incarnation };
-            let keeper = Rc::new(Keeper::new(store.another(), me, settings, Log::new()));
+            let keeper = Rc::new(BudgetManager::new(store.another(), me, settings, Log::new()));
             let orgs = ["este", "norte", "sur"].map(|o| (o.into(), Tokens(1_000_000)));
             keeper.set_prepaid(orgs.into_iter());
             keeper.set_routers(1);
@@ -269,8 +270,8 @@
         let spend = async |seconds: u64| {
             for _ in 0..seconds * 20 {
                 for org in ["este", "norte", "sur"] {
-                    if let Ok(mut hold) = keeper.hold(org, Tokens(1_000)).await {
-                        hold.cost(Tokens(1_000));
+                    if let Ok(mut reservation) = keeper.reserve_tokens(org, Tokens(1_000)).await {
+                        reservation.set_cost(Tokens(1_000));
                         spent.set(spent.get() + if org == "norte" { 1_000 } else { 0 });
                     }
                 }
