--- a/src/allowance/calls.rs
+++ b/src/allowance/calls.rs
@@ -67,7 +67,7 @@
 }
 
 fn ledger_tx(org: &str, ledger: &Ledger, expect: Ver) -> Tx {
-    replace(RowKey::alone(BUDGETS, org), ledger.encode(), expect)
+    replace(RowKey::own_partition(BUDGETS, org), ledger.encode(), expect)
 }
 
 impl<S: RowStore> BudgetManager<S> {
@@ -210,7 +210,7 @@
     }
 
     fn spending_key(&self) -> RowKey {
-        RowKey::alone(SPENDING, &self.me.endpoint)
+        RowKey::own_partition(SPENDING, &self.me.endpoint)
     }
 
     fn spending_tx(&self, row: &Spending, expect: Ver) -> Tx {
@@ -359,7 +359,7 @@
 
     /// Reads a ledger; a missing row is an untouched budget.
     async fn read_ledger(&self, org: &str) -> CallOutcome {
-        match self.read_row(&RowKey::alone(BUDGETS, org)).await {
+        match self.read_row(&RowKey::own_partition(BUDGETS, org)).await {
             Ok(row) => {
                 let read = self.with_org_state(org, |s| {
                     let before = s.account.ver();
--- a/src/allowance/order.rs
+++ b/src/allowance/lenders.rs
@@ -17,9 +17,9 @@
 /// more lenders a death is felt by fewer organisations, with fewer the rows have fewer writers.
 const ROUTERS_PER_LENDER: usize = 16;
 /// Lenders of a zone, at least: if one is away, the other steps in.
-const LEAST_LENDERS: usize = 2;
+const MIN_LENDERS_PER_ZONE: usize = 2;
 /// Other routers that are asked for one request, at most. Each takes 2 ms.
-const MOST_ASKED: usize = 5;
+const MAX_LENDERS_ASKED: usize = 5;
 
 /// A router that may lend.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -50,37 +50,37 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Lenders {
     /// This router.
-    me: CompactString,
+    own_name: CompactString,
     zone: CompactString,
     /// By zone.
-    all: Vec<Lender>,
+    by_zone: Vec<Lender>,
 }
 
 impl Lenders {
     /// Chooses the lenders among `routers`: the largest of each zone.
-    pub fn choose(me: &str, zone: &str, mut routers: Vec<Lender>) -> Lenders {
+    pub fn choose(own_name: &str, zone: &str, mut routers: Vec<Lender>) -> Lenders {
         // All routers choose alike: those of one size in the order of their names.
         routers.sort_by(|a, b| {
-            let of = |r: &Lender| (r.zone.clone(), Reverse(r.capacity), r.name.clone());
-            of(a).cmp(&of(b))
+            let sort_key = |r: &Lender| (r.zone.clone(), Reverse(r.capacity), r.name.clone());
+            sort_key(a).cmp(&sort_key(b))
         });
-        let chosen = |of_zone: &[Lender]| {
-            let n = of_zone.len().div_ceil(ROUTERS_PER_LENDER).max(LEAST_LENDERS);
-            of_zone[..n.min(of_zone.len())].to_vec()
+        let choose_in_zone = |in_zone: &[Lender]| {
+            let n = in_zone.len().div_ceil(ROUTERS_PER_LENDER).max(MIN_LENDERS_PER_ZONE);
+            in_zone[..n.min(in_zone.len())].to_vec()
         };
-        let all = routers.chunk_by(|a, b| a.zone == b.zone).flat_map(chosen).collect();
-        Lenders { me: me.into(), zone: zone.into(), all }
+        let by_zone = routers.chunk_by(|a, b| a.zone == b.zone).flat_map(choose_in_zone).collect();
+        Lenders { own_name: own_name.into(), zone: zone.into(), by_zone }
     }
 
     /// How many there are.
     pub fn count(&self) -> usize {
-        self.all.len()
+        self.by_zone.len()
     }
 
     /// Whom to ask for a part of an organisation's budget, in this order: the zone's lender of that
     /// organisation, those of other zones, the zone's next one, and at last the router itself.
     pub fn order(&self, org: &str) -> Vec<Source> {
-        let word = |l: &Lender| {
+        let hash = |l: &Lender| {
             let mut bytes = Vec::with_capacity(org.len() + 1 + l.name.len());
             bytes.extend_from_slice(org.as_bytes());
             bytes.push(0);
@@ -89,19 +89,20 @@
         };
         // The zone's own first, the firsts of the others, its second, and so on.
         let mut ranked: Vec<(usize, Reverse<u64>, Source)> = Vec::new();
-        for of_zone in self.all.chunk_by(|a, b| a.zone == b.zone) {
-            let far = usize::from(of_zone[0].zone != self.zone);
-            let mut words: Vec<(Reverse<u64>, &Lender)> =
-                of_zone.iter().map(|l| (Reverse(word(l)), l)).collect();
-            words.sort_by_key(|(w, _)| *w);
-            for (place, (w, l)) in words.into_iter().enumerate() {
-                let source = if l.name == self.me { Source::Own } else { Source::Peer(l.addr) };
-                ranked.push((2 * place + far, w, source));
+        for in_zone in self.by_zone.chunk_by(|a, b| a.zone == b.zone) {
+            let other_zone = usize::from(in_zone[0].zone != self.zone);
+            let mut by_hash: Vec<(Reverse<u64>, &Lender)> =
+                in_zone.iter().map(|l| (Reverse(hash(l)), l)).collect();
+            by_hash.sort_by_key(|(hash_rank, _)| *hash_rank);
+            for (position, (hash_rank, l)) in by_hash.into_iter().enumerate() {
+                let source =
+                    if l.name == self.own_name { Source::Own } else { Source::Peer(l.addr) };
+                ranked.push((2 * position + other_zone, hash_rank, source));
             }
         }
-        ranked.sort_by_key(|(round, w, _)| (*round, *w));
+        ranked.sort_by_key(|(round, hash_rank, _)| (*round, *hash_rank));
         let mut order: Vec<Source> = ranked.into_iter().map(|(_, _, s)| s).collect();
-        order.truncate(MOST_ASKED);
+        order.truncate(MAX_LENDERS_ASKED);
         if !order.contains(&Source::Own) {
             order.push(Source::Fallback);
         }
--- a/src/allowance/manager.rs
+++ b/src/allowance/manager.rs
@@ -13,7 +13,7 @@
 use super::account::{Account, Denied, MissingCover};
 use super::calls::{CALL_BACKOFF, CallOutcome};
 use super::ledger::ProcessId;
-use super::order::{Lender, Lenders, Source};
+use super::lenders::{Lender, Lenders, Source};
 use super::peers::Peers;
 use super::spending::PredecessorSpending;
 use super::spending_row::SpendingRow;
--- a/src/allowance/wire.rs
+++ b/src/allowance/wire.rs
@@ -45,7 +45,7 @@
 /// How a loan is used.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Use {
+pub struct LoanUse {
     /// Its number.
     pub number: u64,
     /// The process that lent it; 0 if its answer never came.
@@ -67,7 +67,7 @@
     /// From a lender, about the ask of this number.
     Answer(u64, Answer),
     /// To a lender.
-    Uses(Vec<Use>),
+    Uses(Vec<LoanUse>),
     /// From a lender: the last uses of these loans have arrived.
     Noted(Vec<u64>),
 }
@@ -94,8 +94,8 @@
     /// # Errors
     /// `BadFormat` if it is damaged or of another format.
     pub fn decode(bytes: &[u8]) -> Result<Envelope> {
-        let bad = |_| Error::new(Kind::BadFormat, "budget datagram cannot be read");
-        let envelope: Envelope = ciborium::from_reader(bytes).map_err(bad)?;
+        let unreadable = |_| Error::new(Kind::BadFormat, "budget datagram cannot be read");
+        let envelope: Envelope = ciborium::from_reader(bytes).map_err(unreadable)?;
         if envelope.format != FORMAT {
             return Err(Error::new(Kind::BadFormat, "budget datagram is of another format"));
         }
