--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -1,7 +1,9 @@
 //! The platform's store over HTTP, for the routers of a soak.
 
 use kingcupwall::http1::Conn;
-use kingcupwall::rows::{Arriving, MemoryRows, Page, RowStore, StoreError, StoreResult, Ver};
+use kingcupwall::rows::{
+    ArrivingAnswers, MemoryRows, Page, RowStore, StoreError, StoreResult, Ver,
+};
 use kingcupwall_platform::wire::{WirePage, WireTx};
 use reqwest::Url;
 use std::time::Duration;
@@ -44,7 +46,7 @@
         "/rows-feed" => {
             let wait = Duration::from_millis(number("wait_ms")?);
             let (table, after) = (field("table"), Ver(number("after")?));
-            rows.feed(&table, after, wait, &Arriving::default()).await
+            rows.feed(&table, after, wait, &ArrivingAnswers::default()).await
         }
         _ => return Some(encode(404, Page::default())),
     };
--- a/soak/src/strikes.rs
+++ b/soak/src/strikes.rs
@@ -94,9 +94,9 @@
             }
             Fault::Compact => self.store.compact(),
             Fault::Partition(org, d) => {
-                self.store.set_silent(&[&format!("org-{org}")]);
+                self.store.set_unresponsive(&[&format!("org-{org}")]);
                 sleep(d).await;
-                self.store.set_silent(&[]);
+                self.store.set_unresponsive(&[]);
             }
             Fault::StoreLink(r, mode, d) => through(&self.store_links[r], mode, d).await,
             Fault::AllStoreLinks(mode, d) => {
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -82,7 +82,7 @@
         let store = MemoryRows::new();
         let (mut handles, mut store_links, mut routers) = (Vec::new(), Vec::new(), Vec::new());
         for n in 0..setup.routers {
-            let handle = store.another();
+            let handle = store.new_client();
             let listener = TcpListener::bind((format!("{ip}.250"), 0)).await?;
             let rate = (n % 2 == 1).then_some(NARROW);
             let link = Proxy::start(&format!("{ip}.251"), listener.local_addr()?, rate).await?;
--- a/src/gateway/feed.rs
+++ b/src/gateway/feed.rs
@@ -9,7 +9,7 @@
 
 use crate::allowance::BudgetManager;
 use crate::oplog::Log;
-use crate::rows::{Arriving, Page, RowStore, StoreError, StoreResult, Ver};
+use crate::rows::{ArrivingAnswers, Page, RowStore, StoreError, StoreResult, Ver};
 use crate::stats::{Reason, Stats};
 
 /// How long a feed waits for a change. Short, because a connection that has gone silent shows
@@ -58,14 +58,14 @@
     /// All changes up to this version are known; `None` until the table was read whole.
     at: Cell<Option<Ver>>,
     /// Whether changes are arriving.
-    arriving: Arriving,
+    arriving: ArrivingAnswers,
 }
 
 impl Feed {
     /// What changed up to now; nothing if the store does not say. Waits for changes that are
     /// arriving instead of asking for them a second time.
     pub async fn catch_up<P: RowStore>(&self, reader: &Reader<P>, table: &str) -> Option<Page> {
-        timeout(ARRIVAL_WAIT, self.arriving.over()).await.ok()?;
+        timeout(ARRIVAL_WAIT, self.arriving.wait_until_none()).await.ok()?;
         let at = self.at.get()?;
         // Without its history the table must be read whole, which its follower does.
         self.changes(reader, table, at, Duration::ZERO, Reading::start("confirm")).await.ok()
@@ -91,7 +91,7 @@
 
     async fn whole<P: RowStore>(&self, reader: &Reader<P>, table: &str) -> StoreResult<Page> {
         let reading = Reading::start("whole");
-        let _arrival = self.arriving.begin();
+        let _arrival = self.arriving.start_answer();
         let outcome = reader.rows.scan(table, "").await;
         reader.note(reading, &outcome);
         outcome
--- a/src/rows/memory.rs
+++ b/src/rows/memory.rs
@@ -10,7 +10,8 @@
 use tokio::time::Instant;
 
 use super::{
-    Arriving, Committed, Page, Row, RowKey, RowStore, StoreError, StoreMs, StoreResult, Tx, Ver,
+    ArrivingAnswers, Committed, Page, Row, RowKey, RowStore, StoreError, StoreMs, StoreResult, Tx,
+    Ver,
 };
 
 /// How often a waiting feed looks for a change of the injected fault.
@@ -37,7 +38,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     rows: Vec<Row>,
-    log: Vec<Row>,
+    change_log: Vec<Row>,
     ver: Ver,
     history_from: Ver,
 }
@@ -54,7 +55,7 @@
 
     fn put(&mut self, at: &RowKey, value: Option<Bytes>) {
         let row = Row { at: at.clone(), ver: self.ver, value };
-        self.log.push(row.clone());
+        self.change_log.push(row.clone());
         match (self.find(at), row.value.is_some()) {
             (Ok(i), true) => self.rows[i] = row,
             (Ok(i), false) => drop(self.rows.remove(i)),
@@ -64,8 +65,8 @@
     }
 
     fn apply(&mut self, tx: &Tx) -> Result<Ver, Vec<Row>> {
-        let holds = |(at, ver): &(RowKey, Ver)| self.current(at).ver == *ver;
-        if !tx.expect.iter().all(holds) {
+        let is_met = |(at, ver): &(RowKey, Ver)| self.current(at).ver == *ver;
+        if !tx.expect.iter().all(is_met) {
             return Err(tx.expect.iter().map(|(at, _)| self.current(at)).collect());
         }
         self.ver.0 += 1;
@@ -83,7 +84,7 @@
 struct Shared {
     inner: RefCell<Inner>,
     /// Partitions that answer nobody, sorted.
-    silent: RefCell<Vec<CompactString>>,
+    unresponsive: RefCell<Vec<CompactString>>,
     changed: Notify,
     start: Instant,
 }
@@ -94,30 +95,30 @@
     /// Bytes a second; without one they arrive at once.
     rate: Cell<Option<u64>>,
     /// When the values that are on their way have arrived.
-    busy_until: Cell<Instant>,
+    idle_at: Cell<Instant>,
     /// Bytes that were sent, also those that nobody waited for.
-    carried: Cell<u64>,
+    sent_bytes: Cell<u64>,
     /// Feeds that were asked for.
-    feeds: Cell<u64>,
+    feed_count: Cell<u64>,
 }
 
 impl Link {
     fn new() -> Link {
         Link {
             rate: Cell::default(),
-            busy_until: Cell::new(Instant::now()),
-            carried: Cell::new(0),
-            feeds: Cell::new(0),
+            idle_at: Cell::new(Instant::now()),
+            sent_bytes: Cell::new(0),
+            feed_count: Cell::new(0),
         }
     }
 
-    async fn carry(&self, rows: &[Row]) {
+    async fn transfer(&self, rows: &[Row]) {
         let bytes: usize = rows.iter().filter_map(|r| r.value.as_ref()).map(Bytes::len).sum();
-        self.carried.set(self.carried.get() + bytes as u64);
+        self.sent_bytes.set(self.sent_bytes.get() + bytes as u64);
         let Some(rate) = self.rate.get() else { return };
-        let start = self.busy_until.get().max(Instant::now());
+        let start = self.idle_at.get().max(Instant::now());
         let arrived = start + Duration::from_secs_f64(bytes as f64 / rate as f64);
-        self.busy_until.set(arrived);
+        self.idle_at.set(arrived);
         tokio::time::sleep_until(arrived).await;
     }
 }
@@ -142,7 +143,7 @@
     pub fn new() -> MemoryRows {
         let shared = Shared {
             inner: RefCell::default(),
-            silent: RefCell::default(),
+            unresponsive: RefCell::default(),
             changed: Notify::new(),
             start: Instant::now(),
         };
@@ -150,18 +151,18 @@
     }
 
     /// A handle for another user of the same rows, with a fault and a link of its own.
-    pub fn another(&self) -> MemoryRows {
+    pub fn new_client(&self) -> MemoryRows {
         MemoryRows { shared: self.shared.clone(), fault: Rc::default(), link: Rc::new(Link::new()) }
     }
 
     /// Sets how many bytes of values a second reach this user from now on.
-    pub fn set_link(&self, bytes_per_s: u64) {
+    pub fn set_bytes_per_s(&self, bytes_per_s: u64) {
         self.link.rate.set(Some(bytes_per_s));
     }
 
     /// Bytes of values that were sent to this user.
-    pub fn bytes_carried(&self) -> u64 {
-        self.link.carried.get()
+    pub fn bytes_sent(&self) -> u64 {
+        self.link.sent_bytes.get()
     }
 
     /// Sets what goes wrong from now on.
@@ -170,25 +171,25 @@
     }
 
     /// Sets which partitions answer nobody from now on, in all tables.
-    pub fn set_silent(&self, parts: &[&str]) {
-        let mut silent: Vec<CompactString> = parts.iter().map(|p| (*p).into()).collect();
-        silent.sort();
-        *self.shared.silent.borrow_mut() = silent;
+    pub fn set_unresponsive(&self, partitions: &[&str]) {
+        let mut unresponsive: Vec<CompactString> = partitions.iter().map(|p| (*p).into()).collect();
+        unresponsive.sort();
+        *self.shared.unresponsive.borrow_mut() = unresponsive;
     }
 
     /// Feeds that this user asked for, answered or not.
-    pub fn feeds_asked(&self) -> u64 {
-        self.link.feeds.get()
+    pub fn feed_requests(&self) -> u64 {
+        self.link.feed_count.get()
     }
 
-    fn is_silent(&self, part: &str) -> bool {
-        self.shared.silent.borrow().binary_search_by(|p| p.as_str().cmp(part)).is_ok()
+    fn is_unresponsive(&self, part: &str) -> bool {
+        self.shared.unresponsive.borrow().binary_search_by(|p| p.as_str().cmp(part)).is_ok()
     }
 
     /// Drops the history of changes: feeds from before now are told to read again.
     pub fn compact(&self) {
         let mut inner = self.shared.inner.borrow_mut();
-        inner.log.clear();
+        inner.change_log.clear();
         inner.ver.0 += 1;
         inner.history_from = inner.ver;
     }
@@ -229,40 +230,40 @@
     }
 
     /// Fails as the fault says; transactions see to their own faults.
-    async fn pass(&self) -> StoreResult<()> {
+    async fn fail_if_faulty(&self) -> StoreResult<()> {
         match self.fault() {
             Fault::Reject(status) => Err(StoreError::Rejected(status)),
-            Fault::Silent => silent().await,
+            Fault::Silent => time_out().await,
             _ => Ok(()),
         }
     }
 
     /// The answer with these rows, once it has arrived.
-    async fn deliver(&self, rows: Vec<Row>) -> Page {
+    async fn send_page(&self, rows: Vec<Row>) -> Page {
         let page = Page { rows, ver: self.shared.inner.borrow().ver, now: self.now() };
-        self.link.carry(&page.rows).await;
+        self.link.transfer(&page.rows).await;
         page
     }
 }
 
 /// A call that nobody answers: the client's timeout ends it.
-async fn silent<T>() -> StoreResult<T> {
+async fn time_out<T>() -> StoreResult<T> {
     tokio::time::sleep(Duration::from_secs(1)).await;
     Err(StoreError::Unknown(CompactString::const_new("timeout")))
 }
 
 impl RowStore for MemoryRows {
     async fn scan(&self, table: &str, part: &str) -> StoreResult<Page> {
-        self.pass().await?;
-        if self.is_silent(part) {
-            return silent().await;
+        self.fail_if_faulty().await?;
+        if self.is_unresponsive(part) {
+            return time_out().await;
         }
         let rows: Vec<Row> = {
             let inner = self.shared.inner.borrow();
-            let of_table = |r: &&Row| r.at.table == table && r.at.part == part;
-            inner.rows.iter().filter(of_table).cloned().collect()
+            let in_partition = |r: &&Row| r.at.table == table && r.at.part == part;
+            inner.rows.iter().filter(in_partition).cloned().collect()
         };
-        Ok(self.deliver(rows).await)
+        Ok(self.send_page(rows).await)
     }
 
     async fn feed(
@@ -270,23 +271,23 @@
         table: &str,
         after: Ver,
         wait: Duration,
-        arriving: &Arriving,
+        arriving: &ArrivingAnswers,
     ) -> StoreResult<Page> {
-        self.link.feeds.set(self.link.feeds.get() + 1);
+        self.link.feed_count.set(self.link.feed_count.get() + 1);
         let until = Instant::now() + wait;
         loop {
-            self.pass().await?;
+            self.fail_if_faulty().await?;
             if after < self.shared.inner.borrow().history_from {
                 return Err(StoreError::HistoryGone);
             }
             let rows: Vec<Row> = {
                 let inner = self.shared.inner.borrow();
                 let newer = |r: &&Row| r.ver > after && r.at.table == table;
-                inner.log.iter().filter(newer).cloned().collect()
+                inner.change_log.iter().filter(newer).cloned().collect()
             };
             if !rows.is_empty() || Instant::now() >= until {
-                let _arrival = arriving.begin();
-                return Ok(self.deliver(rows).await);
+                let _arrival = arriving.start_answer();
+                return Ok(self.send_page(rows).await);
             }
             let change = self.shared.changed.notified();
             let _ = tokio::time::timeout(FEED_POLL, change).await;
@@ -294,9 +295,9 @@
     }
 
     async fn commit(&self, tx: &Tx) -> StoreResult<Committed> {
-        self.pass().await?;
-        if tx.write.iter().any(|(at, _)| self.is_silent(&at.part)) {
-            return silent().await;
+        self.fail_if_faulty().await?;
+        if tx.write.iter().any(|(at, _)| self.is_unresponsive(&at.part)) {
+            return time_out().await;
         }
         if let Fault::Late(delay) = self.fault() {
             let (late, tx) = (self.clone(), tx.clone());
@@ -305,14 +306,14 @@
                 // A condition that no longer holds is the usual end of a late write.
                 drop(late.apply(&tx));
             });
-            return silent().await;
+            return time_out().await;
         }
         if let Fault::Slow(delay) = self.fault() {
             tokio::time::sleep(delay).await;
         }
         let done = self.apply(tx);
         if self.fault() == Fault::LoseAnswers {
-            return silent().await;
+            return time_out().await;
         }
         let ver = done.map_err(StoreError::Conflict)?;
         Ok(Committed { ver, now: self.now() })
--- a/src/rows/mod.rs
+++ b/src/rows/mod.rs
@@ -54,7 +54,7 @@
     }
 
     /// A row that has a partition to itself.
-    pub fn alone(table: &str, key: &str) -> RowKey {
+    pub fn own_partition(table: &str, key: &str) -> RowKey {
         RowKey { table: table.into(), part: key.into(), key: key.into() }
     }
 }
@@ -94,12 +94,12 @@
 
 impl Tx {
     /// Whether the rows lie in more than one partition.
-    pub fn is_across(&self) -> bool {
-        let conditions = self.expect.iter().map(|(at, _)| at);
+    pub fn spans_partitions(&self) -> bool {
+        let expected = self.expect.iter().map(|(at, _)| at);
         let writes = self.write.iter().map(|(at, _)| at);
-        let mut parts = conditions.chain(writes).chain(&self.delete).map(|at| &at.part);
-        let Some(first) = parts.next() else { return false };
-        parts.any(|part| part != first)
+        let mut partitions = expected.chain(writes).chain(&self.delete).map(|at| &at.part);
+        let Some(first) = partitions.next() else { return false };
+        partitions.any(|part| part != first)
     }
 }
 
@@ -143,17 +143,17 @@
 /// takes seconds over a narrow link; whoever wants the same rows waits for it, as a second reading
 /// would take just as long again and slow down the first.
 #[derive(Debug, Default)]
-pub struct Arriving(watch::Sender<usize>);
+pub struct ArrivingAnswers(watch::Sender<usize>);
 
-impl Arriving {
+impl ArrivingAnswers {
     /// An answer has begun to come; it counts as on its way until the guard is dropped.
-    pub fn begin(&self) -> Arrival<'_> {
+    pub fn start_answer(&self) -> ArrivingAnswer<'_> {
         self.0.send_modify(|n| *n += 1);
-        Arrival(self)
+        ArrivingAnswer(self)
     }
 
     /// Waits until no answer is on its way.
-    pub async fn over(&self) {
+    pub async fn wait_until_none(&self) {
         // The sender lives as long as `self`: the channel cannot be closed.
         let _ = self.0.subscribe().wait_for(|n| *n == 0).await;
     }
@@ -161,9 +161,9 @@
 
 /// See [`Arriving::begin`].
 #[derive(Debug)]
-pub struct Arrival<'a>(&'a Arriving);
+pub struct ArrivingAnswer<'a>(&'a ArrivingAnswers);
 
-impl Drop for Arrival<'_> {
+impl Drop for ArrivingAnswer<'_> {
     fn drop(&mut self) {
         self.0.0.send_modify(|n| *n -= 1);
     }
@@ -181,7 +181,7 @@
         table: &str,
         after: Ver,
         wait: Duration,
-        arriving: &Arriving,
+        arriving: &ArrivingAnswers,
     ) -> impl Future<Output = StoreResult<Page>>;
 
     /// Applies a transaction, all of it or nothing.
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -19,7 +19,7 @@
     StartedMs, TargetInfo, TargetState,
 };
 use crate::ids::Tokens;
-use crate::rows::{Arriving, Committed, MemoryRows, Page, RowStore, StoreResult, Tx, Ver};
+use crate::rows::{ArrivingAnswers, Committed, MemoryRows, Page, RowStore, StoreResult, Tx, Ver};
 
 /// Keys of orders to empty a zone begin with this.
 const EMPTY: &str = "empty/";
@@ -131,7 +131,7 @@
 
     /// The same platform for another router, with a fault of its own.
     pub fn another(&self) -> LocalPlatform {
-        LocalPlatform { rows: self.rows.another(), ..self.clone() }
+        LocalPlatform { rows: self.rows.new_client(), ..self.clone() }
     }
 
     /// Acknowledges a configuration.
@@ -184,7 +184,7 @@
         table: &str,
         after: Ver,
         wait: Duration,
-        arriving: &Arriving,
+        arriving: &ArrivingAnswers,
     ) -> StoreResult<Page> {
         self.rows.feed(table, after, wait, arriving).await
     }
--- a/tests/test_allowance_death.rs
+++ b/tests/test_allowance_death.rs
@@ -12,7 +12,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-use crate::keeperdir::KeeperHost;
+use crate::manager_host::ManagerHost;
 
 const ORG: &str = "norte";
 const ROUTERS: usize = 7;
@@ -20,17 +20,17 @@
 /// A request's prompt, and how long its stream runs.
 const PROMPT: u64 = 4_000;
 const OUTPUT: u64 = 400;
-const STREAM: Duration = Duration::from_millis(900);
+const STREAM_DURATION: Duration = Duration::from_millis(900);
 /// Requests of the organisation a second: its budget lasts some 36 s.
-const PER_S: u64 = 19;
+const REQUESTS_PER_S: u64 = 19;
 
 struct Fleet {
     store: MemoryRows,
-    routers: RefCell<Vec<KeeperHost>>,
+    routers: RefCell<Vec<ManagerHost>>,
     /// What callers got, and the part of it in streams that still run.
     spent: Cell<u64>,
     refused: Cell<u64>,
-    next: Cell<u64>,
+    incarnation_counter: Cell<u64>,
 }
 
 impl Fleet {
@@ -40,36 +40,37 @@
             routers: RefCell::default(),
             spent: Cell::new(0),
             refused: Cell::new(0),
-            next: Cell::new(1),
+            incarnation_counter: Cell::new(1),
         });
         fleet.start_all();
         fleet
     }
 
     fn start_all(&self) {
-        for r in 0..ROUTERS {
-            let rows = self.store.another();
+        for router in 0..ROUTERS {
+            let rows = self.store.new_client();
             rows.set_fault(Fault::Slow(Duration::from_millis(4)));
-            let incarnation = self.next.replace(self.next.get() + 1);
-            let host = KeeperHost::start(rows, (r, incarnation), ROUTERS, 11_000, (ORG, PREPAID));
+            let incarnation = self.incarnation_counter.replace(self.incarnation_counter.get() + 1);
+            let host =
+                ManagerHost::start(rows, (router, incarnation), ROUTERS, 11_000, (ORG, PREPAID));
             self.routers.borrow_mut().push(host);
         }
     }
 
-    fn die(&self) {
-        self.routers.borrow_mut().drain(..).for_each(KeeperHost::kill);
+    fn kill_all(&self) {
+        self.routers.borrow_mut().drain(..).for_each(ManagerHost::kill);
     }
 
-    fn cut(&self, fault: Fault) {
-        self.routers.borrow().iter().for_each(|r| r.rows.set_fault(fault));
+    fn set_fault_all(&self, fault: Fault) {
+        self.routers.borrow().iter().for_each(|router| router.rows.set_fault(fault));
     }
 
     /// A request that streams its answer; what it has cost is told as it goes.
-    fn request(self: &Rc<Self>, r: usize) {
-        let keeper = self.routers.borrow()[r].keeper.clone();
+    fn request(self: &Rc<Self>, router: usize) {
+        let manager = self.routers.borrow()[router].manager.clone();
         let fleet = self.clone();
         spawn_local(async move {
-            let Ok(mut reservation) = keeper.reserve_tokens(ORG, Tokens(PROMPT + OUTPUT)).await
+            let Ok(mut reservation) = manager.reserve_tokens(ORG, Tokens(PROMPT + OUTPUT)).await
             else {
                 fleet.refused.set(fleet.refused.get() + 1);
                 return;
@@ -78,22 +79,22 @@
             reservation.set_cost(Tokens(PROMPT));
             reservation.confirm_delivered();
             fleet.spent.set(fleet.spent.get() + PROMPT);
-            sleep(STREAM).await;
+            sleep(STREAM_DURATION).await;
             reservation.set_cost(Tokens(PROMPT + OUTPUT / 2));
             fleet.spent.set(fleet.spent.get() + OUTPUT / 2);
         });
     }
 
     async fn load(self: &Rc<Self>, ms: u64) {
-        for i in 0..ms * PER_S / 1_000 {
+        for i in 0..ms * REQUESTS_PER_S / 1_000 {
             self.request((i as usize * 3) % ROUTERS);
-            sleep(Duration::from_millis(1_000 / PER_S)).await;
+            sleep(Duration::from_millis(1_000 / REQUESTS_PER_S)).await;
         }
     }
 
     async fn ledger(&self) -> Ledger {
         let page = self.store.scan("budgets", ORG).await.expect("the auditor has no faults");
-        let row = page.rows.iter().find(|r| r.at.key == ORG).expect("it was written");
+        let row = page.rows.iter().find(|router| router.at.key == ORG).expect("it was written");
         Ledger::decode(row.value.as_ref().expect("it has a value")).expect("it can be read")
     }
 }
@@ -119,20 +120,20 @@
 #[case::at_once(300, 1.5)]
 #[case::usual(1_000, 1.5)]
 #[case::slow_start(2_000, 9.8)]
-fn closed_after_death(#[case] down_ms: u64, #[case] most_percent: f64) {
+fn ledger_closed_after_restart(#[case] down_ms: u64, #[case] max_percent: f64) {
     in_virtual_time(async {
         let fleet = Fleet::new();
         sleep(Duration::from_secs(1)).await;
         fleet.load(26_000).await;
         let spent = fleet.spent.get();
-        fleet.die();
+        fleet.kill_all();
         sleep(Duration::from_millis(down_ms)).await;
         fleet.start_all();
         sleep(Duration::from_secs(4)).await;
         let ledger = fleet.ledger().await;
         assert!(ledger.closed.0 >= spent, "{spent} spent: {ledger:?}");
         let percent = (ledger.closed.0 - spent) as f64 * 100.0 / PREPAID as f64;
-        assert!(percent < most_percent, "{percent:.2}% not spent and in doubt");
+        assert!(percent < max_percent, "{percent:.2}% not spent and in doubt");
         // What callers of running streams had is proved, but for the latest renewal's time.
         let unproved = spent - (ledger.closed.0 - ledger.doubt.0).min(spent);
         assert!(unproved < PREPAID / 50, "{unproved} spent and not proved");
@@ -142,17 +143,17 @@
 /// A cut of all routers begins when a budget is nearly spent. Its lines do not open yet; callers
 /// wait for less than a second. Of 76 requests 15 were refused without waiting, 8 are with it.
 #[test]
-fn hold_waits_for_opening() {
+fn reserve_tokens_waits_for_limit() {
     in_virtual_time(async {
         let fleet = Fleet::new();
         sleep(Duration::from_secs(1)).await;
         fleet.load(24_000).await;
         let refused = fleet.refused.get();
-        fleet.cut(Fault::Silent);
+        fleet.set_fault_all(Fault::Silent);
         fleet.load(4_000).await;
         sleep(Duration::from_secs(2)).await;
         let refused = fleet.refused.get() - refused;
-        assert!(refused <= 11, "{refused} of {} refused", 4 * PER_S);
+        assert!(refused <= 11, "{refused} of {} refused", 4 * REQUESTS_PER_S);
     });
 }
 
@@ -162,27 +163,27 @@
 /// then all died. What they had spent since the cut began was written nowhere
 /// (`event=closed … age_ms=11140 doubt=439239`, 36% of the budget for all of them together).
 #[test]
-fn served_after_cut_and_part_down() {
+fn reserve_tokens_after_outages_and_restart() {
     in_virtual_time(async {
         let fleet = Fleet::new();
         sleep(Duration::from_secs(1)).await;
         fleet.load(19_000).await;
-        fleet.routers.borrow()[..5].iter().for_each(|r| r.rows.set_fault(Fault::Silent));
+        fleet.routers.borrow()[..5].iter().for_each(|router| router.rows.set_fault(Fault::Silent));
         fleet.load(7_000).await;
-        fleet.store.set_silent(&[ORG]);
+        fleet.store.set_unresponsive(&[ORG]);
         fleet.load(1_000).await;
-        fleet.cut(Fault::Slow(Duration::from_millis(4)));
+        fleet.set_fault_all(Fault::Slow(Duration::from_millis(4)));
         fleet.load(2_000).await;
-        fleet.die();
+        fleet.kill_all();
         sleep(Duration::from_millis(800)).await;
         fleet.start_all();
         fleet.load(3_000).await;
-        fleet.store.set_silent(&[]);
+        fleet.store.set_unresponsive(&[]);
         fleet.load(4_000).await;
         let (left, refused) = (PREPAID - fleet.spent.get(), fleet.refused.get());
         fleet.load(3_000).await;
         let refused = fleet.refused.get() - refused;
-        let asked = 3 * PER_S;
+        let asked = 3 * REQUESTS_PER_S;
         assert!(
             refused * 4 <= asked * 3,
             "{refused} of {asked} refused with {left} of {PREPAID} tokens left"
--- a/tests/test_allowance_fleet_random.rs
+++ b/tests/test_allowance_fleet_random.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use tokio::time::sleep;
 
-use crate::lenddir::{Fleet, Weather, in_virtual_time};
+use crate::lending_fleet::{Fleet, NetworkFaults, in_virtual_time};
 
 const ROUTERS: usize = 6;
 
@@ -20,22 +20,22 @@
     /// and how long they run, ms.
     Requests(usize, u64, u64, u64, u64),
     /// A router's calls to the store fail from now on.
-    Break(usize, u8),
+    SetFault(usize, u8),
     /// They work again.
-    Heal(usize),
+    ClearFault(usize),
     /// The same for all routers.
-    BreakAll(u8),
-    HealAll,
+    SetFaultAll(u8),
+    ClearFaultAll,
     /// A partition of the store answers nobody: the organisation's, or a place's.
-    Part(Option<usize>),
+    SilencePartition(Option<usize>),
     /// All partitions answer.
-    Parts,
+    RestorePartitions,
     /// A router hears and reaches no other.
-    Cut(usize),
+    Isolate(usize),
     /// All hear one another.
-    Join,
+    Reconnect,
     /// Datagrams are lost and doubled.
-    Weather(u32, u32),
+    NetworkFaults(u32, u32),
     /// A router is killed; its successor starts after some ms.
     Kill(usize, u64),
     /// All are.
@@ -53,15 +53,15 @@
     let requests = (router.clone(), 1_u64..8, 1_u64..3_000, 0_u64..=100, 1_u64..3_000);
     prop_oneof![
         10 => requests.prop_map(|(r, n, m, p, ms)| Step::Requests(r, n, m, p, ms)),
-        2 => (router.clone(), 0_u8..4).prop_map(|(r, f)| Step::Break(r, f)),
-        2 => router.clone().prop_map(Step::Heal),
-        1 => (0_u8..4).prop_map(Step::BreakAll),
-        2 => Just(Step::HealAll),
-        1 => proptest::option::of(router.clone()).prop_map(Step::Part),
-        1 => Just(Step::Parts),
-        1 => router.clone().prop_map(Step::Cut),
-        1 => Just(Step::Join),
-        1 => (0_u32..60, 0_u32..60).prop_map(|(l, d)| Step::Weather(l, d)),
+        2 => (router.clone(), 0_u8..4).prop_map(|(r, f)| Step::SetFault(r, f)),
+        2 => router.clone().prop_map(Step::ClearFault),
+        1 => (0_u8..4).prop_map(Step::SetFaultAll),
+        2 => Just(Step::ClearFaultAll),
+        1 => proptest::option::of(router.clone()).prop_map(Step::SilencePartition),
+        1 => Just(Step::RestorePartitions),
+        1 => router.clone().prop_map(Step::Isolate),
+        1 => Just(Step::Reconnect),
+        1 => (0_u32..60, 0_u32..60).prop_map(|(l, d)| Step::NetworkFaults(l, d)),
         1 => (router.clone(), 0_u64..4_000).prop_map(|(r, ms)| Step::Kill(r, ms)),
         1 => (0_u64..3_000).prop_map(Step::KillAll),
         1 => router.prop_map(Step::Restart),
@@ -79,23 +79,25 @@
     }
 }
 
-async fn take(fleet: &Rc<Fleet>, step: &Step) {
+async fn apply_step(fleet: &Rc<Fleet>, step: &Step) {
     match *step {
-        Step::Requests(r, n, most, percent, ms) => {
+        Step::Requests(r, n, max_cost, percent, ms) => {
             for _ in 0..n {
-                fleet.request(r, most, most * percent / 100, Duration::from_millis(ms));
+                fleet.request(r, max_cost, max_cost * percent / 100, Duration::from_millis(ms));
             }
         }
-        Step::Break(r, f) => fleet.set_fault(r, fault(f)),
-        Step::Heal(r) => fleet.set_fault(r, Fault::None),
-        Step::BreakAll(f) => (0..ROUTERS).for_each(|r| fleet.set_fault(r, fault(f))),
-        Step::HealAll => fleet.cut_store(false),
-        Step::Part(None) => fleet.store.set_silent(&[crate::lenddir::ORG]),
-        Step::Part(Some(r)) => fleet.store.set_silent(&[&format!("r{r}")]),
-        Step::Parts => fleet.store.set_silent(&[]),
-        Step::Cut(r) => fleet.cut.borrow_mut().push(r),
-        Step::Join => fleet.cut.borrow_mut().clear(),
-        Step::Weather(lost, doubled) => fleet.weather.set(Weather { lost, doubled }),
+        Step::SetFault(r, f) => fleet.set_fault(r, fault(f)),
+        Step::ClearFault(r) => fleet.set_fault(r, Fault::None),
+        Step::SetFaultAll(f) => (0..ROUTERS).for_each(|r| fleet.set_fault(r, fault(f))),
+        Step::ClearFaultAll => fleet.cut_store(false),
+        Step::SilencePartition(None) => fleet.store.set_unresponsive(&[crate::lending_fleet::ORG]),
+        Step::SilencePartition(Some(r)) => fleet.store.set_unresponsive(&[&format!("r{r}")]),
+        Step::RestorePartitions => fleet.store.set_unresponsive(&[]),
+        Step::Isolate(r) => fleet.isolated.borrow_mut().push(r),
+        Step::Reconnect => fleet.isolated.borrow_mut().clear(),
+        Step::NetworkFaults(lost_percent, duplicated_percent) => {
+            fleet.network.set(NetworkFaults { lost_percent, duplicated_percent })
+        }
         Step::Kill(r, ms) => {
             fleet.kill(r);
             sleep(Duration::from_millis(ms)).await;
@@ -115,19 +117,19 @@
     }
 }
 
-async fn play(prepaid: u64, zones: usize, steps: &[Step]) {
+async fn run_schedule(prepaid: u64, zones: usize, steps: &[Step]) {
     let fleet = Fleet::start(ROUTERS, zones, prepaid);
     for step in steps {
-        take(&fleet, step).await;
+        apply_step(&fleet, step).await;
         let (spent, prepaid) = (fleet.spent.get(), fleet.prepaid());
         assert!(spent <= prepaid, "{spent} of {prepaid} at {step:?}");
         let committed = fleet.ledger().committed().0;
         assert!(committed <= prepaid, "{committed} of {prepaid} granted at {step:?}");
     }
-    fleet.store.set_silent(&[]);
+    fleet.store.set_unresponsive(&[]);
     fleet.cut_store(false);
-    fleet.cut.borrow_mut().clear();
-    fleet.weather.set(Weather::default());
+    fleet.isolated.borrow_mut().clear();
+    fleet.network.set(NetworkFaults::default());
     // Longer than a loan whose borrower is gone is waited for, and than idle grants are kept.
     sleep(Duration::from_secs(200)).await;
     let ledger = fleet.ledger();
@@ -150,22 +152,22 @@
         steps in proptest::collection::vec(step(), 1..60),
         seed in any::<u64>(),
     ) {
-        in_virtual_time(seed, play(prepaid, zones, &steps));
+        in_virtual_time(seed, run_schedule(prepaid, zones, &steps));
     }
 
     #[test]
-    fn rows_decode_anything(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn rows_decode_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         // Whatever another writer left there: no panic, and nothing that was half read.
         drop(Ledger::decode(&bytes));
         drop(Spending::decode(&bytes));
     }
 
     #[test]
-    fn heard_anything(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn receive_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         in_virtual_time(1, async {
             let fleet = Fleet::start(1, 1, 1_000);
-            let keeper = fleet.keeper(0).expect("it was started");
-            keeper.receive(([10, 0, 0, 9], 7_000).into(), &bytes);
+            let manager = fleet.manager(0).expect("it was started");
+            manager.receive(([10, 0, 0, 9], 7_000).into(), &bytes);
         });
     }
 }
--- a/tests/test_allowance_lending.rs
+++ b/tests/test_allowance_lending.rs
@@ -8,44 +8,45 @@
 use rstest::rstest;
 use tokio::time::sleep;
 
-use crate::lenddir::{Fleet, ORG, Weather, in_virtual_time};
+use crate::lending_fleet::{Fleet, NetworkFaults, ORG, in_virtual_time};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn routers(zones: &[&str], of_each: usize) -> Vec<Lender> {
-    let of_zone = |zone: &str| {
+fn routers(zones: &[&str], per_zone: usize) -> Vec<Lender> {
+    let in_zone = |zone: &str| {
         let zone = zone.to_owned();
-        (0..of_each).map(move |i| Lender {
+        (0..per_zone).map(move |i| Lender {
             name: format!("{zone}-{i}").into(),
             zone: zone.as_str().into(),
             addr: ([10, zone.len() as u8, zone.as_bytes()[0], i as u8], 7_000).into(),
             capacity: if i % 3 == 0 { 200 } else { 100 },
         })
     };
-    zones.iter().flat_map(|z| of_zone(z)).collect()
+    zones.iter().flat_map(|z| in_zone(z)).collect()
 }
 
 #[rstest]
 #[case::two_of_a_small_zone(4, 2)]
 #[case::one_in_sixteen(39, 3)]
-#[case::alone(1, 1)]
-fn lenders_choose(#[case] of_each: usize, #[case] lending: usize) {
-    let lenders = Lenders::choose("a-0", "a", routers(&["a", "b"], of_each));
-    assert_eq!(lenders.count(), 2 * lending);
+#[case::single_router(1, 1)]
+fn lenders_choose(#[case] per_zone: usize, #[case] expected: usize) {
+    let lenders = Lenders::choose("a-0", "a", routers(&["a", "b"], per_zone));
+    assert_eq!(lenders.count(), 2 * expected);
 }
 
 #[test]
 fn lenders_order_own_zone_first() {
     let all = routers(&["a", "b", "c"], 20);
     for org in ["norte", "sur", "este", "oeste"] {
-        let of = |name: &str, zone: &str| Lenders::choose(name, zone, all.clone()).order(org);
-        let (here, there) = (of("a-19", "a"), of("b-19", "b"));
+        let order_for =
+            |name: &str, zone: &str| Lenders::choose(name, zone, all.clone()).order(org);
+        let (own_zone, other_zone) = (order_for("a-19", "a"), order_for("b-19", "b"));
         // Two routers of a zone ask the same one first, those of other zones ask another.
-        assert_eq!(here, of("a-18", "a"));
-        assert_ne!(here[0], there[0]);
+        assert_eq!(own_zone, order_for("a-18", "a"));
+        assert_ne!(own_zone[0], other_zone[0]);
         // Each one's first is asked by the others before anybody's second.
-        assert!(here[1..3].contains(&there[0]), "{here:?} {there:?}");
-        assert_eq!(here.last(), Some(&Source::Fallback));
+        assert!(own_zone[1..3].contains(&other_zone[0]), "{own_zone:?} {other_zone:?}");
+        assert_eq!(own_zone.last(), Some(&Source::Fallback));
     }
 }
 
@@ -61,7 +62,7 @@
 /// With each router a spender, the row of an organisation was written by all of them. A zone's
 /// lenders write it, whoever serves the requests.
 #[test]
-fn hold_few_spenders() {
+fn reserve_tokens_few_spenders() {
     in_virtual_time(1, async {
         let fleet = Fleet::start(40, 4, 100_000_000);
         sleep(SECOND).await;
@@ -75,27 +76,35 @@
 /// The first request for an organisation, and the first one at a router without a grant, were
 /// refused after 60 ms with all of the budget free. They wait for a few store calls at the most.
 #[test]
-fn hold_first_request() {
+fn reserve_tokens_first_request() {
     in_virtual_time(2, async {
         let fleet = Fleet::start(40, 4, 10_000_000);
         sleep(SECOND).await;
         fleet.request(0, 4_000, 4_000, SECOND);
         sleep(SECOND).await;
         assert_eq!(fleet.refused.get(), 0);
-        assert!(fleet.longest.get() < Duration::from_millis(40), "{:?}", fleet.longest.get());
+        assert!(
+            fleet.longest_wait.get() < Duration::from_millis(40),
+            "{:?}",
+            fleet.longest_wait.get()
+        );
         // By now the zone's lender has a grant: the others wait for two datagrams.
-        fleet.longest.set(Duration::ZERO);
+        fleet.longest_wait.set(Duration::ZERO);
         (1..10).for_each(|i| fleet.request(4 * i, 400, 400, SECOND));
         sleep(SECOND).await;
         assert_eq!(fleet.refused.get(), 0);
-        assert!(fleet.longest.get() < Duration::from_millis(20), "{:?}", fleet.longest.get());
+        assert!(
+            fleet.longest_wait.get() < Duration::from_millis(20),
+            "{:?}",
+            fleet.longest_wait.get()
+        );
     });
 }
 
 /// A burst at the start of a cut was refused with two thirds of the budget free: it came to routers
 /// without a grant, or to one whose grant had run out. Whoever has a part lends it.
 #[test]
-fn hold_in_cut_of_all() {
+fn reserve_tokens_store_outage() {
     in_virtual_time(3, async {
         let fleet = Fleet::start(40, 4, 12_000_000);
         sleep(SECOND).await;
@@ -113,7 +122,7 @@
 /// At the end of a budget its last tokens lay in pieces with 25 routers, and callers were refused
 /// with 2 to 3% of it left. Lenders are asked one after the other, and each has one piece.
 #[test]
-fn hold_end_of_budget() {
+fn reserve_tokens_end_of_budget() {
     in_virtual_time(4, async {
         let fleet = Fleet::start(40, 4, 4_000_000);
         sleep(SECOND).await;
@@ -123,36 +132,40 @@
         let left = fleet.prepaid() - fleet.spent.get();
         assert!(left < 4 * 4_000, "{left} left");
         // What is spent is proved: callers are told so, and do not come back in vain.
-        let before = fleet.told_spent.get();
+        let before = fleet.refused_as_spent.get();
         fleet.load(2_000, 50, 20_000).await;
         sleep(SECOND).await;
-        let told = fleet.told_spent.get() - before;
-        assert!(told >= 80, "{told} of 100 told that it is spent");
+        let as_spent = fleet.refused_as_spent.get() - before;
+        assert!(as_spent >= 80, "{as_spent} of 100 told that it is spent");
     });
 }
 
 /// A zone's lender stands still. Requests that ask it would wait for it one after the other: the
 /// first ones wait for their patience, all others go to the next at once.
 #[test]
-fn hold_lender_silent() {
+fn reserve_tokens_lender_unresponsive() {
     in_virtual_time(5, async {
         let fleet = Fleet::start(16, 4, 100_000_000);
         sleep(SECOND).await;
         fleet.load(2_000, 100, 4_000).await;
         let lender = fleet.ledger().grants[0].name.endpoint.clone();
-        let place: usize = lender[1..].parse().unwrap();
-        fleet.cut.borrow_mut().push(place);
+        let router: usize = lender[1..].parse().unwrap();
+        fleet.isolated.borrow_mut().push(router);
         sleep(Duration::from_millis(100)).await;
         for i in 0..200 {
             // The one that is cut off has no callers.
             let at = (i * 7) % 16;
-            if at != place {
+            if at != router {
                 fleet.request(at, 4_000, 4_000, SECOND);
             }
             sleep(Duration::from_millis(10)).await;
         }
         assert_eq!(fleet.refused.get(), 0);
-        assert!(fleet.longest.get() < Duration::from_millis(130), "{:?}", fleet.longest.get());
+        assert!(
+            fleet.longest_wait.get() < Duration::from_millis(130),
+            "{:?}",
+            fleet.longest_wait.get()
+        );
     });
 }
 
@@ -162,13 +175,13 @@
 #[case::lossy(30, 0)]
 #[case::doubling(0, 50)]
 #[case::both(20, 30)]
-fn loans_lost_messages(#[case] lost: u32, #[case] doubled: u32) {
+fn loans_lost_messages(#[case] lost_percent: u32, #[case] duplicated_percent: u32) {
     in_virtual_time(6, async {
         let fleet = Fleet::start(16, 4, 100_000_000);
         sleep(SECOND).await;
-        fleet.weather.set(Weather { lost, doubled });
+        fleet.network.set(NetworkFaults { lost_percent, duplicated_percent });
         fleet.load(5_000, 100, 4_000).await;
-        fleet.weather.set(Weather::default());
+        fleet.network.set(NetworkFaults::default());
         // All grants are given back once nobody asks any more: what stays closed is what was spent.
         sleep(40 * SECOND).await;
         let ledger = fleet.ledger();
@@ -204,10 +217,10 @@
         sleep(SECOND).await;
         fleet.load(4_000, 60, 4_000).await;
         let lender = fleet.ledger().grants[0].name.endpoint.clone();
-        let place: usize = lender[1..].parse().unwrap();
-        fleet.kill(place);
+        let router: usize = lender[1..].parse().unwrap();
+        fleet.kill(router);
         fleet.load(1_000, 60, 4_000).await;
-        fleet.start_at(place);
+        fleet.start_at(router);
         fleet.load(4_000, 60, 4_000).await;
         // At most those that it had taken itself, or that were on their way to it.
         assert!(fleet.refused.get() <= 2, "{}", fleet.refused.get());
@@ -226,9 +239,9 @@
         let fleet = Fleet::start(16, 2, 100_000_000);
         sleep(SECOND).await;
         fleet.load(4_000, 60, 4_000).await;
-        for place in 0..16 {
-            fleet.stop(place).await;
-            fleet.start_at(place);
+        for router in 0..16 {
+            fleet.stop(router).await;
+            fleet.start_at(router);
             fleet.load(500, 60, 4_000).await;
         }
         sleep(40 * SECOND).await;
@@ -240,12 +253,12 @@
 
 /// A router that is cut off from all others serves from a grant of its own.
 #[test]
-fn hold_cut_off_from_others() {
+fn reserve_tokens_isolated_router() {
     in_virtual_time(10, async {
         let fleet = Fleet::start(16, 2, 100_000_000);
         sleep(SECOND).await;
         fleet.load(2_000, 60, 4_000).await;
-        fleet.cut.borrow_mut().push(9);
+        fleet.isolated.borrow_mut().push(9);
         for _ in 0..40 {
             fleet.request(9, 4_000, 4_000, SECOND);
             sleep(Duration::from_millis(50)).await;
@@ -257,49 +270,49 @@
 /// A request whose route allows it 300 ms was held for a second and a half: a cut had begun, and
 /// the line opened later than that. The refusal came long after its caller had gone.
 #[test]
-fn hold_by_own_time() {
+fn reserve_by_deadline() {
     in_virtual_time(11, async {
         let fleet = Fleet::start(1, 1, 400_000);
         sleep(SECOND).await;
         fleet.load(6_000, 10, 4_000).await;
         fleet.cut_store(true);
-        let keeper = fleet.hosts.borrow()[0].as_ref().unwrap().keeper.clone();
-        let (asked, most) = (tokio::time::Instant::now(), kingcupwall::ids::Tokens(30_000));
-        let until = asked + Duration::from_millis(300);
-        assert!(keeper.reserve_by(ORG, most, until).await.is_err());
-        assert!(asked.elapsed() <= Duration::from_millis(310), "{:?}", asked.elapsed());
+        let manager = fleet.hosts.borrow()[0].as_ref().unwrap().manager.clone();
+        let (started, max_cost) = (tokio::time::Instant::now(), kingcupwall::ids::Tokens(30_000));
+        let until = started + Duration::from_millis(300);
+        assert!(manager.reserve_by(ORG, max_cost, until).await.is_err());
+        assert!(started.elapsed() <= Duration::from_millis(310), "{:?}", started.elapsed());
     });
 }
 
 /// A process of a place is still running when another one begins there, against what the platform
 /// promises. It must spend nothing more once the other has written the place's row.
 #[test]
-fn place_taken_over() {
+fn endpoint_taken_over() {
     in_virtual_time(12, async {
         let fleet = Fleet::start(1, 1, 1_000_000);
         sleep(SECOND).await;
         fleet.load(1_000, 10, 4_000).await;
-        let keeper = fleet.hosts.borrow()[0].as_ref().unwrap().keeper.clone();
+        let manager = fleet.hosts.borrow()[0].as_ref().unwrap().manager.clone();
         fleet.start_at(0);
         sleep(SECOND).await;
-        let held = keeper.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await;
+        let first = manager.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await;
         // The first attempt after the take-over may still find its old line; its write cannot.
-        drop(held);
+        drop(first);
         sleep(SECOND).await;
-        assert!(keeper.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await.is_err());
+        assert!(manager.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await.is_err());
     });
 }
 
 /// Rows of another format, or damaged ones, are spent from and closed by nobody.
 #[rstest]
 #[case::budget("budgets", ORG)]
-#[case::place("spending", "r0")]
+#[case::spending_row("spending", "r0")]
 fn rows_unreadable(#[case] table: &str, #[case] key: &str) {
     in_virtual_time(13, async {
         let fleet = Fleet::start(1, 1, 1_000_000);
         fleet.kill(0);
         let store: &MemoryRows = &fleet.store;
-        let at = kingcupwall::rows::RowKey::alone(table, key);
+        let at = kingcupwall::rows::RowKey::own_partition(table, key);
         let tx = kingcupwall::rows::Tx {
             write: vec![(at, bytes::Bytes::from_static(b"no row"))],
             ..Default::default()
@@ -317,7 +330,7 @@
 
 /// Store answers are lost for a while: nothing that was written without an answer is spent twice.
 #[test]
-fn hold_lost_answers() {
+fn reserve_tokens_lost_answers() {
     in_virtual_time(14, async {
         let fleet = Fleet::start(8, 2, 4_000_000);
         sleep(SECOND).await;
--- a/tests/test_allowance_random.rs
+++ b/tests/test_allowance_random.rs
@@ -14,7 +14,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-use crate::keeperdir::KeeperHost;
+use crate::manager_host::ManagerHost;
 
 const ORG: &str = "norte";
 const ROUTERS: usize = 3;
@@ -24,9 +24,9 @@
     /// A request at a router: most, and the part of it that is used, in per cent.
     Request(usize, u64, u64),
     /// A router's calls to the store fail from now on.
-    Break(usize, u8),
+    SetFault(usize, u8),
     /// They work again.
-    Heal(usize),
+    ClearFault(usize),
     /// A router is killed; its successor starts after some ms.
     Kill(usize, u64),
     /// A router stops in order, and starts again.
@@ -41,8 +41,8 @@
     let router = 0..ROUTERS;
     prop_oneof![
         8 => (router.clone(), 1_u64..3_000, 0_u64..=100).prop_map(|(r, m, p)| Step::Request(r, m, p)),
-        2 => (router.clone(), 0_u8..4).prop_map(|(r, f)| Step::Break(r, f)),
-        2 => router.clone().prop_map(Step::Heal),
+        2 => (router.clone(), 0_u8..4).prop_map(|(r, f)| Step::SetFault(r, f)),
+        2 => router.clone().prop_map(Step::ClearFault),
         1 => (router.clone(), 0_u64..4_000).prop_map(|(r, ms)| Step::Kill(r, ms)),
         1 => router.prop_map(Step::Restart),
         1 => (1_u64..20_000).prop_map(Step::TopUp),
@@ -59,47 +59,47 @@
     }
 }
 
-struct World {
+struct RouterGroup {
     store: MemoryRows,
     prepaid: u64,
-    next: u64,
-    routers: Vec<Option<KeeperHost>>,
+    incarnation_counter: u64,
+    routers: Vec<Option<ManagerHost>>,
     /// Tokens that callers got.
     spent: Rc<Cell<u64>>,
 }
 
-impl World {
-    fn new(prepaid: u64) -> World {
-        let mut world = World {
+impl RouterGroup {
+    fn new(prepaid: u64) -> RouterGroup {
+        let mut group = RouterGroup {
             store: MemoryRows::new(),
             prepaid,
-            next: 1,
+            incarnation_counter: 1,
             routers: Vec::new(),
             spent: Rc::default(),
         };
         for r in 0..ROUTERS {
-            let started = world.start(r);
-            world.routers.push(Some(started));
+            let started = group.start(r);
+            group.routers.push(Some(started));
         }
-        world
+        group
     }
 
-    fn start(&mut self, place: usize) -> KeeperHost {
-        let incarnation = self.next;
-        self.next += 1;
-        let rows = self.store.another();
-        KeeperHost::start(rows, (place, incarnation), ROUTERS, 10_000, (ORG, self.prepaid))
+    fn start(&mut self, router_index: usize) -> ManagerHost {
+        let incarnation = self.incarnation_counter;
+        self.incarnation_counter += 1;
+        let rows = self.store.new_client();
+        ManagerHost::start(rows, (router_index, incarnation), ROUTERS, 10_000, (ORG, self.prepaid))
     }
 
     async fn step(&mut self, step: &Step) {
         match *step {
-            Step::Request(r, most, percent) => self.request(r, most, percent),
-            Step::Break(r, f) => {
+            Step::Request(r, max_cost, percent) => self.request(r, max_cost, percent),
+            Step::SetFault(r, f) => {
                 if let Some(router) = &self.routers[r] {
                     router.rows.set_fault(fault(f));
                 }
             }
-            Step::Heal(r) => {
+            Step::ClearFault(r) => {
                 if let Some(router) = &self.routers[r] {
                     router.rows.set_fault(Fault::None);
                 }
@@ -122,7 +122,7 @@
                 self.prepaid += more;
                 for router in self.routers.iter().flatten() {
                     let raised = [(ORG.into(), Tokens(self.prepaid))];
-                    router.keeper.set_prepaid(raised.into_iter());
+                    router.manager.set_prepaid(raised.into_iter());
                 }
             }
             Step::Wait(ms) => sleep(Duration::from_millis(ms)).await,
@@ -131,20 +131,20 @@
 
     /// A request runs beside whatever else happens, and counts as spent when it is admitted:
     /// whatever part of it a caller gets, it gets no more.
-    fn request(&self, r: usize, most: u64, percent: u64) {
+    fn request(&self, r: usize, max_cost: u64, percent: u64) {
         let Some(router) = &self.routers[r] else { return };
-        let (keeper, spent) = (router.keeper.clone(), self.spent.clone());
+        let (manager, spent) = (router.manager.clone(), self.spent.clone());
         spawn_local(async move {
-            let taken: Result<Reservation<MemoryRows>, _> =
-                keeper.reserve_tokens(ORG, Tokens(most)).await;
-            let Ok(mut reservation) = taken else { return };
-            let actual = most * percent / 100;
+            let reserved: Result<Reservation<MemoryRows>, _> =
+                manager.reserve_tokens(ORG, Tokens(max_cost)).await;
+            let Ok(mut reservation) = reserved else { return };
+            let actual = max_cost * percent / 100;
             spent.set(spent.get() + actual);
             reservation.set_cost(Tokens(actual));
-            if most.is_multiple_of(2) {
+            if max_cost.is_multiple_of(2) {
                 reservation.confirm_delivered();
             }
-            sleep(Duration::from_millis(most)).await;
+            sleep(Duration::from_millis(max_cost)).await;
         });
     }
 
@@ -156,19 +156,19 @@
     }
 }
 
-async fn play(prepaid: u64, steps: &[Step]) {
-    let mut world = World::new(prepaid);
+async fn run_schedule(prepaid: u64, steps: &[Step]) {
+    let mut group = RouterGroup::new(prepaid);
     for step in steps {
-        world.step(step).await;
-        assert!(world.spent.get() <= world.prepaid, "overspent at {step:?}");
-        let committed = world.committed().await;
-        assert!(committed <= world.prepaid, "{committed} promised at {step:?}");
+        group.step(step).await;
+        assert!(group.spent.get() <= group.prepaid, "overspent at {step:?}");
+        let committed = group.committed().await;
+        assert!(committed <= group.prepaid, "{committed} promised at {step:?}");
     }
     // Everything heals: a request that fits into what is left for sure gets its part.
-    world.routers.iter().flatten().for_each(|r| r.rows.set_fault(Fault::None));
+    group.routers.iter().flatten().for_each(|r| r.rows.set_fault(Fault::None));
     sleep(Duration::from_secs(20)).await;
-    assert!(world.spent.get() <= world.prepaid);
-    assert!(world.committed().await <= world.prepaid);
+    assert!(group.spent.get() <= group.prepaid);
+    assert!(group.committed().await <= group.prepaid);
 }
 
 fn in_virtual_time(test: impl Future<Output = ()>) {
@@ -184,11 +184,11 @@
     #![proptest_config(ProptestConfig { cases: 150, ..ProptestConfig::default() })]
 
     #[test]
-    fn keeper_never_overspends(
+    fn manager_never_overspends(
         prepaid in 1_000_u64..60_000,
         steps in proptest::collection::vec(step(), 1..60),
     ) {
-        in_virtual_time(play(prepaid, &steps));
+        in_virtual_time(run_schedule(prepaid, &steps));
     }
 }
 
@@ -196,22 +196,22 @@
 /// A router stops while a write of its is under way, of its place's row or of the organisation's;
 /// it took effect after the farewell, and the successor closed the same spending once more.
 #[rstest]
-#[case::first_line(20)]
+#[case::first_limit(20)]
 #[case::between(60)]
 #[case::grant(90)]
 #[case::granted(125)]
-#[case::next_line(180)]
-fn keeper_stop_during_write(#[case] ms: u64) {
+#[case::next_limit(180)]
+fn manager_stop_during_write(#[case] ms: u64) {
     in_virtual_time(async {
-        let mut world = World::new(100_000);
+        let mut group = RouterGroup::new(100_000);
         sleep(Duration::from_secs(1)).await;
         let slow = Fault::Slow(Duration::from_millis(50));
-        world.routers[0].as_ref().unwrap().rows.set_fault(slow);
-        world.request(0, 2_000, 100);
+        group.routers[0].as_ref().unwrap().rows.set_fault(slow);
+        group.request(0, 2_000, 100);
         sleep(Duration::from_millis(ms)).await;
-        world.step(&Step::Restart(0)).await;
+        group.step(&Step::Restart(0)).await;
         sleep(Duration::from_secs(20)).await;
-        let page = world.store.scan("budgets", ORG).await.unwrap();
+        let page = group.store.scan("budgets", ORG).await.unwrap();
         // Nothing was ever granted: there is no row.
         let Some(row) = page.rows.first() else { return };
         let ledger = Ledger::decode(row.value.as_ref().unwrap()).unwrap();
@@ -221,33 +221,33 @@
 }
 
 #[test]
-fn keeper_rereads_when_starved() {
+fn manager_rereads_ledger() {
     // A router refuses an organisation for ten seconds after others have given its tokens back.
     // Nothing seemed free when it read the ledger last, and nothing made it read again.
     in_virtual_time(async {
-        let mut world = World::new(10_000);
+        let mut group = RouterGroup::new(10_000);
         sleep(Duration::from_secs(1)).await;
         for _ in 0..5 {
-            world.request(0, 2_000, 0);
+            group.request(0, 2_000, 0);
             sleep(Duration::from_millis(100)).await;
         }
-        assert_eq!(world.committed().await, 10_000);
-        world.request(1, 3_000, 100);
+        assert_eq!(group.committed().await, 10_000);
+        group.request(1, 3_000, 100);
         // The first router's requests end without any cost, and it leaves.
         sleep(Duration::from_secs(3)).await;
-        world.step(&Step::Restart(0)).await;
+        group.step(&Step::Restart(0)).await;
         sleep(Duration::from_secs(3)).await;
-        let before = world.spent.get();
+        let before = group.spent.get();
         for _ in 0..4 {
-            world.request(1, 3_000, 100);
+            group.request(1, 3_000, 100);
             sleep(Duration::from_millis(400)).await;
         }
-        assert!(world.spent.get() > before, "still refused");
+        assert!(group.spent.get() > before, "still refused");
     });
 }
 
 #[test]
-fn keeper_one_partition_silent() {
+fn manager_one_partition_unresponsive() {
     // After a death of all routers fewer than a quarter of requests are served: nothing that was
     // spent for seconds before it can be proved, for any organisation.
     // A part of the store was down. The lines of all organisations went out in one transaction,
@@ -258,19 +258,19 @@
             let settings =
                 BudgetSettings { horizon_ms: 10_000, patience: Duration::from_millis(60) };
             let me = ProcessId { endpoint: "r0".into(), incarnation };
-            let keeper = Rc::new(BudgetManager::new(store.another(), me, settings, Log::new()));
+            let manager = Rc::new(BudgetManager::new(store.new_client(), me, settings, Log::new()));
             let orgs = ["este", "norte", "sur"].map(|o| (o.into(), Tokens(1_000_000)));
-            keeper.set_prepaid(orgs.into_iter());
-            keeper.set_routers(1);
-            (keeper.clone(), spawn_local(keeper.run()))
+            manager.set_prepaid(orgs.into_iter());
+            manager.set_routers(1);
+            (manager.clone(), spawn_local(manager.run()))
         };
-        let (keeper, task) = start(1);
+        let (manager, task) = start(1);
         sleep(Duration::from_secs(1)).await;
         let spent = Cell::new(0);
         let spend = async |seconds: u64| {
             for _ in 0..seconds * 20 {
                 for org in ["este", "norte", "sur"] {
-                    if let Ok(mut reservation) = keeper.reserve_tokens(org, Tokens(1_000)).await {
+                    if let Ok(mut reservation) = manager.reserve_tokens(org, Tokens(1_000)).await {
                         reservation.set_cost(Tokens(1_000));
                         spent.set(spent.get() + if org == "norte" { 1_000 } else { 0 });
                     }
@@ -279,11 +279,11 @@
             }
         };
         spend(2).await;
-        store.set_silent(&["este"]);
+        store.set_unresponsive(&["este"]);
         spend(5).await;
         task.abort();
-        keeper.halt();
-        store.set_silent(&[]);
+        manager.halt();
+        store.set_unresponsive(&[]);
         let (_, _task) = start(2);
         sleep(Duration::from_secs(4)).await;
         for org in ["norte", "sur"] {
--- a/tests/test_gateway.rs
+++ b/tests/test_gateway.rs
@@ -14,7 +14,7 @@
 use crate::gatedir::{Call, Fleet, Got, eventually, local};
 
 async fn ledger(platform: &LocalPlatform) -> Ledger {
-    let page = platform.rows.another().scan("budgets", "norte").await.unwrap();
+    let page = platform.rows.new_client().scan("budgets", "norte").await.unwrap();
     let row = page.rows.iter().find(|r| r.at.key == "norte").expect("the ledger has a row");
     Ledger::decode(row.value.as_ref().unwrap()).unwrap()
 }
--- a/tests/test_gateway_config.rs
+++ b/tests/test_gateway_config.rs
@@ -29,13 +29,13 @@
         let fleet = Fleet::start(1, 1_000_000).await;
         fleet.platform.configure_large(parts(2, 1_000_000), LARGE);
         eventually("version 2", || fleet.version() == 2).await;
-        let before = fleet.router.platform.rows.bytes_carried();
+        let before = fleet.router.platform.rows.bytes_sent();
         for n in 0..6 {
             let got = Call::get(path).key(key).id(&format!("q{n}")).send(fleet.router.front).await;
             assert_eq!(got.status(), status);
             sleep(NO_LONGER_FRESH).await;
         }
-        let read = fleet.router.platform.rows.bytes_carried() - before;
+        let read = fleet.router.platform.rows.bytes_sent() - before;
         assert!(read < LARGE as u64, "read {read} bytes for six refusals");
     });
 }
@@ -50,10 +50,10 @@
     local(async {
         let fleet = Fleet::start(1, 1_000_000).await;
         let rows = &fleet.router.platform.rows;
-        let before = rows.bytes_carried();
-        rows.set_link(LARGE as u64);
+        let before = rows.bytes_sent();
+        rows.set_bytes_per_s(LARGE as u64);
         fleet.platform.configure_large(parts(2, 1_000_000), LARGE);
-        eventually("transfer", || rows.bytes_carried() > before).await;
+        eventually("transfer", || rows.bytes_sent() > before).await;
         for n in 0..6 {
             let id = format!("q{n}");
             let got = Call::get("/nowhere/a").id(&id).send(fleet.router.front).await;
@@ -61,7 +61,7 @@
             sleep(NO_LONGER_FRESH).await;
         }
         eventually("version 2", || fleet.version() == 2).await;
-        let read = rows.bytes_carried() - before;
+        let read = rows.bytes_sent() - before;
         assert!(read < 2 * LARGE as u64, "read {read} bytes of one new configuration");
     });
 }
@@ -93,7 +93,7 @@
         fleet.router.stop_following();
         let rows = &fleet.router.platform.rows;
         rows.set_fault(Fault::Silent);
-        let before = rows.feeds_asked();
+        let before = rows.feed_requests();
         let front = fleet.router.front;
         let calls = (0..10).map(|n| async move {
             Call::get("/safe/a").key("key-new").id(&format!("q{n}")).send(front).await.status()
@@ -101,7 +101,7 @@
         let statuses = join_all(calls).await;
         assert_eq!(statuses, [503; 10]);
         // One that the others wait for; the feed of targets may ask once a second besides.
-        let asked = rows.feeds_asked() - before;
+        let asked = rows.feed_requests() - before;
         assert!(asked < 6, "{asked} feeds asked for");
     });
 }
--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,8 +1,8 @@
 //! All integration tests, one crate.
 
 mod gatedir;
-mod keeperdir;
-mod lenddir;
+mod lending_fleet;
+mod manager_host;
 mod test_allowance;
 mod test_allowance_death;
 mod test_allowance_fleet_random;
