--- a/src/allowance/account.rs
+++ b/src/allowance/account.rs
@@ -1,8 +1,9 @@
-//! What one router knows of one organisation's budget: pure decisions, no clock, no I/O.
+//! One router's view of one organisation's budget. Pure decisions, without a clock or I/O.
 //!
-//! Two rows bound what it may spend. The *ceiling* of its grant, in the organisation's row, is
-//! what nobody else may use; it changes seldom. The *line*, in the row of the router's place,
-//! follows the spending closely; its successor reads there how little a dead process can have spent.
+//! Two rows bound what the router may spend. The *ceiling* of its grant, in the organisation's
+//! ledger, reserves tokens that no other router may use, and changes rarely. The *spending limit*,
+//! in the router's own row, follows the spending closely. A successor reads it to bound what a dead
+//! process can have spent.
 
 mod grants;
 
@@ -19,47 +20,48 @@
 
 pub use grants::{Cause, GrantChange};
 
-/// Time between two writes of a line that is not urgent. What is in doubt after a death grows
-/// with it; all lines of a router go out in one write.
+/// Interval between two writes of a spending limit that no request waits for. The amount in doubt
+/// after a crash grows with it. One write carries the limits of all organisations at a router.
 pub(super) const LIMIT_WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Why a request got no part of the budget.
+/// Why an account cannot cover a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denied {
-    /// This router has no part left; another, or the store, may have.
+    /// This router has too little left; another router or the store may have more.
     NoneHere,
-    /// The ledger itself shows that the request does not fit any more.
+    /// The ledger proves that the request exceeds what is left of the budget.
     Spent,
 }
 
-/// Which row keeps a request waiting.
+/// The row that has to be written before a request is covered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MissingCover {
-    /// The organisation's: the grant does not cover it.
+    /// The organisation's ledger: the grant's ceiling is too low.
     Grant,
-    /// The place's: the line does not.
+    /// The endpoint's row: the spending limit is too low.
     SpendingLimit,
 }
 
-/// Settings of sizing that are derived from the deployment.
+/// Deployment-dependent inputs for sizing grants and spending limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Sizing {
-    /// The cut from the store that a grant has to outlast, ms.
+    /// Longest store outage that a grant has to bridge, in ms.
     pub horizon_ms: u64,
-    /// Routers that draw on the budgets.
+    /// Number of routers that draw on the budgets.
     pub spenders: u64,
-    /// The store's time, as far as is known.
+    /// Estimate of the store's current time.
     pub now: StoreMs,
 }
 
-/// A ceiling whose write was not answered, with the row version it was based on.
+/// A ceiling whose write was not answered, with the ledger version that the write expects.
 #[derive(Clone, Copy, Debug)]
 struct PendingCeiling {
     based_on: Ver,
     ceiling: Tokens,
 }
 
-/// A line whose write was not answered, with the number of that write and what it said.
+/// A spending limit whose write was not answered, with the number of that write and the spending
+/// that it reported.
 #[derive(Clone, Copy, Debug)]
 struct PendingLimit {
     number: u64,
@@ -67,7 +69,7 @@
     spending_report: SpendingReport,
 }
 
-/// What a write says of the spending.
+/// The spending that a write reports.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 struct SpendingReport {
     charged: Tokens,
@@ -78,35 +80,36 @@
 #[derive(Clone, Debug)]
 pub struct Account {
     me: ProcessId,
-    /// What the operator granted in all; only grows within a process.
+    /// Prepaid amount in the operator's configuration; it only grows within a process.
     prepaid: Tokens,
-    /// The row as last seen, and its version.
+    /// The ledger as last seen, and its version.
     ledger: Ledger,
     ver: Ver,
-    /// Whether the row was ever read.
+    /// Whether the ledger was ever read.
     known: bool,
     ceiling: Option<Tokens>,
-    /// Ceilings whose writes were not answered: any of them may be the one in force.
+    /// Ceilings whose writes were not answered. Any of them may be in force.
     pending_ceilings: Vec<PendingCeiling>,
     spending_limit: Option<AnchoredLimit>,
-    /// The same of lines.
+    /// Spending limits whose writes were not answered. Any of them may be in force.
     pending_limits: Vec<PendingLimit>,
-    /// What has ended, and what of it is not known to have been spent.
+    /// Tokens charged for finished requests, and the part of them that is not proven to be spent.
     finished: Tokens,
     unproven: Tokens,
-    /// What requests that still run have surely spent: their callers have it.
+    /// Tokens of running requests that their callers have received, and that are therefore spent
+    /// for certain.
     proven: Tokens,
     held: Tokens,
     demand: Demand,
     /// When the grant was written last.
     granted_at: Instant,
-    /// What the line in force was written with, and when.
+    /// The spending reported with the limit in force, and when that limit was written.
     reported: SpendingReport,
     renewed_at: Instant,
 }
 
 impl Account {
-    /// An account about which nothing is known yet.
+    /// An account before anything was read from the store.
     pub fn new(me: ProcessId, now: Instant) -> Account {
         Account {
             me,
@@ -129,7 +132,7 @@
         }
     }
 
-    /// The operator's configuration grants `prepaid` in all. It is only ever raised.
+    /// Raises the prepaid amount to `prepaid`. A lower amount is ignored.
     pub fn set_prepaid(&mut self, prepaid: Tokens) {
         self.prepaid = self.prepaid.max(prepaid);
     }
@@ -139,32 +142,32 @@
         self.prepaid
     }
 
-    /// Spent at the most, or held by requests that run.
+    /// Upper bound of the tokens spent, including the reservations of running requests.
     pub fn charged(&self) -> Tokens {
         Tokens(self.finished.0 + self.held.0)
     }
 
-    /// Surely spent so far.
+    /// Tokens spent for certain.
     pub fn settled(&self) -> Tokens {
         Tokens(self.finished.0 - self.unproven.0 + self.proven.0)
     }
 
-    /// The version of the organisation's row that decisions rest on.
+    /// Version of the ledger that decisions are based on.
     pub fn ver(&self) -> Ver {
         self.ver
     }
 
-    /// Whether other routers have grants in the organisation's row.
+    /// Whether other routers have grants in the ledger.
     pub fn is_shared(&self) -> bool {
         self.ledger.others(&self.me).next().is_some()
     }
 
-    /// Whether the organisation's row was ever read.
+    /// Whether the ledger was ever read.
     pub fn is_known(&self) -> bool {
         self.known
     }
 
-    /// What a refusal rests on, for the log.
+    /// State that a refusal is based on, for the log.
     pub fn describe(&self, now: Instant) -> String {
         if !self.known {
             return format!("prepaid={} ledger_ver=none", self.prepaid);
@@ -184,28 +187,29 @@
         )
     }
 
-    /// What this router may have spent by now, over all ceilings and lines that may be in force.
+    /// Tokens that this router may have spent by now: the minimum over all ceilings and limits that
+    /// may be in force.
     pub fn allowed(&self, now: Instant) -> Tokens {
         self.ceiling().min(self.allowed_by_limit(now))
     }
 
-    /// The end of the grant in force.
+    /// Ceiling of the grant: the minimum over all ceilings that may be in force.
     pub fn ceiling(&self) -> Tokens {
         let pending = self.pending_ceilings.iter().map(|p| p.ceiling);
         pending.fold(self.ceiling.unwrap_or_default(), Tokens::min)
     }
 
-    /// What the line in force lets through by now.
+    /// Tokens that the spending limits allow by now.
     fn allowed_by_limit(&self, now: Instant) -> Tokens {
         let Some(spending_limit) = self.spending_limit else { return Tokens(0) };
         let pending = self.pending_limits.iter().map(|p| p.anchored.at(now));
         pending.fold(spending_limit.at(now), Tokens::min)
     }
 
-    /// Takes `most` for a request that costs that at the most.
+    /// Reserves `max_cost` tokens, the maximum cost of a request.
     ///
     /// # Errors
-    /// `Spent` only if the ledger in the store proves it, by what is settled for good there.
+    /// `Spent` only if the settled amounts in the stored ledger prove it; `NoneHere` otherwise.
     pub fn reserve_tokens(&mut self, max_cost: Tokens, now: Instant) -> Result<(), Denied> {
         if self.charged().0 + max_cost.0 <= self.allowed(now).0 {
             self.held.0 += max_cost.0;
@@ -216,24 +220,24 @@
         Err(if self.is_spent(max_cost) { Denied::Spent } else { Denied::NoneHere })
     }
 
-    /// A request of `most` begins to wait for its part.
+    /// Adds a request of `max_cost` to the waiting demand.
     pub fn add_waiting(&mut self, max_cost: Tokens) {
         self.demand.add_waiting(max_cost);
     }
 
-    /// It waits no longer.
+    /// Removes a request of `max_cost` from the waiting demand.
     pub fn remove_waiting(&mut self, max_cost: Tokens) {
         self.demand.remove_waiting(max_cost);
     }
 
-    /// Whether the request cannot fit, whoever holds the rest.
+    /// Whether a request of `max_cost` exceeds the budget even if no other router spends any more.
     pub fn is_spent(&self, max_cost: Tokens) -> bool {
         let reported = self.ledger.grant(&self.me).map_or(Tokens(0), |g| g.settled);
         let unreported = self.settled().minus(reported);
         self.known && self.ledger.settled().0 + unreported.0 + max_cost.0 > self.prepaid.0
     }
 
-    /// Which row a request of `most` has to wait for; none if it is covered.
+    /// The row that a request of `max_cost` has to wait for; `None` if the request is covered.
     pub fn missing_cover(&self, max_cost: Tokens, now: Instant) -> Option<MissingCover> {
         let amount = Tokens(self.charged().0 + max_cost.0);
         match () {
@@ -243,34 +247,35 @@
         }
     }
 
-    /// Whether the ledger as last seen has `most` to give to this router.
+    /// Whether the ledger as last seen has enough for this router to cover `max_cost` more.
     pub fn may_be_granted(&self, max_cost: Tokens) -> bool {
         let own = self.ledger.grant(&self.me).map_or(Tokens(0), |g| g.ceiling);
         self.charged().0 + max_cost.0 <= self.ledger.free(self.prepaid).0 + own.0
     }
 
-    /// A request's caller has got `more` tokens' worth. Written ahead of the request's end, it
-    /// is proved spent should this process die: of a budget of 1 M tokens some 2% are in the hands
-    /// of callers whose streams still run.
+    /// Counts `more` tokens of running requests as spent for certain, because callers have received
+    /// them. Recorded before the requests end, so that this part is proven if the process dies:
+    /// with a budget of 1 M tokens some 2% are in streams that are still running.
     pub fn prove(&mut self, more: Tokens) {
         self.proven.0 += more.0;
     }
 
-    /// A request that held `most` has ended and cost `actual`, of which `proven` was proved.
+    /// Settles a request that reserved `max_cost` and cost `actual`, of which `proven` was already
+    /// proven.
     pub fn settle(&mut self, max_cost: Tokens, actual: Tokens, proven: Tokens) {
         self.held.0 -= max_cost.0;
         self.proven.0 -= proven.0;
         self.finished.0 += actual.0.max(proven.0).min(max_cost.0);
     }
 
-    /// Nobody will say any more what became of a request that held `most`: it stays spent, and
-    /// proves no more than the `proven` part of it.
+    /// Settles a request that reserved `max_cost` and whose cost will never be reported. All of it
+    /// stays charged, but only the `proven` part counts as proven.
     pub fn write_off(&mut self, max_cost: Tokens, proven: Tokens) {
         self.settle(max_cost, max_cost, proven);
         self.unproven.0 += max_cost.0 - proven.0;
     }
 
-    /// How long until this router may spend `most` more; none if not by what it holds now.
+    /// Time until this router may spend `max_cost` more; `None` if its grant does not allow that.
     pub fn time_until_allowed(&self, max_cost: Tokens, now: Instant) -> Option<Duration> {
         let amount = Tokens(self.charged().0 + max_cost.0);
         if amount > self.ceiling() {
@@ -282,11 +287,11 @@
         is_awaited.reduce(|a, b| Some(a?.max(b?)))?
     }
 
-    /// Takes in the organisation's row as read from the store or returned by a transaction.
+    /// Applies the ledger as read from the store or returned by a transaction.
     ///
-    /// Nobody but this process writes its grant, so the ceiling there is the one in force. A write
-    /// of ours that was not answered can no longer take effect once the row has moved past the
-    /// version it was based on.
+    /// Only this process writes its own grant, so the ceiling in the ledger is the one in force. An
+    /// unanswered write can no longer take effect once the ledger has a newer version than the
+    /// write expects.
     pub fn observe(&mut self, ledger: Ledger, ver: Ver) {
         if self.known && ver < self.ver {
             return;
@@ -302,8 +307,8 @@
         self.known = true;
     }
 
-    /// The grant was given back, with all that was spent of it: what is spent from here on counts
-    /// from zero, and needs a line of its own.
+    /// Resets the spending after the grant was returned together with what was spent of it. Later
+    /// spending counts from zero and needs a new spending limit.
     fn reset_spending(&mut self) {
         self.finished = Tokens(0);
         self.unproven = Tokens(0);
@@ -311,7 +316,7 @@
         self.pending_limits.clear();
     }
 
-    /// Whether a request waits for more than this router has.
+    /// Whether requests wait for more than this router has.
     pub fn has_unmet_demand(&self, now: Instant) -> bool {
         self.demand.wanted(now) > self.allowed(now).minus(self.charged()).0
     }
@@ -327,16 +332,16 @@
         })
     }
 
-    /// What requests want, unless the organisation's row has no more: lines for what cannot be
-    /// granted would be written for every request that is refused.
+    /// The tokens that requests wait for, or 0 if the ledger does not have them. Otherwise each
+    /// refused request would cause a write of a limit that no grant can match.
     fn grantable(&self, now: Instant) -> Tokens {
         let wanted = Tokens(self.demand.wanted(now));
         let grantable = !self.known || self.may_be_granted(wanted);
         if grantable { wanted } else { Tokens(0) }
     }
 
-    /// What the place's row should bear: what is surely spent, and the line. None if this process
-    /// spends nothing of this organisation's.
+    /// The settled amount and spending limit that the endpoint's row should hold. `None` if this
+    /// process spends nothing of this organisation's budget.
     ///
     /// `seen` is the newest store time.
     pub fn next_limit(
@@ -359,8 +364,8 @@
             seen,
             opens: headroom.opens_after_ms,
         };
-        // While writes are not answered, any of their lines bounds the spending: one that is
-        // lower than the line in force would only take away what this router surely has.
+        // While writes are unanswered, the lowest of their limits bounds the spending. A limit
+        // below the one in force would only take tokens from this router.
         if let Some(in_force) = self.spending_limit.filter(|_| !self.pending_limits.is_empty()) {
             spending_limit.floor = spending_limit.floor.max(in_force.spending_limit.floor);
             spending_limit.rate = spending_limit.rate.max(in_force.spending_limit.rate);
@@ -369,12 +374,12 @@
         Some((self.settled(), spending_limit))
     }
 
-    /// Whether this router spends of it.
+    /// Whether this router currently spends from this budget.
     pub fn is_spending(&self, now: Instant) -> bool {
         self.ceiling.is_some() && self.demand.mean_rate(now) > 0.0 && !self.is_idle(now)
     }
 
-    /// Whether the line should be written: `Some(true)` if a request waits for it.
+    /// Whether the spending limit should be written; `Some(true)` if a request waits for it.
     pub fn limit_due(&self, now: Instant) -> Option<bool> {
         let wanted = self.grantable(now);
         let is_awaited = wanted.0 > 0 && self.charged().0 + wanted.0 > self.allowed_by_limit(now).0;
@@ -386,9 +391,9 @@
         (is_old && changed && self.spending_limit.is_some()).then_some(false)
     }
 
-    /// Notes the line that write `number` of the place's row bears. From here on both the line in
-    /// force and this one bound the spending, because nobody knows which one a successor will
-    /// find.
+    /// Records the spending limit that write `number` of the endpoint's row holds. From here on
+    /// both the limit in force and this one bound the spending, because a successor may find either
+    /// of them.
     pub fn begin_limit_write(
         &mut self,
         number: u64,
@@ -403,14 +408,15 @@
         });
     }
 
-    /// A write of the place's row is about to be sent that does not name this organisation:
-    /// nothing may be spent until one does.
+    /// Records that the next write of the endpoint's row does not list this organisation. Nothing
+    /// may be spent until a later write lists it.
     pub fn omit_limit(&mut self) {
         self.spending_limit = None;
         self.pending_limits.clear();
     }
 
-    /// Write `number` of the place's row is in force, and no other will be.
+    /// Records that write `number` of the endpoint's row is in force; no other unanswered write can
+    /// take effect any more.
     pub fn limit_written(&mut self, number: u64, now: Instant) {
         if let Some(reported) = self.pending_limits.iter().find(|p| p.number == number) {
             self.spending_limit = Some(reported.anchored);
@@ -418,13 +424,13 @@
             self.renewed_at = now;
         }
         self.pending_limits.clear();
-        // Counted on, what is covered by now would raise each line for seconds.
+        // Demand that is covered by now would otherwise raise each limit for seconds.
         if self.missing_cover(Tokens(self.demand.wanted(now)), now) != Some(MissingCover::Grant) {
             self.demand.clear_unmet();
         }
     }
 
-    /// Write `number` of the place's row was turned away and never happens.
+    /// Records that write `number` of the endpoint's row was rejected and has no effect.
     pub fn limit_rejected(&mut self, number: u64) {
         self.pending_limits.retain(|p| p.number != number);
     }
@@ -433,7 +439,7 @@
         SpendingReport { charged: self.charged(), settled: self.settled() }
     }
 
-    /// What no router has spent yet, as far as is known.
+    /// Estimate of the tokens that no router has spent yet.
     fn unspent(&self, now: StoreMs) -> Tokens {
         self.unspent_in(&self.ledger, now)
     }
--- a/src/allowance/account/grants.rs
+++ b/src/allowance/account/grants.rs
@@ -10,73 +10,77 @@
 use crate::ids::Tokens;
 use crate::rows::Ver;
 
-/// Part of what is left of a budget that the grants may share out, in per cent. The rest stays
-/// in the store for requests that need more than their router has.
+/// Share of a budget's unspent tokens that grants may divide up, in percent. The rest stays in the
+/// store for requests that need more than their router has.
 const MAX_GRANTED_PERCENT: u64 = 85;
-/// A grant of which less than this part of its target is left is extended, in per cent. Low, so
-/// that grants change every few seconds only: each change can meet another router's.
+/// A grant is extended when less than this share of its target is left, in percent. The threshold
+/// is low so that grants change only every few seconds, because each change can conflict with
+/// another router's.
 const EXTEND_BELOW_PERCENT: u64 = 40;
-/// A grant of which more than this part of its target is left is cut back, in per cent: the rest
-/// may be missing elsewhere. Far from the above, or grants would be cut back and extended in turn.
+/// A grant is cut back when more than this share of its target is left, in percent, because another
+/// router may need the rest. Far above [`EXTEND_BELOW_PERCENT`], so that grants are not cut back
+/// and extended in turn.
 const CUT_BACK_ABOVE_PERCENT: u64 = 250;
-/// The least target of a grant, in requests of mean size: the rate of one that has just begun to
-/// spend is not known yet.
+/// Minimum target of a grant, in requests of mean size. The rate of an organisation that has just
+/// begun to spend is not known yet.
 const MIN_TARGET_REQUESTS: u64 = 8;
-/// Shortest time between two changes of a grant that no request waits for.
+/// Minimum interval between two changes of a grant that no request waits for.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(500);
-/// The others reckon with what a router has probably spent since it wrote its grant. It is written
-/// anew once that is wrong by this part of what is left, in per cent.
+/// Other routers extrapolate a router's spending from its last written grant. The grant is written
+/// again once that estimate is off by this share of the unspent tokens, in percent.
 const MAX_DRIFT_PERCENT: u64 = 4;
-/// The same in requests of mean size: the last few of a budget are asked for anyway.
+/// Minimum error of that estimate, in requests of mean size. For the last few requests of a budget
+/// the other routers are asked anyway.
 const MAX_DRIFT_REQUESTS: u64 = 4;
-/// Time after which even a little that was spent since is written while requests are refused: the
-/// proof that nothing is left may need it.
+/// While requests are refused, even small unreported spending is written after this time, because
+/// the proof that the budget is spent may need it.
 const PROOF_INTERVAL: Duration = Duration::from_secs(2);
-/// A grant that nobody has asked of for so long is given back, so that rows hold those who spend.
+/// A grant without requests is returned after this time, so that a ledger lists only routers that
+/// spend.
 const IDLE_RELEASE_AFTER: Duration = Duration::from_secs(10);
 
 /// Why a grant changes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// Requests wait for it.
+    /// Requests wait for tokens.
     Wanted,
-    /// Little is left of it.
+    /// Little of the grant is left.
     Low,
-    /// More is left of it than is needed.
+    /// More of the grant is left than is needed.
     Excess,
-    /// The row does not show what was spent, and requests are refused.
+    /// Requests are refused and the ledger does not show all that was spent.
     Proof,
-    /// The others would think that this router spends much more or less than it does.
+    /// The other routers' estimate of this router's spending is too far off.
     Drift,
-    /// Nobody asks any more.
+    /// There were no requests for a while.
     Idle,
-    /// A change before it was not answered.
+    /// An earlier change was not answered.
     Unanswered,
-    /// Predecessors' grants are closed.
+    /// Grants of predecessors are closed.
     Closing,
 }
 
-/// A change of a grant that should be written into the organisation's row.
+/// A change of a grant, to be written into the organisation's ledger.
 #[derive(Clone, Debug)]
 pub struct GrantChange {
-    /// Why.
+    /// Why the grant changes.
     pub cause: Cause,
-    /// The row as it will stand.
+    /// The ledger after the change.
     pub ledger: Ledger,
-    /// The version that the row must have for this.
+    /// The version that the ledger must have for this change.
     pub expect: Ver,
-    /// Our own ceiling in it; none if this process leaves it.
+    /// This process's new ceiling; `None` if the change removes its grant.
     pub ceiling: Option<Tokens>,
-    /// The grants of predecessors that it closes.
+    /// The predecessors' grants that the change closes.
     pub closes: Vec<ClosedGrant>,
 }
 
 impl Account {
-    /// The change of the grant to write next, if one is due. It closes `former` as well, what
-    /// earlier processes at this place left.
+    /// The next change of the grant, if one is due. The change also closes the grants of
+    /// `predecessors`, earlier processes at this endpoint.
     ///
-    /// Nothing is granted before the place's row names the organisation: a successor would not
-    /// know of the grant.
+    /// Nothing is granted before the endpoint's row lists the organisation, because a successor
+    /// would not know of the grant.
     pub fn next_grant_change(
         &self,
         predecessors: &[PredecessorSpending],
@@ -105,15 +109,15 @@
         let new_ceiling = (self.charged().0 + target_remaining.max(wanted))
             .min(max_ceiling)
             .max(self.charged().0);
-        // See `next_line`: an unanswered lower ceiling would only take away.
+        // As in `next_limit`: an unanswered lower ceiling would only take tokens from this router.
         let new_ceiling =
             if self.pending_ceilings.is_empty() { new_ceiling } else { new_ceiling.max(current.0) };
         let has_limit = self.spending_limit.is_some();
         let due = self
             .change_cause((new_ceiling, target_remaining), &ledger, now, s)
             .filter(|_| has_limit);
-        // A row that has no grant of a predecessor is written as well: a late write of that
-        // process's would otherwise still find the version that it expects.
+        // The ledger is written even if it has no grant of a predecessor: a late write of the
+        // predecessor could otherwise still find the version that it expects.
         if due.is_none() && predecessors.is_empty() {
             return None;
         }
@@ -131,9 +135,9 @@
         self.held.0 == 0 && idle >= IDLE_RELEASE_AFTER && self.demand.wanted(now) == 0
     }
 
-    /// How much this router should have left: enough for a cut from the store, but no more than its
-    /// part of what is left, by the rates at which the routers spend. So the last tokens of a
-    /// budget are where they are needed.
+    /// Tokens that this router should have left: enough to bridge a store outage, but no more than
+    /// its fair share of the unspent tokens, by the routers' spending rates. So the last tokens of
+    /// a budget are where they are needed.
     fn target_remaining(&self, ledger: &Ledger, now: Instant, s: Sizing) -> u64 {
         let mean_rate = self.demand.sizing_rate(now) as u64;
         let headroom = self.headroom(now, s);
@@ -166,8 +170,8 @@
         let wanted = self.demand.wanted(now);
         let current = self.ceiling.unwrap_or_default().0;
         let remaining = current.saturating_sub(charged);
-        // Crumbs that do not cover the requests that wait are left to others: once a budget is
-        // nearly spent, all routers would race for them in vain.
+        // A remainder that does not cover the waiting requests is left to other routers. Otherwise
+        // all routers would compete for it in vain once a budget is nearly spent.
         if wanted > remaining && new_ceiling > current && new_ceiling >= charged + wanted {
             return Some(Cause::Wanted);
         }
@@ -179,7 +183,8 @@
                 > self.demand.mean_size().max(target_remaining / 4);
         let is_excess = remaining.saturating_sub(wanted) * 100
             > (target_remaining + self.demand.mean_size()) * CUT_BACK_ABOVE_PERCENT;
-        // Without what this router knows of its spending nobody can prove that nothing is left.
+        // Without this router's latest spending in the ledger no router can prove that the budget
+        // is spent.
         let reported = ledger.grant(&self.me).map_or(Tokens(0), |g| g.settled);
         let uncovered = wanted > remaining && new_ceiling < charged + wanted;
         let unreported = self.settled().minus(reported).0;
@@ -198,33 +203,33 @@
         }
     }
 
-    /// Notes a change of the grant that is about to be sent; see [`Account::sending_line`].
+    /// Records a change of the grant that is about to be sent; see [`Account::begin_limit_write`].
     pub fn begin_grant_write(&mut self, grant_change: &GrantChange) {
         let ceiling = grant_change.ceiling.unwrap_or(self.charged());
         self.pending_ceilings.push(PendingCeiling { based_on: grant_change.expect, ceiling });
     }
 
-    /// The change was answered: it is in force.
+    /// Records that the change is in force.
     pub fn grant_written(&mut self, grant_change: &GrantChange, ver: Ver, now: Instant) {
         self.demand.clear_unmet();
         self.granted_at = now;
         self.observe(grant_change.ledger.clone(), ver);
     }
 
-    /// The change was turned away and never happens.
+    /// Records that the change was rejected and has no effect.
     pub fn grant_rejected(&mut self, grant_change: &GrantChange) {
         let ceiling = grant_change.ceiling.unwrap_or(self.charged());
         let same = |p: &PendingCeiling| p.based_on == grant_change.expect && p.ceiling == ceiling;
         self.pending_ceilings.retain(|p| !same(p));
     }
 
-    /// Whether a change of the grant may still take effect: what this process leaves is not final.
+    /// Whether a change of the grant may still take effect, so that the ledger is not final.
     pub fn has_pending_change(&self) -> bool {
         !self.pending_ceilings.is_empty()
     }
 
-    /// The row without this process, for a planned stop: nothing of it stays in doubt but what
-    /// nobody can prove any more.
+    /// The ledger without this process's grant, and the version that it replaces, for a planned
+    /// stop. Only amounts that cannot be proven any more stay in doubt.
     pub fn released_ledger(&self) -> Option<(Ledger, Ver)> {
         self.ledger.grant(&self.me)?;
         let mut ledger = self.ledger.clone();
--- a/src/allowance/calls.rs
+++ b/src/allowance/calls.rs
@@ -1,7 +1,8 @@
-//! The keeper's calls to the store: which are due, and what becomes of them.
+//! The budget manager's calls to the store: which ones are due, and how their answers are applied.
 //!
-//! Each organisation's row and each place's row has a partition of its own, so that trouble with
-//! one holds up no other. Calls for different rows run side by side; a row has one call at a time.
+//! Each ledger and each spending row has a partition of its own, so that a failing partition delays
+//! no other row. Calls for different rows run concurrently; each row has at most one call in
+//! flight.
 
 use std::time::Duration;
 
@@ -15,49 +16,50 @@
 use super::spending::{OrgSpending, PredecessorSpending, Spending};
 use crate::rows::{Committed, Page, Row, RowKey, RowStore, StoreError, StoreResult, Tx, Ver};
 
-/// The table of ledgers, one row an organisation.
+/// Table of ledgers, with one row for each organisation.
 const BUDGETS: &str = "budgets";
-/// The table of what processes have spent, one row a place.
+/// Table of spending rows, with one row for each endpoint.
 const SPENDING: &str = "spending";
-/// Pause for a row after a call for it that the store turned away or did not answer.
+/// Backoff for a row after the store rejected a call for it or did not answer.
 pub(super) const CALL_BACKOFF: Duration = Duration::from_millis(150);
-/// A row that others write too is read before it is written, unless it was seen so lately. Grants
-/// change every few seconds, so most have been written by somebody else since: of 133 writes a
-/// second at 195 routers half met a newer version, which costs the store a write and brings the
-/// same row.
+/// A row that other routers write too is read again before a write, unless the last read is at most
+/// this old. Grants change every few seconds, so the cached version is usually stale: of 133 writes
+/// a second at 195 routers half met a newer version. Such a conflict costs the store a write and
+/// returns the same row as a read.
 const MAX_READ_AGE_BEFORE_WRITE: Duration = Duration::from_millis(150);
-/// A row of an organisation that spends here is read again after so long: how generous lines are
-/// rests on what the others have spent.
+/// Interval at which the ledger of an organisation that spends at this router is read again. The
+/// headroom of spending limits depends on what the other routers have spent.
 const LEDGER_REREAD_INTERVAL: Duration = Duration::from_millis(2_500);
-/// Calls to the store at once. Each takes some 10 ms, so this is over a thousand a second, more
-/// than a router's part of what the store takes; partitions that are silent hold up some.
+/// Maximum number of concurrent calls to the store. Each call takes some 10 ms, so this allows over
+/// a thousand calls a second, which is more than a router's share of the store's throughput.
+/// Unresponsive partitions occupy some of these slots.
 const MAX_CALLS_IN_FLIGHT: usize = 12;
-/// Writes of a ledger in a row that lost the race for it before a pause is made.
+/// Consecutive write conflicts on a ledger before the next write is delayed.
 const CONFLICTS_BEFORE_PAUSE: u32 = 2;
-/// The pause after lost races, ms.
+/// Random delay after repeated conflicts, in ms.
 const CONFLICT_PAUSE_MS: std::ops::Range<u64> = 2..20;
 
-/// A call for one row.
+/// A store call for one row.
 pub(super) enum Call {
     ReadSpending,
     WriteSpending,
     ReadLedger(CompactString),
-    /// A change of this router's grant, and what it closes of predecessors.
+    /// A change of this router's grant, and the spending of predecessors that it closes.
     WriteLedger(CompactString, GrantChange, Vec<PredecessorSpending>),
 }
 
-/// How a call went.
+/// Outcome of a store call.
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub(super) enum CallOutcome {
-    /// It did what it was for.
+    /// The call had the intended effect.
     Succeeded,
-    /// Another write came first; the row as it stands was in the answer.
+    /// Another write came first; the answer held the current row.
     Conflicted,
-    /// It was turned away or not answered.
+    /// The call was rejected or not answered.
     Failed,
 }
 
-/// A transaction that replaces one row of that version.
+/// A transaction that replaces one row if it still has version `expect`.
 fn replace(at: RowKey, value: Vec<u8>, expect: Ver) -> Tx {
     Tx {
         expect: vec![(at.clone(), expect)],
@@ -71,8 +73,8 @@
 }
 
 impl<S: RowStore> BudgetManager<S> {
-    /// The calls to make now; their rows count as under way from here on. Those that requests
-    /// wait for come first.
+    /// The calls to start now, those that requests wait for first. Marks their rows as having a
+    /// call in flight.
     pub(super) fn due_calls(&self) -> Vec<Call> {
         let now = Instant::now();
         let free_slots = MAX_CALLS_IN_FLIGHT.saturating_sub(self.calls_in_flight.get());
@@ -89,8 +91,8 @@
                 Call::ReadLedger(org) => drop(self.with_org_state(org, |s| s.sent_at = Some(now))),
                 Call::WriteLedger(org, plan, _) => drop(self.with_org_state(org, |s| {
                     s.sent_at = Some(now);
-                    // From here on, not from when it is sent: what is taken in between could be
-                    // more than a lower ceiling allows.
+                    // The lower ceiling counts from here, not from the moment of sending: tokens
+                    // reserved in between could exceed it.
                     s.account.begin_grant_write(plan);
                 })),
             }
@@ -122,7 +124,7 @@
         (fence || spending_row.needs_rewrite || due()).then_some(Call::WriteSpending)
     }
 
-    /// Calls for organisations' rows, and whether requests wait for them.
+    /// Calls for organisations' ledgers, each with whether requests wait for it.
     fn due_ledger_calls(&self, now: Instant) -> Vec<(bool, Call)> {
         let (owned, sizing) = (self.spending_row.borrow().owned, self.sizing());
         let org_states = self.org_states.borrow();
@@ -132,7 +134,7 @@
                 let needed = awaited || !s.predecessors.is_empty();
                 return needed.then(|| (awaited, Call::ReadLedger(s.org.clone())));
             }
-            // What predecessors left may be closed once none of their writes can take effect.
+            // Spending of predecessors is closed only once none of their writes can take effect.
             let predecessors = if owned { &s.predecessors[..] } else { &[] };
             if let Some(plan) = s.account.next_grant_change(predecessors, now, sizing) {
                 let fresh = now.saturating_duration_since(s.read_at) < MAX_READ_AGE_BEFORE_WRITE;
@@ -144,8 +146,8 @@
                     Call::WriteLedger(s.org.clone(), plan, predecessors.to_vec()),
                 ));
             }
-            // Other routers give back what they do not need, or are nearly at the end, and this
-            // one would not hear of it.
+            // Other routers may have returned tokens or may have nearly used up the budget; only a
+            // read shows this.
             let age = now.saturating_duration_since(s.read_at);
             let stale = awaited && age > s.reread_backoff;
             let outdated = s.account.is_spending(now) && age > LEDGER_REREAD_INTERVAL;
@@ -227,13 +229,14 @@
         }
     }
 
-    /// Takes in this place's row as it stands.
+    /// Applies this endpoint's row as read from the store.
     ///
-    /// Until this process has written it, it is a predecessor's, which has ended; one of that
-    /// one's writes may still take effect, and the row is read anew then.
+    /// Until this process has written the row, its content comes from a predecessor, which has
+    /// ended. A late write of the predecessor may still take effect; the row is read again in that
+    /// case.
     fn apply_spending_row(&self, row: &Row) -> CallOutcome {
         let value = row.value.clone().unwrap_or_default();
-        // Only a row without a version is a place where nothing was spent.
+        // Only a row without a version means that nothing was spent at this endpoint.
         let spending =
             if row.ver.0 == 0 { Ok(Spending::default()) } else { Spending::decode(&value) };
         let spending = match spending {
@@ -275,14 +278,14 @@
         self.spending_row.borrow_mut().unassigned = unassigned;
     }
 
-    /// Write `number` of this place's row is the one in force.
+    /// Records that write `number` of this endpoint's row is in force.
     fn limits_in_force(&self, number: u64) {
         let now = Instant::now();
         self.org_states.borrow_mut().iter_mut().for_each(|s| s.account.limit_written(number, now));
         self.spending_row.borrow_mut().owned = true;
     }
 
-    /// The row of this place as it should stand.
+    /// Builds the next content of this endpoint's row.
     fn next_spending(&self, store_time: ObservedStoreTime, number: u64) -> Spending {
         let (now, sizing) = (Instant::now(), self.sizing());
         let mut org_states = self.org_states.borrow_mut();
@@ -307,7 +310,7 @@
 
     async fn write_spending(&self) -> CallOutcome {
         let Some(store_time) = self.store_time.get() else { return CallOutcome::Failed };
-        // Once this process has left, nothing may be listed any more.
+        // After the shutdown has returned the grants, the row must not list any spending.
         if self.stopped.get() {
             return CallOutcome::Failed;
         }
@@ -352,12 +355,13 @@
         }
     }
 
-    /// A write of this place's row never happens. What it should have said is due again.
+    /// Records that write `number` of this endpoint's row was rejected. The limits that it held are
+    /// due again.
     fn limit_rejected(&self, number: u64) {
         self.org_states.borrow_mut().iter_mut().for_each(|s| s.account.limit_rejected(number));
     }
 
-    /// Reads a ledger; a missing row is an untouched budget.
+    /// Reads a ledger. A missing row means an unused budget.
     async fn read_ledger(&self, org: &str) -> CallOutcome {
         match self.read_row(&RowKey::own_partition(BUDGETS, org)).await {
             Ok(row) => {
@@ -381,8 +385,9 @@
         }
     }
 
-    /// Only a row without a version is an untouched budget. One that has a version and no
-    /// readable value is an error, and nothing is spent from it. Returns whether it was read.
+    /// Applies a ledger as read from the store; returns whether it could be decoded. Only a row
+    /// without a version means an unused budget. A row with a version but without a readable value
+    /// is an error, and nothing is spent from it.
     fn apply_ledger_row(&self, org_state: &mut OrgState, row: &Row) -> bool {
         let value = row.value.clone().unwrap_or_default();
         let ledger = if row.ver.0 == 0 { Ok(Ledger::default()) } else { Ledger::decode(&value) };
@@ -406,7 +411,8 @@
         plan: &GrantChange,
         predecessors: &[PredecessorSpending],
     ) -> CallOutcome {
-        // Once this process has left the ledgers, a new grant would count its spending twice.
+        // After the shutdown has returned the grants, a new grant would count this process's
+        // spending twice.
         if self.stopped.get() {
             self.with_account(org, |a| a.grant_rejected(plan));
             return CallOutcome::Failed;
@@ -467,8 +473,8 @@
         plan.closes.iter().for_each(|c| self.log_closed_grant(org, c));
     }
 
-    /// What a dead process may have spent: the first line to read when an organisation disputes
-    /// a refusal after a death.
+    /// Logs how a dead process's grant was closed. Start here when an organisation disputes a
+    /// refusal after a crash.
     fn log_closed_grant(&self, org: &str, c: &ClosedGrant) {
         self.log.note(
             "closed",
@@ -515,9 +521,10 @@
         }
     }
 
-    /// Writes that nothing is spent here any more, so that the next process at this place has
-    /// nothing to close. If it fails, that one finds no grants for what it closes. A grant that may
-    /// still be written, late, would be nobody's then: such a row is left as it is.
+    /// Writes that this process has spent nothing that is left to close, so that its successor has
+    /// no work. If the write fails, the successor finds no grants for the spending that it closes.
+    /// A grant whose write is unresolved may still take effect, and no process would close it once
+    /// the row is cleared; the row is left as it is then.
     pub(super) async fn clear_spending(&self) {
         let (owned, number, expect) = {
             let spending_row = self.spending_row.borrow();
--- a/src/allowance/demand.rs
+++ b/src/allowance/demand.rs
@@ -1,47 +1,47 @@
-//! How fast an organisation spends at one router, and what it asks for in vain. Pure.
+//! Spending rate and unmet demand of one organisation at one router. Pure.
 
 use tokio::time::Instant;
 
 use crate::ids::Tokens;
 
-/// Time over which the rate of spending is averaged, ms. Short, because an organisation can
-/// send several times its usual from one second to the next.
+/// Window over which the spending rate is averaged, in ms. The window is short because an
+/// organisation can send several times its usual load from one second to the next.
 const RATE_WINDOW_MS: u64 = 1_500;
-/// How much of the averaged rate is kept when it falls, per window, in per cent. Slow, because a
-/// partition that begins in a lull must still be outlasted.
+/// Share of the averaged rate that is retained for each window while it falls, in percent. The rate
+/// falls slowly because a grant must also bridge a store outage that begins in a quiet moment.
 const RATE_RETAINED_PERCENT: u64 = 85;
-/// Time constant of the mean rate, which the slope of a line follows, s. Longer than the gaps
-/// between the clumps in which requests come.
+/// Time constant of the mean rate, in s, from which the slope of a spending limit is derived.
+/// Longer than the gaps between clusters of requests.
 const MEAN_RATE_TIME_CONSTANT_S: f64 = 3.0;
-/// The same of the rate that sizes a grant, s. Longer, so that an organisation whose requests come
-/// seconds apart does not have its grant cut back and extended again between them.
+/// Time constant of the rate that sizes grants, in s. Longer, so that an organisation whose
+/// requests come seconds apart does not have its grant cut back and extended again between them.
 const SIZING_RATE_TIME_CONSTANT_S: f64 = 12.0;
-/// Spending that began more recently counts as having begun so long ago, s: a few requests in the
-/// same moment are no rate.
+/// Minimum assumed time since the start of spending, in s. A few requests at the same moment do not
+/// yield a rate.
 const MIN_SPENDING_AGE_S: f64 = 1.0;
-/// Weight of the latest request in the mean size, as a divisor.
+/// Divisor that gives the weight of the latest request in the mean size.
 const MEAN_SIZE_DIVISOR: u64 = 8;
-/// A request that could not be covered is still counted as demand for so long, ms.
+/// Time for which an uncovered request still counts as demand, in ms.
 const UNMET_DEMAND_MS: u64 = 2_000;
 
 /// One organisation's demand at one router.
 #[derive(Clone, Debug)]
 pub(super) struct Demand {
-    /// Mean size of requests at their most.
+    /// Mean of the requests' maximum costs, in tokens.
     mean_size: u64,
-    /// Spending, tokens a second.
+    /// Spending rate, in tokens a second.
     rate: u64,
     window_start: Instant,
     window_spent: u64,
-    /// Mean rate of spending, tokens a second, as of some time.
+    /// Mean spending rates as of `rates_updated_at`, in tokens a second.
     mean_rate: f64,
     sizing_rate: f64,
     rates_updated_at: Instant,
     /// When spending began.
     spending_since: Option<Instant>,
-    /// A request that could not be covered, and when.
+    /// The latest request that could not be covered, and when it came.
     unmet: Option<(Tokens, Instant)>,
-    /// What the requests that wait now need together.
+    /// Total maximum cost of the requests that are waiting now.
     waiting: u64,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A request of `most` was covered.
+    /// Records a request of `max_cost` that was covered.
     pub(super) fn record_covered(&mut self, max_cost: Tokens, now: Instant) {
         self.roll_window(now);
         self.spending_since.get_or_insert(now);
@@ -74,23 +74,23 @@
         self.rates_updated_at = now;
     }
 
-    /// A request of `most` was not.
+    /// Records a request of `max_cost` that was not covered.
     pub(super) fn record_uncovered(&mut self, max_cost: Tokens, now: Instant) {
         self.roll_window(now);
         self.unmet = Some((max_cost, now));
     }
 
-    /// What was asked for in vain may be there now.
+    /// Forgets the uncovered request, because it may be covered now.
     pub(super) fn clear_unmet(&mut self) {
         self.unmet = None;
     }
 
-    /// A request of `most` begins to wait.
+    /// Adds a request of `max_cost` to the waiting demand.
     pub(super) fn add_waiting(&mut self, max_cost: Tokens) {
         self.waiting += max_cost.0;
     }
 
-    /// It waits no longer.
+    /// Removes a request of `max_cost` from the waiting demand.
     pub(super) fn remove_waiting(&mut self, max_cost: Tokens) {
         self.waiting -= max_cost.0;
     }
@@ -109,7 +109,7 @@
         self.window_start = now;
     }
 
-    /// Mean size of a request, tokens.
+    /// Mean maximum cost of a request, in tokens.
     pub(super) fn mean_size(&self) -> u64 {
         self.mean_size
     }
@@ -119,13 +119,13 @@
         rate * (-s / constant_s).exp()
     }
 
-    /// Mean spending, tokens a second.
+    /// Mean spending rate, in tokens a second.
     pub(super) fn mean_rate(&self, now: Instant) -> f64 {
         self.decayed(self.mean_rate, MEAN_RATE_TIME_CONSTANT_S, now)
     }
 
-    /// Mean spending, tokens a second: rises at once, falls slowly. Of an organisation that has
-    /// just begun to spend it is the mean since then, and no longer weighed down by the time before.
+    /// Mean spending rate for sizing grants, in tokens a second; it rises at once and falls slowly.
+    /// For an organisation that has just begun to spend, the mean covers only the time since then.
     pub(super) fn sizing_rate(&self, now: Instant) -> f64 {
         let age_s =
             self.spending_since.map_or(0.0, |t| now.saturating_duration_since(t).as_secs_f64());
@@ -136,14 +136,14 @@
         corrected.max(self.mean_rate(now))
     }
 
-    /// Spending in tokens a second, the running window included.
+    /// Spending rate in tokens a second, including the current window.
     pub(super) fn rate(&self, now: Instant) -> u64 {
         let ms = now.saturating_duration_since(self.window_start).as_millis();
         let ms = u64::try_from(ms).unwrap_or(u64::MAX).max(RATE_WINDOW_MS / 2);
         self.rate.max(self.window_spent.saturating_mul(1_000) / ms)
     }
 
-    /// What requests wait for, or were refused a short while ago.
+    /// Tokens that requests wait for or were refused recently.
     pub(super) fn wanted(&self, now: Instant) -> u64 {
         let (max_cost, at) = self.unmet.unwrap_or((Tokens(0), now));
         let ms = now.saturating_duration_since(at).as_millis();
@@ -151,7 +151,7 @@
         unmet.max(self.waiting)
     }
 
-    /// Since when nothing was asked for.
+    /// Time of the latest request.
     pub(super) fn idle_since(&self) -> Instant {
         self.unmet.map_or(self.rates_updated_at, |(_, at)| at.max(self.rates_updated_at))
     }
--- a/src/allowance/headroom.rs
+++ b/src/allowance/headroom.rs
@@ -1,12 +1,14 @@
-//! How much more than the spending a line lets through, by how long a budget still lasts. Pure.
+//! How much more than the current spending a limit allows, depending on how long a budget still
+//! lasts. Pure.
 
-/// How generous lines are while a budget lasts long, and when it is nearly spent. What a line
-/// lets through beyond the spending is what a cut from the store does not refuse, and what a
-/// death leaves in doubt: early, refusals weigh more; late, doubt is what the organisation could
-/// still have used. Once a line opens it is steep: what was held up before then catches up, and a
-/// death so long after the last write is rare. Mean worth of 15 days of load and trouble at three
-/// deployments: 0.681, 0.696, 0.589 with slopes 1.5 and 1.1, 1.2 s and 4 requests; 0.709, 0.703,
-/// 0.598 so; of their quiet days 0.814, 0.771, 0.739 and 0.844, 0.811, 0.799.
+/// Headroom of spending limits while a budget lasts long ([`AMPLE`]) and when it is nearly spent
+/// ([`SCARCE`]). Headroom avoids refusals during a store outage, but it is in doubt after a crash.
+/// While much is left, refusals weigh more; near the end, the organisation could still have used
+/// the tokens in doubt. An opened limit has a steep slope so that requests held up before can catch
+/// up; a crash so long after the last write is rare. The mean worth of 15 days of load and faults
+/// at three deployments was 0.681, 0.696 and 0.589 with slopes 1.5 and 1.1, 1.2 s and 4 requests,
+/// and is 0.709, 0.703 and 0.598 with these values. On their quiet days it was 0.814, 0.771 and
+/// 0.739, and is 0.844, 0.811 and 0.799.
 const AMPLE: Headroom = Headroom {
     slope_factor: 4.0,
     grant_factor: 3.0,
@@ -21,32 +23,34 @@
     burst_ms: 100,
     opens_after_ms: RESTART_MS,
 };
-/// Time from a process's last answered write to its successor's first answer after a death while
-/// the store answered, ms: of 170 lines closed in four plays four in five were 930 to 1,830 old,
-/// to 2,470 at one deployment. A line that does not open within it leaves that time, in which
-/// nobody lived, out of doubt; a cut from the store is felt for as long.
+/// Time between a process's last answered write and its successor's first answer after a crash
+/// while the store was available, in ms. Of 170 limits closed in four runs, four in five were 930
+/// to 1,830 ms old, and up to 2,470 ms at one deployment. A limit that opens only after this time
+/// leaves nothing in doubt for the time in which no process ran; in exchange, a store outage causes
+/// refusals for as long.
 const RESTART_MS: u64 = 1_800;
-/// A budget lasts long if it outlasts this many of the longest cuts, and is nearly spent below
-/// the first figure.
+/// Budgets that outlast fewer of the longest store outages than the first figure are nearly spent;
+/// those that outlast more than the second figure last long.
 const OUTAGES_LEFT_RANGE: (f64, f64) = (1.5, 3.0);
 
-/// What a line lets through beyond the spending.
+/// What a spending limit allows beyond the current spending.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Headroom {
-    /// Its slope, against the mean rate of spending.
+    /// Slope of the limit, as a multiple of the mean spending rate.
     pub(super) slope_factor: f64,
-    /// Its length, in what the mean rate spends within the longest cut.
+    /// Size of the grant, as a multiple of what the mean rate spends during the longest store
+    /// outage.
     pub(super) grant_factor: f64,
-    /// What it lets through at once, in requests of mean size.
+    /// Tokens allowed at once, in requests of mean size.
     pub(super) burst_requests: f64,
-    /// The same, in ms at the rate of spending.
+    /// Tokens allowed at once, in ms at the current spending rate.
     pub(super) burst_ms: u64,
-    /// When it opens, ms.
+    /// Time until the limit begins to rise, in ms.
     pub(super) opens_after_ms: u64,
 }
 
 impl Headroom {
-    /// The slack for a budget that lasts `cuts` of the longest cuts.
+    /// Headroom for a budget that outlasts `outages_left` of the longest store outages.
     pub(super) fn for_outages_left(outages_left: f64) -> Headroom {
         let (least, most) = OUTAGES_LEFT_RANGE;
         let ampleness = ((outages_left - least) / (most - least)).clamp(0.0, 1.0);
--- a/src/allowance/ledger.rs
+++ b/src/allowance/ledger.rs
@@ -1,4 +1,4 @@
-//! One organisation's row: what is settled, and who may spend how much of the rest.
+//! One organisation's row: what is settled, and how much of the rest each process may spend.
 
 use std::fmt;
 
@@ -10,18 +10,18 @@
 use crate::ids::Tokens;
 use crate::rows::StoreMs;
 
-/// Format of the row; one of another format is not touched.
+/// Format of the row. Rows of another format are not modified.
 const FORMAT: u8 = 3;
 
-/// A place that runs one process at a time, and the process that runs there now.
+/// One start of a process at an endpoint, which runs one process at a time.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct ProcessId {
-    /// Instance and address. The platform starts the next process of the same name only once
-    /// the one before has ended.
+    /// Instance and address. The platform starts the next process at the same endpoint only once
+    /// the previous one has ended.
     #[serde(rename = "place")]
     pub endpoint: CompactString,
-    /// One start of a process there; never used again.
+    /// Identifies one start of a process at the endpoint; never reused.
     pub incarnation: u64,
 }
 
@@ -31,25 +31,25 @@
     }
 }
 
-/// One process's part of a budget.
+/// Tokens of a budget that are reserved for one process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Grant {
-    /// Whose it is.
+    /// The process.
     pub name: ProcessId,
-    /// The most that it may spend in all. Nobody else may use it.
+    /// Maximum total spending of the process. No other process may use these tokens.
     pub ceiling: Tokens,
-    /// What it had surely spent when it wrote this.
+    /// Tokens that the process had spent for certain when it wrote this grant.
     pub settled: Tokens,
-    /// Its mean rate of spending then, tokens a second.
+    /// Mean spending rate of the process at that time, in tokens a second.
     pub rate: Tokens,
-    /// The newest store time that it knew then.
+    /// The newest store time that the process knew at that time.
     pub seen: StoreMs,
 }
 
 impl Grant {
-    /// What the process has probably spent by store time `now`: grants change seldom, and what was
-    /// settled when one was written is seconds old.
+    /// Estimate of what the process has spent by store time `now`. Grants change rarely, so the
+    /// settled amount is seconds old.
     pub fn spent_by(&self, now: StoreMs) -> Tokens {
         let ms = now.0.saturating_sub(self.seen.0);
         let since = self.rate.0.saturating_mul(ms) / 1_000;
@@ -57,47 +57,46 @@
     }
 }
 
-/// What became of the grant of a process that has ended.
+/// The closed grant of a process that has ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClosedGrant {
-    /// What was known of its spending.
+    /// The spending that the process had reported.
     pub predecessor: PredecessorSpending,
-    /// The most that it can have spent; this much stays spent.
+    /// Upper bound of what the process has spent; this amount stays charged.
     pub spent: Tokens,
-    /// The part of `spent` that is proved.
+    /// The proven part of `spent`.
     pub settled: Tokens,
-    /// What goes back to the organisation.
+    /// Tokens that return to the organisation.
     pub returned: Tokens,
 }
 
 impl ClosedGrant {
-    /// The part of `spent` that nobody can prove.
+    /// The part of `spent` that cannot be proven.
     pub fn doubt(&self) -> Tokens {
         self.spent.minus(self.settled)
     }
 }
 
-/// An organisation's budget as it stands in the store.
+/// An organisation's budget as stored.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Ledger {
     format: u8,
-    /// Spent by processes that have ended or left, at the most.
+    /// Upper bound of what was spent by processes that have ended or left.
     pub closed: Tokens,
-    /// The part of `closed` that nobody can prove: what a dead process may have spent beyond
-    /// what it had settled. It stays spent, but no request is told that the budget is used up
-    /// because of it.
+    /// The part of `closed` that cannot be proven: what dead processes may have spent beyond their
+    /// settled amounts. It stays charged, but does not count as proof that the budget is spent.
     pub doubt: Tokens,
-    /// The processes that may spend, by name.
+    /// Grants of the processes that may spend, sorted by name.
     pub grants: Vec<Grant>,
 }
 
 impl Ledger {
-    /// Reads a row.
+    /// Decodes a row.
     ///
     /// # Errors
-    /// `BadFormat` if the row is damaged or of another format. Spending from it is refused then:
-    /// a budget that cannot be read must not be taken for an unused one.
+    /// `BadFormat` if the row is damaged or has another format. Nothing may be spent then: an
+    /// unreadable budget must not be taken for an unused one.
     pub fn decode(value: &[u8]) -> Result<Ledger> {
         let unreadable = |_| Error::new(Kind::BadFormat, "budget row cannot be read");
         let ledger: Ledger = ciborium::from_reader(value).map_err(unreadable)?;
@@ -107,7 +106,7 @@
         Ok(ledger)
     }
 
-    /// The row's value.
+    /// The encoded row.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(64 + 80 * self.grants.len());
         let row = Ledger { format: FORMAT, ..self.clone() };
@@ -115,19 +114,19 @@
         out
     }
 
-    /// What is granted or spent: nobody else may use it.
+    /// Tokens that are granted or spent, so that no other process may use them.
     pub fn committed(&self) -> Tokens {
         let granted: u64 = self.grants.iter().map(|g| g.ceiling.0).sum();
         Tokens(self.closed.0 + granted)
     }
 
-    /// What is surely spent.
+    /// Tokens spent for certain.
     pub fn settled(&self) -> Tokens {
         let granted: u64 = self.grants.iter().map(|g| g.settled.0).sum();
         Tokens((self.closed.0 + granted).saturating_sub(self.doubt.0))
     }
 
-    /// What may still be granted out of `prepaid`.
+    /// Tokens of `prepaid` that may still be granted.
     pub fn free(&self, prepaid: Tokens) -> Tokens {
         prepaid.minus(self.committed())
     }
@@ -136,7 +135,7 @@
         self.grants.binary_search_by(|g| g.name.cmp(name))
     }
 
-    /// A process's grant.
+    /// The grant of a process.
     pub fn grant(&self, name: &ProcessId) -> Option<&Grant> {
         self.position(name).ok().map(|i| &self.grants[i])
     }
@@ -146,7 +145,7 @@
         self.grants.iter().filter(move |g| g.name != *name)
     }
 
-    /// Sets a process's grant. The caller has checked that it fits.
+    /// Sets a process's grant. The caller must have checked that it fits into the budget.
     pub fn set(&mut self, grant: Grant) {
         match self.position(&grant.name) {
             Ok(i) => self.grants[i] = grant,
@@ -154,8 +153,8 @@
         }
     }
 
-    /// Closes the grant of a process that has ended. None if there is none (any more): it was
-    /// closed before, or the process never got one.
+    /// Closes the grant of a process that has ended. Returns `None` if there is no such grant: it
+    /// was closed before, or the process never had one.
     pub fn close(
         &mut self,
         endpoint: &str,
@@ -172,8 +171,8 @@
         Some(ClosedGrant { predecessor: predecessor.clone(), spent, settled, returned })
     }
 
-    /// Ends a process's grant: it spent at most `spent`, of which `settled` for sure, and will
-    /// spend no more.
+    /// Removes the grant of a process that will spend no more. It spent at most `spent`, of which
+    /// `settled` is certain.
     pub fn close_own(&mut self, me: &ProcessId, spent: Tokens, settled: Tokens) {
         if let Ok(i) = self.position(me) {
             self.grants.remove(i);
--- a/src/allowance/manager.rs
+++ b/src/allowance/manager.rs
@@ -1,5 +1,5 @@
-//! A router's accounts: requests take their parts here, from this router's own grants or from
-//! another router's, and the accounts are kept in step with the store.
+//! The budgets of one router. Requests reserve tokens here, from the router's own grants or from
+//! other routers' grants, and the accounts are synchronised with the store.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,88 +21,94 @@
 use crate::oplog::Log;
 use crate::rows::{RowStore, StoreMs};
 
-/// Pause between two looks at what should be written when nothing is urgent.
+/// Interval at which the manager checks for due store calls while no request waits.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A write that is not answered after so long will not be in time for a request that waits.
+/// A write that is not answered within this time will not finish in time for a waiting request.
 const STALLED_AFTER: Duration = Duration::from_millis(40);
-/// Time from an urgent demand to its write, so that requests that come together share one.
+/// Delay between an urgent demand and its write, so that requests that arrive together share one
+/// write.
 const URGENT_BATCH_DELAY: Duration = Duration::from_millis(4);
-/// Attempts to write the last state at a planned stop.
+/// Maximum number of attempts to return the grants at a planned stop.
 const MAX_RELEASE_ATTEMPTS: u32 = 12;
-/// Pauses between two readings of a row while a request waits in vain, the first one and the
-/// longest: doubled while nothing changes. Shorter ones cost more store calls than all writes
-/// together once many organisations are nearly spent.
+/// First and longest interval between two reads of a ledger while a request waits for tokens that
+/// the ledger does not have. The interval doubles while the row is unchanged. Shorter intervals
+/// cost more store calls than all writes together once many organisations have nearly spent their
+/// budgets.
 pub(super) const REREAD_BACKOFF: (Duration, Duration) =
     (Duration::from_millis(750), Duration::from_secs(6));
 
-/// How long a request waits for a line to open, at the most. A cut from the store begins with a
-/// time in which the lines of nearly spent budgets do not open yet; a refusal would bring the
-/// caller back no sooner, and perhaps in vain. Mean worth of 30 days with 1,000 and 1,500 ms:
-/// 0.695 and 0.699.
+/// Maximum time for which a request waits until a spending limit allows it. At the start of a store
+/// outage the limits of nearly spent budgets do not open at once. A refused caller would come back
+/// no sooner, and might be refused again. The mean worth of 30 days was 0.695 with 1,000 ms and
+/// 0.699 with 1,500 ms.
 const MAX_LIMIT_WAIT: Duration = Duration::from_millis(1_500);
-/// Pause between two looks of a request that waits for its line: the clock's tick.
+/// Minimum pause between two attempts of a request that waits for a spending limit: the resolution
+/// of the timer.
 const MIN_LIMIT_PAUSE: Duration = Duration::from_millis(1);
-/// Once nobody had a part, requests of that size or more are refused without asking for so long.
+/// For this time after a request found no tokens at any router, requests of the same size or larger
+/// are refused without asking again.
 const UNAVAILABLE_TTL: Duration = Duration::from_millis(200);
-/// Routers that are reckoned with until it is known how many there are.
+/// Number of routers that is assumed until the actual number is known.
 const ROUTERS_WHEN_UNKNOWN: u64 = 64;
 
-/// Settings of budgets.
+/// Settings of the budget manager.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetSettings {
-    /// The longest cut from the store that should not be felt, ms.
+    /// Longest store outage that grants are sized to bridge, in ms.
     pub horizon_ms: u64,
-    /// How long a request waits for a part of the budget to be fetched.
+    /// Maximum time for which a request waits for store writes, or for another router's answer.
     pub patience: Duration,
 }
 
-/// Why a request got no part of its organisation's budget.
+/// Reason for refusing to reserve tokens of an organisation's budget.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// No router that was asked has a part left.
+    /// None of the routers that were asked has enough tokens left.
     NoneHere(LenderSearch),
-    /// The organisation's row shows that the request does not fit any more.
+    /// The organisation's ledger proves that the request exceeds what is left of the budget.
     Spent,
 }
 
-/// Whom a request asked for a part in vain.
+/// Result of asking routers for tokens without success.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LenderSearch {
-    /// How soon one of them has a part, if any knows.
+    /// The shortest time until one of the routers has enough tokens, if any router reported one.
     pub available_in: Option<Duration>,
-    /// Those that have none, this router among them.
+    /// Number of routers without enough tokens, this router included.
     pub insufficient: u32,
-    /// Those that did not answer.
+    /// Number of routers that did not answer.
     pub unresponsive: u32,
 }
 
-/// The newest store time that an answer carried, and when it arrived.
+/// The newest store time that an answer carried, and the local time at which the answer arrived.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ObservedStoreTime {
     pub(super) at: StoreMs,
     pub(super) received_at: Instant,
 }
 
-/// One organisation at this router.
+/// State of one organisation at this router.
 pub(super) struct OrgState {
     pub(super) org: CompactString,
     pub(super) account: Account,
-    /// What earlier processes at this place left open.
+    /// Spending of earlier processes at this endpoint that is not closed yet.
     pub(super) predecessors: Vec<PredecessorSpending>,
-    /// When the call for its row that is under way was sent.
+    /// When the call in flight for the ledger was sent.
     pub(super) sent_at: Option<Instant>,
-    /// No call for its row before this.
+    /// Earliest time of the next call for the ledger.
     pub(super) not_before: Instant,
-    /// Whether the last call failed.
+    /// Whether the last call for the ledger failed.
     pub(super) last_call_failed: bool,
-    /// Races lost in a row.
+    /// Number of consecutive write conflicts.
     pub(super) conflicts: u32,
-    /// When its row was read last, and the pause until it is read again in vain.
+    /// When the ledger was read last, and the interval until it is read again while requests wait
+    /// for tokens that it does not have.
     pub(super) read_at: Instant,
     pub(super) reread_backoff: Duration,
-    /// Whom to ask for a part, as of a number of the lenders' list.
+    /// Routers to ask for tokens, in order, and the version of the lenders' list that this order
+    /// was made from.
     lending_order: (u64, Rc<[Source]>),
-    /// Nobody had a part for a request of this size, until when that counts.
+    /// Size of a request for which no router had tokens, and until when this result is used.
     unavailable: Option<(Tokens, Instant)>,
 }
 
@@ -127,17 +133,17 @@
         self.sent_at.is_none() && self.not_before <= now
     }
 
-    /// Somebody may have a part again.
+    /// Forgets that no router had tokens, because that may have changed.
     pub(super) fn clear_unavailable(&mut self) {
         self.unavailable = None;
     }
 
-    /// Whether waiting for its row is in vain.
+    /// Whether the store is too slow for a request to wait for this ledger.
     fn is_stalled(&self, now: Instant) -> bool {
         self.last_call_failed || self.sent_at.is_some_and(|t| now - t > STALLED_AFTER)
     }
 
-    /// Whether the row as it was read a moment ago has nothing for a request of `most`.
+    /// Whether the ledger was read recently and has too little for a request of `max_cost`.
     fn is_exhausted_for(&self, max_cost: Tokens, now: Instant) -> bool {
         self.account.is_known()
             && !self.account.may_be_granted(max_cost)
@@ -145,25 +151,25 @@
     }
 }
 
-/// All accounts of a router.
+/// The budgets of all organisations at one router.
 pub struct BudgetManager<S> {
     pub(super) store: S,
     pub(super) me: ProcessId,
     pub(super) settings: BudgetSettings,
     pub(super) log: Log,
     pub(super) org_states: RefCell<Vec<OrgState>>,
-    /// This place's row.
+    /// State of this endpoint's row.
     pub(super) spending_row: RefCell<SpendingRow>,
     pub(super) store_time: Cell<Option<ObservedStoreTime>>,
     /// The first store time that this process learnt.
     pub(super) first_store_time: Cell<Option<StoreMs>>,
-    /// Calls under way.
+    /// Number of store calls in flight.
     pub(super) calls_in_flight: Cell<usize>,
-    /// See [`Keeper::set_routers`].
+    /// See [`BudgetManager::set_routers`].
     routers: Cell<u64>,
-    /// The routers that lend, and how often they changed.
+    /// The routers that lend, with a version that grows with each change.
     lenders: RefCell<(u64, Lenders)>,
-    /// What is said to other routers, and what was lent and borrowed.
+    /// Messages to other routers, and the loans given and taken.
     pub(super) peers: Peers,
     pub(super) urgent: Notify,
     pub(super) changed: Notify,
@@ -172,25 +178,26 @@
     pub(super) lending_stopped: Cell<bool>,
 }
 
-/// Why one router has no part for a request.
+/// Why one router cannot cover a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Shortfall {
-    /// It has none left; in so long its line will let one through, if it will.
+    /// The router has too little left. The time after which its spending limit allows the request,
+    /// if it will.
     NoneHere(Option<Duration>),
     /// See [`Refusal::Spent`].
     Spent,
 }
 
-/// Where a request's part of a budget came from.
+/// Source of a reservation's tokens.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum ReservedFrom {
     /// This router's own grant.
     Own,
-    /// The loan of this number.
+    /// The loan with this number.
     Loan(u64),
 }
 
-/// A request's part of a budget; given back as spent when dropped, unless settled.
+/// Tokens reserved for a request. On drop, the actual cost is charged and the rest is returned.
 pub struct Reservation<S: RowStore> {
     keeper: Rc<BudgetManager<S>>,
     org: CompactString,
@@ -201,12 +208,12 @@
 }
 
 impl<S: RowStore> Reservation<S> {
-    /// Sets what the request has cost so far.
+    /// Sets the cost of the request so far.
     pub fn set_cost(&mut self, actual: Tokens) {
         self.actual = actual;
     }
 
-    /// Its caller has all that it has cost so far.
+    /// Records that the caller has received everything that the request has cost so far.
     pub fn confirm_delivered(&mut self) {
         let more = self.actual.min(self.max_cost).minus(self.proven);
         self.proven.0 += more.0;
@@ -216,7 +223,7 @@
         }
     }
 
-    /// What it has cost so far.
+    /// The cost of the request so far.
     pub fn spent(&self) -> Tokens {
         self.actual
     }
@@ -234,7 +241,7 @@
     }
 }
 
-/// A request's demand while it waits for this router's rows.
+/// Counts a request as waiting demand until dropped.
 struct WaitingDemand<'a, S: RowStore> {
     keeper: &'a BudgetManager<S>,
     org: &'a str,
@@ -255,7 +262,7 @@
 }
 
 impl<S: RowStore> BudgetManager<S> {
-    /// A keeper for the process `me`.
+    /// A budget manager for the process `me`.
     pub fn new(store: S, me: ProcessId, settings: BudgetSettings, log: Log) -> BudgetManager<S> {
         BudgetManager {
             store,
@@ -277,7 +284,7 @@
         }
     }
 
-    /// Takes over the operator's amounts; `orgs` is sorted by name.
+    /// Applies the prepaid amounts of the configuration; `orgs` is sorted by name.
     pub fn set_prepaid(&self, orgs: impl Iterator<Item = (CompactString, Tokens)>) {
         let now = Instant::now();
         let mut org_states = self.org_states.borrow_mut();
@@ -299,12 +306,13 @@
         self.urgent.notify_one();
     }
 
-    /// How many routers may draw on the budgets, as long as it is not known who lends.
+    /// Sets the number of routers that may draw on the budgets. Used while the lenders are unknown.
     pub fn set_routers(&self, n: u64) {
         self.routers.set(n.max(1));
     }
 
-    /// Sets who lends: chosen among the routers that stay, this one included, which is of `zone`.
+    /// Chooses the lenders among `routers`, those that are not leaving, this router included. This
+    /// router is the instance `name` in `zone`.
     pub fn set_lenders(&self, name: &str, zone: &str, routers: Vec<Lender>) {
         let (number, lenders) = &mut *self.lenders.borrow_mut();
         let next = Lenders::choose(name, zone, routers);
@@ -314,7 +322,7 @@
         }
     }
 
-    /// Routers that draw on the budgets.
+    /// Number of routers that draw on the budgets.
     pub(super) fn spenders(&self) -> u64 {
         match self.lenders.borrow().1.count() {
             0 => self.routers.get(),
@@ -322,7 +330,7 @@
         }
     }
 
-    /// Notes the store time that some answer carried.
+    /// Records the store time that an answer carried.
     pub fn observe_store_time(&self, at: StoreMs) {
         if self.first_store_time.get().is_none() {
             self.first_store_time.set(Some(at));
@@ -332,7 +340,7 @@
         }
     }
 
-    /// The store's time as far as it is known; 0 before its first answer.
+    /// Estimate of the store's current time; 0 before the first answer.
     pub fn store_now(&self) -> StoreMs {
         let since = |s: ObservedStoreTime| {
             s.at.0 + u64::try_from(s.received_at.elapsed().as_millis()).unwrap_or(0)
@@ -358,21 +366,21 @@
         self.with_org_state(org, |s| f(&mut s.account))
     }
 
-    /// Changes the account of an organisation that has one. Accounts are never removed, so that
-    /// whatever was taken from one can be settled there.
+    /// Updates the account of an organisation that has one. Accounts are never removed, so every
+    /// reservation can be settled in the account that it was taken from.
     pub(super) fn update_account(&self, org: &str, f: impl FnOnce(&mut Account)) {
         if self.with_account(org, f).is_none() {
             self.log.note("budget_row", format_args!("org={org} error=no_account"));
         }
     }
 
-    /// What a refusal of an organisation's request rests on, for the log.
+    /// State that a refusal for this organisation is based on, for the log.
     pub fn describe(&self, org: &str) -> String {
         let state = self.with_account(org, |a| a.describe(Instant::now()));
         state.unwrap_or_else(|| "unknown_organisation".to_owned())
     }
 
-    /// Whom to ask for a part of an organisation's budget.
+    /// Routers to ask for tokens of an organisation's budget, in order.
     fn lending_order(&self, org: &str) -> Rc<[Source]> {
         let lenders = self.lenders.borrow();
         let (number, lenders) = &*lenders;
@@ -385,7 +393,8 @@
         lending_order.unwrap_or_else(|| Rc::new([]))
     }
 
-    /// Takes `most` tokens of an organisation's budget for a request. See [`Keeper::hold_by`].
+    /// Reserves `max_cost` tokens of an organisation's budget for a request. See
+    /// [`BudgetManager::reserve_by`].
     ///
     /// # Errors
     /// See [`Refusal`].
@@ -397,9 +406,10 @@
         self.reserve_by(org, max_cost, Instant::now() + MAX_LIMIT_WAIT).await
     }
 
-    /// Takes `most` tokens of an organisation's budget for a request that must go on before
-    /// `until`. Asks one router after another, this one among them; if all are short but some
-    /// line opens in time, waits for that.
+    /// Reserves `max_cost` tokens of an organisation's budget for a request that must proceed
+    /// before `until`. Asks the routers that may have tokens one after another, this router
+    /// included. If none of them has enough but a spending limit allows the request in time, waits
+    /// for that.
     ///
     /// # Errors
     /// See [`Refusal`].
@@ -452,7 +462,7 @@
             .is_some_and(|(size, unavailable_until)| max_cost >= size && now < unavailable_until)
     }
 
-    /// Asks all that may have a part, once.
+    /// Asks each router that may have tokens once.
     async fn try_lenders(
         self: &Rc<Self>,
         org: &str,
@@ -490,8 +500,8 @@
         Err(Refusal::NoneHere(search))
     }
 
-    /// Takes `most` out of this router's own grant. While the store answers, waits for the writes
-    /// that it takes.
+    /// Reserves `max_cost` tokens of this router's own grant. Waits up to `patience` for the writes
+    /// that this takes, as long as the store answers.
     pub(super) async fn reserve_own(
         &self,
         org: &str,
@@ -521,12 +531,12 @@
                     self.with_account(org, |a| a.time_until_allowed(max_cost, now)).flatten();
                 return Err(Shortfall::NoneHere(available_in));
             }
-            // Either the time is over or something changed: both are looked at above.
+            // Both a timeout and a notification are handled at the start of the loop.
             let _ = timeout_at(until, changed).await;
         }
     }
 
-    /// Whether no write that is under way or due can help a request of `most`.
+    /// Whether no write that is in flight or due can cover a request of `max_cost` in time.
     fn cannot_be_covered_soon(&self, org: &str, max_cost: Tokens, now: Instant) -> bool {
         let spending_row_stalled = self.spending_row.borrow().is_stalled(now, STALLED_AFTER);
         let is_hopeless = |s: &mut OrgState| match s.account.missing_cover(max_cost, now) {
@@ -539,7 +549,7 @@
         self.with_org_state(org, is_hopeless).unwrap_or(true)
     }
 
-    /// Runs until [`Keeper::stop`].
+    /// Runs until [`BudgetManager::stop`].
     pub async fn run(self: Rc<Self>) {
         let mut calls = FuturesUnordered::new();
         let mut batch_until: Option<Instant> = None;
@@ -556,21 +566,21 @@
                 }
             }
         }
-        // What was sent may still take effect: its answer says so.
+        // Writes that were sent may still take effect; their answers tell.
         while calls.next().await.is_some() {}
     }
 
-    /// Lends to no other router any more: a planned stop has begun.
+    /// Stops lending to other routers, at the start of a planned stop.
     pub fn stop_lending(&self) {
         self.lending_stopped.set(true);
     }
 
-    /// Ends the keeper without a word to the store, as the end of the process would.
+    /// Stops without returning the grants to the store, as a crash would.
     pub fn halt(&self) {
         self.stopped.set(true);
     }
 
-    /// Ends the keeper and gives back everything that is not spent. Called once nothing runs.
+    /// Stops and returns all unspent tokens. Called once no request is running.
     pub async fn stop(&self) {
         self.stopped.set(true);
         self.urgent.notify_one();
--- a/src/allowance/mod.rs
+++ b/src/allowance/mod.rs
@@ -1,13 +1,14 @@
-//! Prepaid budgets on the row store: who may spend how much, and until when that is known.
+//! Prepaid budgets kept in the row store: how much each router may spend of each organisation's
+//! budget.
 //!
 //! Each organisation has one row, its [`Ledger`], with a [`Grant`] for each router that draws on
-//! it; the sum of all grants' ceilings and of what is spent never exceeds the prepaid amount, so
-//! that no clock is needed for safety between routers. Each router has one row too, its
-//! [`Spending`], with a [`Line`] for each organisation: the most it may have spent, as a function
-//! of the store's clock. A router's successor reads there how little the dead process can have
-//! spent, and the rest of its grants goes back to the organisations.
+//! it. The sum of all grants' ceilings and of what is already spent never exceeds the prepaid
+//! amount, so safety between routers needs no clock. Each router has one row too, its [`Spending`],
+//! with a [`SpendingLimit`] for each organisation: an upper bound on what the router has spent, as
+//! a function of the store's clock. After a crash the router's successor reads that bound and
+//! returns the rest of the dead process's grants to the organisations.
 //!
-//! Few routers draw on the rows; the others borrow from them, request by request.
+//! Only a few routers draw on the rows. The others borrow tokens from them, request by request.
 
 mod account;
 mod calls;
--- a/src/allowance/spending.rs
+++ b/src/allowance/spending.rs
@@ -1,8 +1,8 @@
-//! One place's row: how much its process may have spent by now, for each organisation.
+//! The row of one endpoint: an upper bound of what its process has spent, for each organisation.
 //!
-//! The row is written by the process at that place alone, so its writes meet no others. Each
-//! one is conditional on the version before it: a write that takes effect late cannot undo a newer
-//! one, and none of a dead process's takes effect once its successor has written.
+//! Only the process at that endpoint writes the row, so there are no conflicts with other routers.
+//! Each write is conditional on the previous version: a late write cannot undo a newer one, and no
+//! write of a dead process takes effect once its successor has written the row.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -12,54 +12,54 @@
 use crate::ids::Tokens;
 use crate::rows::StoreMs;
 
-/// Format of the row; one of another format is not touched.
+/// Format of the row. Rows of another format are not modified.
 const FORMAT: u8 = 1;
 
-/// What a process says of its spending for one organisation.
+/// A process's reported spending for one organisation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct OrgSpending {
     /// The organisation.
     pub org: CompactString,
-    /// What it has surely spent so far.
+    /// Tokens spent for certain so far.
     pub settled: Tokens,
-    /// The most it may have spent.
+    /// Upper bound of the tokens spent.
     #[serde(rename = "line")]
     pub spending_limit: SpendingLimit,
 }
 
-/// The spending of an earlier process at this place that is not closed in the organisation's row
+/// Spending of an earlier process at this endpoint that is not closed in the organisation's ledger
 /// yet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct PredecessorSpending {
     /// The organisation.
     pub org: CompactString,
-    /// Which process.
+    /// Incarnation of the earlier process.
     pub incarnation: u64,
-    /// The most that it has spent, its grant's ceiling aside.
+    /// Upper bound of the tokens spent, regardless of the ceiling of its grant.
     pub spent: Tokens,
-    /// What it had surely spent.
+    /// Tokens spent for certain.
     pub settled: Tokens,
-    /// What its last line let through at once.
+    /// Floor of its last spending limit.
     pub floor: Tokens,
-    /// From its last line to the store time before which it ended, ms.
+    /// Time from its last spending limit to the store time by which it had ended, in ms.
     pub age_ms: u64,
 }
 
-/// A place's row.
+/// An endpoint's row.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Spending {
     format: u8,
-    /// The process that wrote it.
+    /// Incarnation of the process that wrote the row.
     pub incarnation: u64,
-    /// Number of the write among that process's.
+    /// Number of this write among that process's writes.
     pub number: u64,
-    /// What that process may have spent, by organisation.
+    /// Spending of that process, by organisation.
     #[serde(rename = "lines")]
     pub spending_limits: Vec<OrgSpending>,
-    /// What earlier processes left.
+    /// Spending of earlier processes that is not closed yet.
     #[serde(rename = "former")]
     pub predecessors: Vec<PredecessorSpending>,
 }
@@ -70,10 +70,11 @@
         Spending { incarnation, number, ..Spending::default() }
     }
 
-    /// Reads a row.
+    /// Decodes a row.
     ///
     /// # Errors
-    /// `BadFormat` if the row is damaged or of another format. Nothing is closed by it then.
+    /// `BadFormat` if the row is damaged or has another format. Nothing may be closed based on it
+    /// then.
     pub fn decode(value: &[u8]) -> Result<Spending> {
         let unreadable = |_| Error::new(Kind::BadFormat, "spending row cannot be read");
         let row: Spending = ciborium::from_reader(value).map_err(unreadable)?;
@@ -83,7 +84,7 @@
         Ok(row)
     }
 
-    /// The row's value.
+    /// The encoded row.
     pub fn encode(&self) -> Vec<u8> {
         let mut out =
             Vec::with_capacity(64 + 96 * (self.spending_limits.len() + self.predecessors.len()));
@@ -92,8 +93,8 @@
         out
     }
 
-    /// What is left of this row's process and those before it, once it has ended before store time
-    /// `ended`: each line bounds what was spent by then.
+    /// The spending of this row's process and its predecessors, once the process has ended before
+    /// store time `ended`. Each limit bounds what was spent by then.
     pub fn into_predecessors(self, ended: StoreMs) -> Vec<PredecessorSpending> {
         let incarnation = self.incarnation;
         let as_predecessor = |l: OrgSpending| PredecessorSpending {
