--- a/src/allowance/lenders.rs
+++ b/src/allowance/lenders.rs
@@ -1,9 +1,9 @@
-//! Which routers lend which organisation's tokens to whom. Pure.
+//! Which routers lend tokens of which organisation to which other routers. Pure.
 //!
-//! An organisation's row is written by those who spend from it. With each router a spender, 25 of
-//! them raced for every row. So a few routers of each zone draw on the rows and lend to
-//! the others of their zone; a request whose zone's lender has nothing left is covered by one
-//! of another zone.
+//! Each router that spends from an organisation's ledger also writes it. With every router a
+//! spender, 25 routers conflicted on every ledger. Therefore only a few routers of each zone draw
+//! on the ledgers and lend to the other routers of their zone. If a zone's lender has too little
+//! left, a lender of another zone covers the request.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -12,54 +12,56 @@
 
 use crate::ids::Digest;
 
-/// One in so many routers of a zone lends. A request for a part takes a lender some 50 µs and
-/// comes once for each request of its zone, so one lender could do for some 30 routers; with
-/// more lenders a death is felt by fewer organisations, with fewer the rows have fewer writers.
+/// A zone has one lender for this many routers, rounded up. Answering an ask takes a lender some 50
+/// µs, and there is one ask for each request of its zone, so one lender could serve some 30
+/// routers. With more lenders a crash affects fewer organisations; with fewer lenders the ledgers
+/// have fewer writers.
 const ROUTERS_PER_LENDER: usize = 16;
-/// Lenders of a zone, at least: if one is away, the other steps in.
+/// Minimum number of lenders in a zone, so that a second one can take over if the first is
+/// unavailable.
 const MIN_LENDERS_PER_ZONE: usize = 2;
-/// Other routers that are asked for one request, at most. Each takes 2 ms.
+/// Maximum number of other routers that are asked for one request. Each ask takes 2 ms.
 const MAX_LENDERS_ASKED: usize = 5;
 
 /// A router that may lend.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Lender {
-    /// Its instance.
+    /// Name of its instance.
     pub name: CompactString,
     /// Its availability zone.
     pub zone: CompactString,
-    /// Where it takes datagrams.
+    /// Address at which it receives datagrams.
     pub addr: SocketAddr,
-    /// Requests a second that it can take: the largest lend.
+    /// Requests a second that it can handle. The routers with the largest capacity lend.
     pub capacity: u32,
 }
 
-/// Where a part of a budget may come from.
+/// Where a request's tokens may come from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
     /// This router's own grant.
     Own,
-    /// Another router's.
+    /// Another router's grant.
     Peer(SocketAddr),
-    /// This router's own grant, though it does not lend: only if some of the others do not answer.
-    /// What they do not have is not in the store either.
+    /// This router's own grant although it is no lender. Used only if some lenders did not answer:
+    /// if all of them answered that they have too little, the store has too little as well.
     Fallback,
 }
 
-/// The lenders of all zones, as one router sees them.
+/// The lenders of all zones, from one router's point of view.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Lenders {
-    /// This router.
+    /// Instance name of this router.
     own_name: CompactString,
     zone: CompactString,
-    /// By zone.
+    /// All lenders, sorted by zone.
     by_zone: Vec<Lender>,
 }
 
 impl Lenders {
-    /// Chooses the lenders among `routers`: the largest of each zone.
+    /// Chooses the lenders among `routers`: those of each zone with the largest capacity.
     pub fn choose(own_name: &str, zone: &str, mut routers: Vec<Lender>) -> Lenders {
-        // All routers choose alike: those of one size in the order of their names.
+        // All routers must choose the same lenders, so equal capacities are ordered by name.
         routers.sort_by(|a, b| {
             let sort_key = |r: &Lender| (r.zone.clone(), Reverse(r.capacity), r.name.clone());
             sort_key(a).cmp(&sort_key(b))
@@ -72,13 +74,14 @@
         Lenders { own_name: own_name.into(), zone: zone.into(), by_zone }
     }
 
-    /// How many there are.
+    /// Number of lenders.
     pub fn count(&self) -> usize {
         self.by_zone.len()
     }
 
-    /// Whom to ask for a part of an organisation's budget, in this order: the zone's lender of that
-    /// organisation, those of other zones, the zone's next one, and at last the router itself.
+    /// Routers to ask for tokens of an organisation's budget, in order: this zone's first lender
+    /// for the organisation, the first lenders of the other zones, this zone's second lender, and
+    /// so on. The router's own grant comes last if it is no lender.
     pub fn order(&self, org: &str) -> Vec<Source> {
         let hash = |l: &Lender| {
             let mut bytes = Vec::with_capacity(org.len() + 1 + l.name.len());
@@ -87,7 +90,9 @@
             bytes.extend_from_slice(l.name.as_bytes());
             Digest::of(&bytes).word()
         };
-        // The zone's own first, the firsts of the others, its second, and so on.
+        // Rank, hash and source of each lender. Ranks alternate between this zone and the others:
+        // this zone's first lender, the others' first lenders, this zone's second lender, and so
+        // on.
         let mut ranked: Vec<(usize, Reverse<u64>, Source)> = Vec::new();
         for in_zone in self.by_zone.chunk_by(|a, b| a.zone == b.zone) {
             let other_zone = usize::from(in_zone[0].zone != self.zone);
--- a/src/allowance/lending.rs
+++ b/src/allowance/lending.rs
@@ -1,4 +1,4 @@
-//! Lending between routers: asks, answers, and what became of loans.
+//! Lending between routers: sending asks, answering them, and reporting the use of loans.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,19 +15,19 @@
 use crate::ids::Tokens;
 use crate::rows::RowStore;
 
-/// An ask that is not answered after so long is sent once more: datagrams are lost now and then.
-/// An answer takes 2 ms, or 20 ms if the lender has to write both of its rows for it.
+/// An unanswered ask is sent again after this time, because datagrams are lost now and then. An
+/// answer takes 2 ms, or 20 ms if the lender has to write both of its rows first.
 const ASK_RETRY_AFTER: Duration = Duration::from_millis(22);
-/// Part of a borrower's patience for which its lender waits for the store: one that answers too
-/// late counts as silent and is passed over.
+/// Fraction of a borrower's timeout for which its lender waits for the store. A lender that answers
+/// too late counts as unresponsive and is skipped for a while.
 const LENDER_WAIT_RATIO: (u32, u32) = (2, 3);
-/// Time for news of loans to gather: one datagram carries those of many requests.
+/// Delay that batches reports: one datagram carries the reports of many requests.
 const REPORT_BATCH_DELAY: Duration = Duration::from_millis(20);
-/// Pause between two looks at what lenders have not acknowledged, and at loans that are lost.
+/// Interval between two checks for unacknowledged reports and for expired loans.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl<S: RowStore> BudgetManager<S> {
-    /// Waits until there are datagrams to send.
+    /// Waits until there are datagrams to send, and returns them.
     pub async fn outgoing(&self) -> Vec<Outgoing> {
         loop {
             let outbox_filled = self.peers.outbox_ready.notified();
@@ -43,7 +43,8 @@
         self.peers.enqueue(to, Envelope::new(self.me.incarnation, message).encode());
     }
 
-    /// Borrows `most` from another router. None if that one does not answer.
+    /// Borrows `max_cost` tokens from another router. Returns the loan's number, or `None` if the
+    /// router does not answer.
     pub(super) async fn borrow(
         &self,
         addr: SocketAddr,
@@ -97,11 +98,10 @@
         self.peers.reports_due.notify_one();
     }
 
-    /// Tells lenders what became of their loans, and gives up on loans of which nobody tells, for
-    /// ever.
+    /// Reports the use of loans to their lenders and writes off expired loans. Runs forever.
     pub async fn report_loans(self: Rc<Self>) {
         loop {
-            // Either there is news or it is time to look at what was not acknowledged.
+            // Both a new report and a timeout are handled below.
             let _ = timeout(RECHECK_INTERVAL, self.peers.reports_due.notified()).await;
             sleep(REPORT_BATCH_DELAY).await;
             self.send_reports();
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Takes in a datagram of another router.
+    /// Handles a datagram from another router.
     pub fn receive(self: &Rc<Self>, from: SocketAddr, bytes: &[u8]) {
         let envelope = match Envelope::decode(bytes) {
             Ok(envelope) => envelope,
@@ -178,8 +178,8 @@
             return answer(Answer::Lent);
         }
         let now = Instant::now();
-        // The same message came twice. Taken up again, it would take a second part, which nobody
-        // gives back.
+        // A duplicate ask must not reserve tokens a second time, because no borrower would return
+        // them.
         let is_duplicate =
             |lent: &mut LentLoans| lent.is_waiting(id) || lent.ended_recently(id, now);
         if is_duplicate(&mut self.peers.lent.borrow_mut()) {
@@ -200,7 +200,8 @@
             }
             Some(Err(Denied::Spent)) => answer(Answer::Spent),
             Some(Err(Denied::NoneHere)) => {
-                // The store may have a part; meanwhile other asks go on.
+                // A write to the store may still provide the tokens. Other asks are handled in the
+                // meantime.
                 self.peers.lent.borrow_mut().begin_wait(id);
                 spawn_local(self.clone().lend_after_waiting(from, id, ask));
             }
@@ -231,15 +232,15 @@
     }
 
     fn handle_answer(&self, from: SocketAddr, process: u64, number: u64, answer: Answer) {
-        // Noted before the request that waits hears of it: the same message may come once more
-        // before that, and must find that the loan is in use.
+        // Recorded before the waiting request is notified: a duplicate of the answer may arrive
+        // first and must find the loan in use.
         if answer == Answer::Lent && self.peers.is_pending(number) {
             self.peers.borrowed.borrow_mut().record_lender(number, process);
         }
         if self.peers.deliver_answer(number, answer) || answer != Answer::Lent {
             return;
         }
-        // It came too late, or twice, or is a reminder. What is not in use is given back.
+        // The answer is late, a duplicate or a reminder. A loan that is not in use is returned.
         let mut borrowed = self.peers.borrowed.borrow_mut();
         let zero = Tokens(0);
         let unused = LoanUse { number, lender: process, actual: zero, proven: zero, ended: true };
@@ -254,11 +255,12 @@
         }
     }
 
-    /// Takes in how a loan is used. Returns its number if it has ended.
+    /// Applies a report on a loan. Returns the loan's number if the loan has ended.
     fn handle_use(&self, borrower: u64, loan_use: &LoanUse) -> Option<u64> {
         let ended = loan_use.ended.then_some(loan_use.number);
         if loan_use.lender != 0 && loan_use.lender != self.me.incarnation {
-            // A process before this one had lent it. What it lent was closed with its line.
+            // The loan is from an earlier process at this endpoint. It was closed with that
+            // process's spending limit.
             return ended;
         }
         let loan_change =
@@ -274,7 +276,8 @@
         ended
     }
 
-    /// Waits until all that was lent has come back and all lenders know what this router owes.
+    /// Waits until all loans given have been returned and the ends of all loans taken are
+    /// acknowledged.
     pub async fn wait_for_loans(&self) {
         while !self.peers.lent.borrow().is_empty()
             || self.peers.borrowed.borrow().has_unacknowledged()
@@ -284,8 +287,8 @@
     }
 }
 
-/// An ask whose answer is waited for. Given up, it is taken back: what may have been lent on it
-/// is not used.
+/// An ask that waits for its answer. Dropping it cancels the ask and reports that nothing was spent
+/// of a loan that may have been given.
 struct PendingAsk<'a, S: RowStore> {
     keeper: &'a BudgetManager<S>,
     number: u64,
--- a/src/allowance/loans.rs
+++ b/src/allowance/loans.rs
@@ -1,4 +1,5 @@
-//! Both sides of lending between routers, apart from sending and waiting. Pure.
+//! State of loans between routers, on the lender's and on the borrower's side, without sending or
+//! waiting. Pure.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,57 +11,60 @@
 use super::wire::LoanUse;
 use crate::ids::Tokens;
 
-/// A loan of which nothing was heard for so long is lost: its borrower has ended, or forgot it.
-/// Longer than any request may take, so that a router that was cut off from the others for a while
-/// can still say what became of it.
+/// A loan without reports for this time is written off, because its borrower has crashed or lost
+/// it. Longer than any request may take, so that a router that was partitioned from the others for
+/// a while can still report the cost.
 const LOAN_EXPIRY: Duration = Duration::from_secs(90);
-/// How long a lender knows the number of a loan that has ended. Longer than a datagram takes.
+/// How long a lender remembers the number of an ended loan. Longer than a datagram takes to arrive.
 const ENDED_LOAN_TTL: Duration = Duration::from_secs(5);
-/// A lender that has not heard of a loan for so long reminds its borrower of it. An ask that came
-/// twice, the second time after the loan's end, makes a loan of which the borrower does not know.
+/// A lender that has received no report of a loan for this time sends its borrower a reminder. A
+/// duplicate ask that arrives after the loan's end creates a loan that the borrower does not know
+/// of.
 const REMINDER_INTERVAL: Duration = Duration::from_secs(3);
-/// Pause between two messages about the end of a loan that is not acknowledged: at least this, and
-/// this part of the time since it ended. A lender that is down for long is not told every moment.
+/// Interval between two reports of a loan's end until one is acknowledged: the minimum, and the
+/// divisor of the time since the end. The interval grows so that a lender that is down for long
+/// does not receive a stream of reports.
 const END_REPORT_BACKOFF: (Duration, u32) = (Duration::from_millis(250), 4);
-/// A borrower gives up telling after so long: its lender is gone.
+/// A borrower stops reporting a loan's end after this time, because the lender is gone.
 const END_REPORT_GIVE_UP_AFTER: Duration = Duration::from_secs(60);
-/// A running loan's use is told once this part of it more is proved, in per cent. A prompt is
-/// most of a request and is proved with its first event, so that is said once, and the end.
+/// The use of a running loan is reported once this share of it is newly proven, in percent. The
+/// prompt is most of a request and is proven with the first event, so a loan usually takes one such
+/// report and one for its end.
 const USE_REPORT_PERCENT: u64 = 25;
 
-/// Which loan: the borrower's process, and its number there.
+/// Identifies a loan: the borrower's incarnation, and the loan's number there.
 pub(super) type LoanId = (u64, u64);
 
 /// Tokens that this router has lent.
 #[derive(Clone, Debug)]
 pub(super) struct LentLoan {
     pub(super) id: LoanId,
-    /// Where its borrower is.
+    /// Address of the borrower.
     pub(super) borrower: SocketAddr,
     pub(super) org: CompactString,
     pub(super) max_cost: Tokens,
     pub(super) proven: Tokens,
-    /// When its borrower spoke of it, and when it was last reminded.
+    /// When the borrower last reported on the loan, and when it was last sent a reminder.
     last_report: Instant,
     last_reminder: Instant,
 }
 
-/// What a use of a loan means for the lender's account.
+/// Change of the lender's account that follows from a report.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum LoanChange {
-    /// So much more is proved.
+    /// This many more tokens are proven.
     Proven(CompactString, Tokens),
-    /// It has ended: what it was, what it cost, what of it was proved before.
+    /// The loan has ended: its size, its cost, and the tokens that were proven before.
     Ended { org: CompactString, max_cost: Tokens, actual: Tokens, proven: Tokens },
 }
 
-/// All loans that this router has made, by id.
+/// All loans that this router has given, by id.
 #[derive(Debug, Default)]
 pub(super) struct LentLoans {
     loans: Vec<LentLoan>,
-    /// Asks that wait for a part.
+    /// Asks that wait for tokens.
     waiting: Vec<LoanId>,
-    /// Loans that have ended a moment ago: the same ask may come once more.
+    /// Loans that ended recently, to detect duplicates of their asks.
     ended: VecDeque<(LoanId, Instant)>,
 }
 
@@ -69,12 +73,12 @@
         self.loans.binary_search_by_key(&id, |l| l.id)
     }
 
-    /// Whether the loan was made and has not ended.
+    /// Whether the loan was given and has not ended.
     pub(super) fn contains(&self, id: LoanId) -> bool {
         self.find(id).is_ok()
     }
 
-    /// Whether it has ended lately.
+    /// Whether the loan has ended recently.
     pub(super) fn ended_recently(&mut self, id: LoanId, now: Instant) -> bool {
         let is_old =
             |(_, at): &(LoanId, Instant)| now.saturating_duration_since(*at) >= ENDED_LOAN_TTL;
@@ -84,28 +88,29 @@
         self.ended.iter().any(|(ended, _)| *ended == id)
     }
 
-    /// Whether there are any.
+    /// Whether there are no loans.
     pub(super) fn is_empty(&self) -> bool {
         self.loans.is_empty()
     }
 
-    /// Whether an ask waits.
+    /// Whether an ask waits for tokens.
     pub(super) fn is_waiting(&self, id: LoanId) -> bool {
         self.waiting.contains(&id)
     }
 
-    /// An ask begins to wait.
+    /// Records that an ask waits for tokens.
     pub(super) fn begin_wait(&mut self, id: LoanId) {
         self.waiting.push(id);
     }
 
-    /// An ask waits no longer. False if its sender has taken it back meanwhile.
+    /// Records that an ask no longer waits. Returns false if the borrower has cancelled it in the
+    /// meantime.
     pub(super) fn end_wait(&mut self, id: LoanId) -> bool {
         let found = self.waiting.iter().position(|w| *w == id);
         found.map(|i| self.waiting.swap_remove(i)).is_some()
     }
 
-    /// Notes a loan.
+    /// Adds a loan.
     pub(super) fn add_loan(
         &mut self,
         id: LoanId,
@@ -121,7 +126,7 @@
         self.loans.insert(i, loan);
     }
 
-    /// The loans of which to remind their borrowers now.
+    /// Marks the loans that are due for a reminder and returns their borrowers and numbers.
     pub(super) fn take_reminders(&mut self, now: Instant) -> Vec<(SocketAddr, u64)> {
         let is_due = |l: &&mut LentLoan| {
             let latest = l.last_report.max(l.last_reminder);
@@ -134,8 +139,8 @@
         self.loans.iter_mut().filter(is_due).map(remind).collect()
     }
 
-    /// A borrower says how it uses a loan. What was said before never shrinks; of a loan that is
-    /// not known (any more) there is nothing to do.
+    /// Applies a borrower's report. Reported amounts never shrink. Reports of unknown loans change
+    /// nothing but end a waiting ask.
     pub(super) fn apply_use(
         &mut self,
         borrower: u64,
@@ -163,7 +168,7 @@
         (more.0 > 0).then(|| LoanChange::Proven(loan.org.clone(), more))
     }
 
-    /// Takes out the loans that nobody will say anything of any more.
+    /// Removes and returns the loans whose borrowers have stopped reporting.
     pub(super) fn take_expired(&mut self, now: Instant) -> Vec<LentLoan> {
         let is_lost = |l: &LentLoan| now.saturating_duration_since(l.last_report) >= LOAN_EXPIRY;
         let expired = self.loans.iter().filter(|l| is_lost(l)).cloned().collect();
@@ -177,13 +182,13 @@
 pub(super) struct BorrowedLoan {
     number: u64,
     pub(super) lender: SocketAddr,
-    /// The lender's process; 0 while it has not answered.
+    /// Incarnation of the lender; 0 until it has answered.
     lender_process: u64,
     max_cost: Tokens,
     actual: Tokens,
     proven: Tokens,
     ended: Option<Instant>,
-    /// What the lender was told to be proved, and when it was told last.
+    /// The proven tokens last reported to the lender, and when they were reported.
     reported_proven: Tokens,
     reported_at: Option<Instant>,
 }
@@ -220,8 +225,8 @@
         Some(&mut self.0[i])
     }
 
-    /// Notes an ask; `number` is higher than all before. Until it is answered it counts as one that
-    /// must be taken back.
+    /// Adds a loan for an ask; `number` must be higher than all before. Until the ask is answered,
+    /// the loan has to be cancelled if the request gives up.
     pub(super) fn add_loan(&mut self, number: u64, lender: SocketAddr, max_cost: Tokens) {
         let zero = Tokens(0);
         self.0.push(BorrowedLoan {
@@ -237,20 +242,20 @@
         });
     }
 
-    /// The ask was granted by the process `lender`.
+    /// Records that the process `lender` granted the ask.
     pub(super) fn record_lender(&mut self, number: u64, lender: u64) {
         if let Some(d) = self.get(number) {
             d.lender_process = lender;
         }
     }
 
-    /// The ask was turned away: nothing was lent.
+    /// Removes a loan whose ask was refused.
     pub(super) fn remove(&mut self, number: u64) {
         self.0.retain(|d| d.number != number);
     }
 
-    /// What a request has cost so far, and what of it is sure. Returns whether its lender should be
-    /// told.
+    /// Sets the cost and the proven tokens of a loan. Returns whether a report to the lender is
+    /// due.
     pub(super) fn apply_use(
         &mut self,
         number: u64,
@@ -263,7 +268,7 @@
         d.is_due(now)
     }
 
-    /// Nothing more will be spent of it.
+    /// Ends a loan; no more will be spent from it.
     pub(super) fn end(&mut self, number: u64, actual: Tokens, proven: Tokens, now: Instant) {
         if let Some(d) = self.get(number) {
             (d.actual, d.proven) = (actual, proven);
@@ -271,25 +276,26 @@
         }
     }
 
-    /// How a loan that runs is used, as its lender asks.
+    /// The current use of a running loan, in answer to a reminder.
     pub(super) fn running_use(&mut self, number: u64) -> Option<LoanUse> {
         self.get(number).filter(|d| d.ended.is_none()).map(|d| d.to_use())
     }
 
-    /// Whether nothing was or will be spent of a loan that the process `lender` speaks of: it is
-    /// another process's by now, or its end is known to the lender, and this is a message of before
-    /// or an ask that came twice. One that has ended and was not told yet is none of these: its
-    /// lender must hear what it has cost.
+    /// Whether nothing was or will be spent from the loan that the process `lender` refers to.
+    /// Either the loan is from another process by now, or the lender has acknowledged its end and
+    /// the message is old or answers a duplicate ask. A loan that has ended without an
+    /// acknowledgement does not count as unused: the lender still needs its cost.
     pub(super) fn is_unused(&mut self, number: u64, lender: u64) -> bool {
         self.get(number).is_none_or(|d| d.lender_process != 0 && d.lender_process != lender)
     }
 
-    /// The lender knows that it has ended.
+    /// Removes a loan whose end the lender has acknowledged.
     pub(super) fn acknowledge(&mut self, number: u64) {
         self.0.retain(|d| d.number != number || d.ended.is_none());
     }
 
-    /// What to tell whom now.
+    /// Returns the reports that are due and their recipients, sorted by recipient, and marks them
+    /// as sent.
     pub(super) fn take_due(&mut self, now: Instant) -> Vec<(SocketAddr, LoanUse)> {
         let given_up = |d: &BorrowedLoan| {
             d.ended.is_some_and(|t| now.saturating_duration_since(t) >= END_REPORT_GIVE_UP_AFTER)
@@ -305,7 +311,7 @@
         due
     }
 
-    /// Whether some lender does not know yet that a loan has ended.
+    /// Whether the end of some loan is not acknowledged yet.
     pub(super) fn has_unacknowledged(&self) -> bool {
         self.0.iter().any(|d| d.ended.is_some())
     }
--- a/src/allowance/peers.rs
+++ b/src/allowance/peers.rs
@@ -1,5 +1,4 @@
-//! What a router knows of the others that it lends to and borrows from, and what it has to say
-//! to them.
+//! A router's state of lending to and borrowing from other routers, and its outgoing messages.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,42 +10,42 @@
 use super::loans::{BorrowedLoans, LentLoans};
 use super::wire::Answer;
 
-/// How long a router that did not answer is passed over. Then one request tries it again.
+/// How long a router that did not answer is skipped. After that one request tries it again.
 const SKIP_FOR: Duration = Duration::from_millis(500);
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Outgoing {
-    /// To whom.
+    /// Destination address.
     pub to: SocketAddr,
-    /// What.
+    /// Encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// The number of an ask that waits for its answer, and where that goes.
+/// The number of a pending ask, and the channel for its answer.
 type Waiter = (u64, oneshot::Sender<Answer>);
 
 /// State of lending and borrowing.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
-    /// What this router has lent.
+    /// Loans that this router has given.
     pub(super) lent: RefCell<LentLoans>,
-    /// What it has borrowed.
+    /// Loans that this router has taken.
     pub(super) borrowed: RefCell<BorrowedLoans>,
-    /// The number of the latest ask.
+    /// Number of the latest ask.
     last_number: Cell<u64>,
     pending_asks: RefCell<Vec<Waiter>>,
-    /// Routers that did not answer of late, and until when they are passed over.
+    /// Routers that did not answer recently, and until when they are skipped.
     unresponsive: RefCell<Vec<(SocketAddr, Instant)>>,
     outbox: RefCell<Vec<Outgoing>>,
-    /// Fires when there is something to send.
+    /// Notified when there are datagrams to send.
     pub(super) outbox_ready: Notify,
-    /// Fires when a lender should be told of a loan.
+    /// Notified when a report to a lender is due.
     pub(super) reports_due: Notify,
 }
 
 impl Peers {
-    /// A number for an ask, and where its answer will arrive.
+    /// Allocates the number of an ask and the channel on which its answer will arrive.
     pub(super) fn register(&self) -> (u64, oneshot::Receiver<Answer>) {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
@@ -55,12 +54,12 @@
         (number, rx)
     }
 
-    /// Whether somebody waits for the answer to an ask.
+    /// Whether a request still waits for the answer to an ask.
     pub(super) fn is_pending(&self, number: u64) -> bool {
         self.pending_asks.borrow().iter().any(|(n, tx)| *n == number && !tx.is_closed())
     }
 
-    /// An answer has arrived. False if nobody waits for it (any more).
+    /// Passes an answer to the request that waits for it. Returns false if none does (any more).
     pub(super) fn deliver_answer(&self, number: u64, answer: Answer) -> bool {
         let mut pending_asks = self.pending_asks.borrow_mut();
         let Some(i) = pending_asks.iter().position(|(n, _)| *n == number) else { return false };
@@ -68,13 +67,13 @@
         tx.send(answer).is_ok()
     }
 
-    /// Nobody waits for the answer any more.
+    /// Removes a pending ask.
     pub(super) fn cancel_ask(&self, number: u64) {
         self.pending_asks.borrow_mut().retain(|(n, _)| *n != number);
     }
 
-    /// Whether to pass a router over. Once its time is over one request tries it, and the others
-    /// go on passing it over until it has answered.
+    /// Whether to skip a router. Once its time is up one request tries the router, and the others
+    /// keep skipping it until it has answered.
     pub(super) fn should_skip(&self, addr: SocketAddr, now: Instant) -> bool {
         let mut unresponsive = self.unresponsive.borrow_mut();
         let Some(entry) = unresponsive.iter_mut().find(|(a, _)| *a == addr) else { return false };
@@ -85,25 +84,25 @@
         false
     }
 
-    /// A router did not answer.
+    /// Records that a router did not answer.
     pub(super) fn mark_unresponsive(&self, addr: SocketAddr, now: Instant) {
         let mut unresponsive = self.unresponsive.borrow_mut();
         unresponsive.retain(|(a, _)| *a != addr);
         unresponsive.push((addr, now + SKIP_FOR));
     }
 
-    /// A router said something.
+    /// Records that a message from a router has arrived.
     pub(super) fn mark_responsive(&self, addr: SocketAddr) {
         self.unresponsive.borrow_mut().retain(|(a, _)| *a != addr);
     }
 
-    /// Puts a datagram into the outbox.
+    /// Adds a datagram to the outbox.
     pub(super) fn enqueue(&self, to: SocketAddr, bytes: Vec<u8>) {
         self.outbox.borrow_mut().push(Outgoing { to, bytes });
         self.outbox_ready.notify_one();
     }
 
-    /// What is to be sent now.
+    /// Removes and returns the datagrams to send now.
     pub(super) fn take_outbox(&self) -> Vec<Outgoing> {
         self.outbox.take()
     }
--- a/src/allowance/wire.rs
+++ b/src/allowance/wire.rs
@@ -1,8 +1,8 @@
-//! What routers say to one another about budgets: one datagram a message, in CBOR.
+//! Messages between routers about budgets: one CBOR-encoded message in each datagram.
 //!
-//! Any message may be lost, late or doubled. An ask bears a number that its sender never uses
-//! again, so that a lender that hears it twice lends once; uses are cumulative, and the last one of
-//! a loan is sent until it is acknowledged.
+//! Messages may be lost, delayed or duplicated. The number of an ask is never reused by its sender,
+//! so a lender gives one loan for duplicate asks. Reports are cumulative, and the last report of a
+//! loan is sent until it is acknowledged.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -10,51 +10,52 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::Tokens;
 
-/// Format of a datagram; others are ignored.
+/// Format of a datagram. Datagrams of another format are ignored.
 const FORMAT: u8 = 1;
-/// Uses in one datagram, at most: 50 bytes each keep it under a usual packet.
+/// Maximum number of reports in one datagram. At 50 bytes each they fit into a usual packet.
 pub const MAX_USES: usize = 20;
 
-/// A request for a part of a budget.
+/// An ask for tokens of a budget.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Ask {
-    /// Number of the loan, among those of the sender's process.
+    /// Number of the loan, unique within the sender's process.
     pub number: u64,
     /// The organisation.
     pub org: CompactString,
-    /// How much.
+    /// Number of tokens.
     #[serde(rename = "most")]
     pub max_cost: Tokens,
-    /// What the organisation prepaid, as the sender knows it.
+    /// The organisation's prepaid amount, as known to the sender.
     pub prepaid: Tokens,
 }
 
-/// What became of an ask.
+/// Answer to an ask.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Answer {
-    /// The sender may spend what it asked for.
+    /// The sender may spend the tokens it asked for.
     Lent,
-    /// The lender has no part left; in so many ms its line will cover it, if it knows.
+    /// The lender has too little left. The time in ms until its spending limit covers the ask, if
+    /// known.
     NoneHere(Option<u32>),
-    /// The organisation's row shows that it does not fit any more.
+    /// The organisation's ledger proves that the ask exceeds what is left of the budget.
     Spent,
 }
 
-/// How a loan is used.
+/// A report on the use of a loan.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct LoanUse {
-    /// Its number.
+    /// Number of the loan.
     pub number: u64,
-    /// The process that lent it; 0 if its answer never came.
+    /// Incarnation of the lender; 0 if its answer never arrived.
     pub lender: u64,
-    /// Spent so far.
+    /// Tokens spent so far.
     pub actual: Tokens,
-    /// Surely spent so far.
+    /// Tokens spent for certain so far.
     pub proven: Tokens,
-    /// Whether nothing more will be spent.
+    /// Whether the loan has ended.
     pub ended: bool,
 }
 
@@ -62,37 +63,37 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Message {
-    /// To a lender.
+    /// Ask, sent to a lender.
     Ask(Ask),
-    /// From a lender, about the ask of this number.
+    /// Answer of a lender to the ask with this number.
     Answer(u64, Answer),
-    /// To a lender.
+    /// Reports on loans, sent to their lender.
     Uses(Vec<LoanUse>),
-    /// From a lender: the last uses of these loans have arrived.
+    /// Acknowledgement by a lender of the final reports of these loans.
     Noted(Vec<u64>),
 }
 
-/// A message with its sender's process.
+/// A message with its sender's incarnation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Envelope {
     format: u8,
-    /// The sender's process.
+    /// Incarnation of the sender.
     pub from: u64,
-    /// What it says.
+    /// The message.
     pub message: Message,
 }
 
 impl Envelope {
-    /// A message of the process `from`.
+    /// Wraps a message from the process `from`.
     pub fn new(from: u64, message: Message) -> Envelope {
         Envelope { format: FORMAT, from, message }
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// `BadFormat` if it is damaged or of another format.
+    /// `BadFormat` if the datagram is damaged or has another format.
     pub fn decode(bytes: &[u8]) -> Result<Envelope> {
         let unreadable = |_| Error::new(Kind::BadFormat, "budget datagram cannot be read");
         let envelope: Envelope = ciborium::from_reader(bytes).map_err(unreadable)?;
@@ -102,7 +103,7 @@
         Ok(envelope)
     }
 
-    /// The datagram.
+    /// The encoded datagram.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(128);
         ciborium::into_writer(self, &mut out).expect("writing to memory cannot fail");
--- a/src/rows/memory.rs
+++ b/src/rows/memory.rs
@@ -1,4 +1,4 @@
-//! A row store in memory, for tests and demonstrations, that can be told to fail.
+//! An in-memory row store with fault injection, for tests and demonstrations.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,24 +14,25 @@
     Ver,
 };
 
-/// How often a waiting feed looks for a change of the injected fault.
+/// How often a waiting feed checks whether the injected fault has changed.
 const FEED_POLL: Duration = Duration::from_millis(50);
 
-/// What goes wrong with calls to the store.
+/// A fault that is injected into calls to the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Calls are turned away with this status; nothing is done.
+    /// Calls are rejected with this HTTP status and have no effect.
     Reject(u16),
-    /// Calls are never answered and do nothing.
+    /// Calls are never answered and have no effect.
     Silent,
-    /// Transactions take effect and are answered after so long.
+    /// Transactions take effect and are answered after this delay.
     Slow(Duration),
-    /// Transactions take effect, and their answers are lost.
+    /// Transactions take effect, but their answers are lost.
     LoseAnswers,
-    /// Transactions are not answered, and take effect later if their conditions still hold.
+    /// Transactions are not answered, and take effect after this delay if their conditions still
+    /// hold.
     Late(Duration),
 }
 
@@ -83,22 +84,22 @@
 #[derive(Debug)]
 struct Shared {
     inner: RefCell<Inner>,
-    /// Partitions that answer nobody, sorted.
+    /// Partitions that do not answer, sorted.
     unresponsive: RefCell<Vec<CompactString>>,
     changed: Notify,
     start: Instant,
 }
 
-/// The way that values take to one user of the store. They go one after another.
+/// The link over which values reach one client, one answer after another.
 #[derive(Debug)]
 struct Link {
-    /// Bytes a second; without one they arrive at once.
+    /// Bytes a second; `None` means that values arrive at once.
     rate: Cell<Option<u64>>,
-    /// When the values that are on their way have arrived.
+    /// When all values in transfer will have arrived.
     idle_at: Cell<Instant>,
-    /// Bytes that were sent, also those that nobody waited for.
+    /// Bytes sent, including answers that no caller waited for.
     sent_bytes: Cell<u64>,
-    /// Feeds that were asked for.
+    /// Number of feed requests.
     feed_count: Cell<u64>,
 }
 
@@ -123,8 +124,9 @@
     }
 }
 
-/// A handle to the store. Clones share the rows, and each has a fault and a link of its own, so
-/// that one user of the store can be cut off while others go on.
+/// A client's handle to the store. Clones share the rows, the fault and the link. Handles from
+/// [`MemoryRows::new_client`] share only the rows, so that one client can lose the store while
+/// others go on.
 #[derive(Clone, Debug)]
 pub struct MemoryRows {
     shared: Rc<Shared>,
@@ -150,34 +152,34 @@
         MemoryRows { shared: Rc::new(shared), fault: Rc::default(), link: Rc::new(Link::new()) }
     }
 
-    /// A handle for another user of the same rows, with a fault and a link of its own.
+    /// A handle for another client of the same rows, with its own fault and link.
     pub fn new_client(&self) -> MemoryRows {
         MemoryRows { shared: self.shared.clone(), fault: Rc::default(), link: Rc::new(Link::new()) }
     }
 
-    /// Sets how many bytes of values a second reach this user from now on.
+    /// Limits the link of this client to `bytes_per_s` bytes of values a second.
     pub fn set_bytes_per_s(&self, bytes_per_s: u64) {
         self.link.rate.set(Some(bytes_per_s));
     }
 
-    /// Bytes of values that were sent to this user.
+    /// Bytes of values sent to this client.
     pub fn bytes_sent(&self) -> u64 {
         self.link.sent_bytes.get()
     }
 
-    /// Sets what goes wrong from now on.
+    /// Sets the fault for later calls.
     pub fn set_fault(&self, fault: Fault) {
         *self.fault.borrow_mut() = fault;
     }
 
-    /// Sets which partitions answer nobody from now on, in all tables.
+    /// Sets the partitions that do not answer, in all tables.
     pub fn set_unresponsive(&self, partitions: &[&str]) {
         let mut unresponsive: Vec<CompactString> = partitions.iter().map(|p| (*p).into()).collect();
         unresponsive.sort();
         *self.shared.unresponsive.borrow_mut() = unresponsive;
     }
 
-    /// Feeds that this user asked for, answered or not.
+    /// Number of feed requests by this client, answered or not.
     pub fn feed_requests(&self) -> u64 {
         self.link.feed_count.get()
     }
@@ -186,7 +188,7 @@
         self.shared.unresponsive.borrow().binary_search_by(|p| p.as_str().cmp(part)).is_ok()
     }
 
-    /// Drops the history of changes: feeds from before now are told to read again.
+    /// Drops the history of changes. Feeds from an earlier version fail with `HistoryGone`.
     pub fn compact(&self) {
         let mut inner = self.shared.inner.borrow_mut();
         inner.change_log.clear();
@@ -194,7 +196,7 @@
         inner.history_from = inner.ver;
     }
 
-    /// Writes a row without any condition, as an operator or target would.
+    /// Writes a row unconditionally, as an operator or target would.
     pub fn put(&self, table: &str, key: &str, value: &[u8]) -> Ver {
         let at = RowKey::new(table, key);
         let tx = Tx { write: vec![(at, Bytes::copy_from_slice(value))], ..Tx::default() };
@@ -204,11 +206,11 @@
     /// Deletes a row.
     pub fn remove(&self, table: &str, key: &str) {
         let tx = Tx { delete: vec![RowKey::new(table, key)], ..Tx::default() };
-        // Without conditions there is no conflict to report.
+        // There are no conditions, so no conflict is possible.
         drop(self.apply(&tx));
     }
 
-    /// A row's value as it stands, whatever goes wrong with calls.
+    /// The current value of a row, regardless of faults.
     pub fn peek(&self, at: &RowKey) -> Option<Bytes> {
         self.shared.inner.borrow().current(at).value
     }
@@ -229,7 +231,7 @@
         *self.fault.borrow()
     }
 
-    /// Fails as the fault says; transactions see to their own faults.
+    /// Applies faults that make every call fail. Faults of transactions are applied in `commit`.
     async fn fail_if_faulty(&self) -> StoreResult<()> {
         match self.fault() {
             Fault::Reject(status) => Err(StoreError::Rejected(status)),
@@ -238,7 +240,7 @@
         }
     }
 
-    /// The answer with these rows, once it has arrived.
+    /// Builds the answer with these rows and returns it once it has arrived.
     async fn send_page(&self, rows: Vec<Row>) -> Page {
         let page = Page { rows, ver: self.shared.inner.borrow().ver, now: self.now() };
         self.link.transfer(&page.rows).await;
@@ -246,7 +248,7 @@
     }
 }
 
-/// A call that nobody answers: the client's timeout ends it.
+/// A call without an answer, which ends with the client's timeout.
 async fn time_out<T>() -> StoreResult<T> {
     tokio::time::sleep(Duration::from_secs(1)).await;
     Err(StoreError::Unknown(CompactString::const_new("timeout")))
@@ -303,7 +305,7 @@
             let (late, tx) = (self.clone(), tx.clone());
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(delay).await;
-                // A condition that no longer holds is the usual end of a late write.
+                // The conditions of a late write usually no longer hold.
                 drop(late.apply(&tx));
             });
             return time_out().await;
--- a/src/rows/mod.rs
+++ b/src/rows/mod.rs
@@ -1,5 +1,5 @@
-//! The row store that outlives every instance: tables of versioned rows, atomic transactions
-//! under conditions, and a feed of changes. Values are small and replaced as a whole.
+//! The row store that outlives every instance: tables of versioned rows, conditional atomic
+//! transactions, and a feed of changes. Values are small and always replaced as a whole.
 
 mod memory;
 
@@ -12,7 +12,8 @@
 
 pub use memory::{Fault, MemoryRows};
 
-/// The store's counter: it grows with each transaction, and each row bears the one that wrote it.
+/// The store's version counter. It grows with each transaction, and each row carries the version of
+/// the transaction that wrote it.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(transparent)]
@@ -24,7 +25,7 @@
     }
 }
 
-/// Milliseconds of the store's steady clock. Comparable only with others of the same store.
+/// Milliseconds of the store's monotonic clock. Comparable only with times of the same store.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(transparent)]
@@ -36,12 +37,12 @@
     }
 }
 
-/// Where a row lies.
+/// Identifies a row.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RowKey {
     /// Table.
     pub table: CompactString,
-    /// Partition within the table; transactions over one partition are the cheap ones.
+    /// Partition within the table. Transactions within one partition are the cheap ones.
     pub part: CompactString,
     /// Key within the partition.
     pub key: CompactString,
@@ -59,32 +60,32 @@
     }
 }
 
-/// A row as it stands, or, with no value, that it does not exist (any more).
+/// The current state of a row. A row without a value does not exist (any more).
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Row {
-    /// Where it lies.
+    /// Key of the row.
     pub at: RowKey,
-    /// The transaction that wrote it; 0 if it does not exist.
+    /// Version of the transaction that wrote the row; 0 if the row does not exist.
     pub ver: Ver,
-    /// Its value; `None` once it is deleted.
+    /// Value of the row; `None` if it was deleted.
     pub value: Option<Bytes>,
 }
 
-/// Rows and the moment they belong to.
+/// Rows as of one version of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
-    /// The rows, by key; of a feed, in the order of their changes.
+    /// The rows, sorted by key, or in the order of their changes if they come from a feed.
     pub rows: Vec<Row>,
-    /// The newest transaction that this answer takes into account.
+    /// Version of the newest transaction that this answer includes.
     pub ver: Ver,
     /// The store's clock when it answered.
     pub now: StoreMs,
 }
 
-/// What a transaction must find, and what it then does.
+/// A conditional transaction.
 #[derive(Clone, Debug, Default)]
 pub struct Tx {
-    /// Rows with the version that each must have; 0: it must not exist.
+    /// Rows with the version that each must have; 0 if the row must not exist.
     pub expect: Vec<(RowKey, Ver)>,
     /// Rows to write.
     pub write: Vec<(RowKey, Bytes)>,
@@ -93,7 +94,7 @@
 }
 
 impl Tx {
-    /// Whether the rows lie in more than one partition.
+    /// Whether the rows are in more than one partition.
     pub fn spans_partitions(&self) -> bool {
         let expected = self.expect.iter().map(|(at, _)| at);
         let writes = self.write.iter().map(|(at, _)| at);
@@ -106,22 +107,22 @@
 /// A transaction that took effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Committed {
-    /// Its number, borne by every row it wrote.
+    /// Version of the transaction, which all rows that it wrote carry.
     pub ver: Ver,
     /// The store's clock when it answered.
     pub now: StoreMs,
 }
 
-/// Why a call to the store did not succeed.
+/// Why a call to the store failed.
 #[derive(Clone, Debug)]
 pub enum StoreError {
-    /// A condition did not hold. Carries the rows as they stand; nothing was done.
+    /// A condition did not hold and nothing was changed. Contains the current rows.
     Conflict(Vec<Row>),
-    /// The history asked for is gone: read everything again.
+    /// The requested history was compacted away. Everything has to be read again.
     HistoryGone,
-    /// The store turned the call away; nothing was done.
+    /// The store rejected the call with this HTTP status; nothing was changed.
     Rejected(u16),
-    /// No answer. A transaction may have taken effect, or may do so seconds later.
+    /// There was no answer. A transaction may have taken effect or may still do so seconds later.
     Unknown(CompactString),
 }
 
@@ -136,30 +137,30 @@
     }
 }
 
-/// Outcome of a call to the store.
+/// Result of a call to the store.
 pub type StoreResult<T> = Result<T, StoreError>;
 
-/// Whether an answer is on its way: its first byte has come and its last one has not. A large one
-/// takes seconds over a narrow link; whoever wants the same rows waits for it, as a second reading
-/// would take just as long again and slow down the first.
+/// Counts the answers that are being received, from their first to their last byte. A large answer
+/// takes seconds over a slow link. A second reader of the same rows waits for it, because another
+/// read would take just as long and would slow down the first.
 #[derive(Debug, Default)]
 pub struct ArrivingAnswers(watch::Sender<usize>);
 
 impl ArrivingAnswers {
-    /// An answer has begun to come; it counts as on its way until the guard is dropped.
+    /// Counts an answer as being received until the guard is dropped.
     pub fn start_answer(&self) -> ArrivingAnswer<'_> {
         self.0.send_modify(|n| *n += 1);
         ArrivingAnswer(self)
     }
 
-    /// Waits until no answer is on its way.
+    /// Waits until no answer is being received.
     pub async fn wait_until_none(&self) {
-        // The sender lives as long as `self`: the channel cannot be closed.
+        // The sender lives as long as `self`, so the channel cannot be closed.
         let _ = self.0.subscribe().wait_for(|n| *n == 0).await;
     }
 }
 
-/// See [`Arriving::begin`].
+/// Guard of [`ArrivingAnswers::start_answer`].
 #[derive(Debug)]
 pub struct ArrivingAnswer<'a>(&'a ArrivingAnswers);
 
@@ -169,13 +170,14 @@
     }
 }
 
-/// A row store.
+/// A client of the row store.
 pub trait RowStore: Clone + 'static {
-    /// Reads all rows of one of a table's partitions, as of one moment.
+    /// Reads all rows of a partition as of one moment.
     fn scan(&self, table: &str, part: &str) -> impl Future<Output = StoreResult<Page>>;
 
-    /// Waits up to `wait` for changes of a table after `after`. No rows: nothing changed; go on
-    /// from the answer's `ver`. `arriving` tells others that the answer has begun to come.
+    /// Waits up to `wait` for changes of a table after version `after`. An answer without rows
+    /// means no changes; continue from its `ver`. `arriving` counts the answer while it is being
+    /// received.
     fn feed(
         &self,
         table: &str,
@@ -184,6 +186,6 @@
         arriving: &ArrivingAnswers,
     ) -> impl Future<Output = StoreResult<Page>>;
 
-    /// Applies a transaction, all of it or nothing.
+    /// Applies a transaction atomically.
     fn commit(&self, tx: &Tx) -> impl Future<Output = StoreResult<Committed>>;
 }
