--- a/src/allowance/ledger.rs
+++ b/src/allowance/ledger.rs
@@ -98,10 +98,10 @@
     /// `BadFormat` if the row is damaged or has another format. Nothing may be spent then: an
     /// unreadable budget must not be taken for an unused one.
     pub fn decode(value: &[u8]) -> Result<Ledger> {
-        let unreadable = |_| Error::new(Kind::BadFormat, "budget row cannot be read");
+        let unreadable = |_| Error::new(Kind::BadFormat, "budget row is not a CBOR-encoded ledger");
         let ledger: Ledger = ciborium::from_reader(value).map_err(unreadable)?;
         if ledger.format != FORMAT {
-            return Err(Error::new(Kind::BadFormat, "budget row is of another format"));
+            return Err(Error::new(Kind::BadFormat, "budget row has an unsupported format number"));
         }
         Ok(ledger)
     }
--- a/src/allowance/spending.rs
+++ b/src/allowance/spending.rs
@@ -76,10 +76,14 @@
     /// `BadFormat` if the row is damaged or has another format. Nothing may be closed based on it
     /// then.
     pub fn decode(value: &[u8]) -> Result<Spending> {
-        let unreadable = |_| Error::new(Kind::BadFormat, "spending row cannot be read");
+        let unreadable =
+            |_| Error::new(Kind::BadFormat, "spending row is not CBOR-encoded spending");
         let row: Spending = ciborium::from_reader(value).map_err(unreadable)?;
         if row.format != FORMAT {
-            return Err(Error::new(Kind::BadFormat, "spending row is of another format"));
+            return Err(Error::new(
+                Kind::BadFormat,
+                "spending row has an unsupported format number",
+            ));
         }
         Ok(row)
     }
--- a/src/allowance/wire.rs
+++ b/src/allowance/wire.rs
@@ -95,10 +95,14 @@
     /// # Errors
     /// `BadFormat` if the datagram is damaged or has another format.
     pub fn decode(bytes: &[u8]) -> Result<Envelope> {
-        let unreadable = |_| Error::new(Kind::BadFormat, "budget datagram cannot be read");
+        let unreadable =
+            |_| Error::new(Kind::BadFormat, "budget datagram is not a CBOR-encoded message");
         let envelope: Envelope = ciborium::from_reader(bytes).map_err(unreadable)?;
         if envelope.format != FORMAT {
-            return Err(Error::new(Kind::BadFormat, "budget datagram is of another format"));
+            return Err(Error::new(
+                Kind::BadFormat,
+                "budget datagram has an unsupported format number",
+            ));
         }
         Ok(envelope)
     }
--- a/tests/lending_fleet.rs
+++ b/tests/lending_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of keepers of budgets that lend to one another, on a store in memory and a network of
-//! datagrams that loses, doubles and delays them as it is told.
+//! A fleet of budget managers that lend to one another, on an in-memory store and a simulated
+//! network that loses, duplicates and delays datagrams.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,51 +15,51 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::sleep;
 
-/// The organisation that everybody spends of.
+/// The organisation whose budget is spent.
 pub const ORG: &str = "norte";
-/// How long the store takes for a transaction.
+/// Duration of a transaction.
 const STORE_LATENCY: Duration = Duration::from_millis(4);
-/// How long a datagram takes.
+/// Latency of a datagram.
 const DATAGRAM_LATENCY: Duration = Duration::from_millis(1);
 
-/// What the network does to datagrams, in per cent.
+/// Network faults, in percent of all datagrams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkFaults {
-    /// Those that are lost.
+    /// Datagrams that are lost.
     pub lost_percent: u32,
-    /// Those that arrive twice, the second time up to a second later.
+    /// Datagrams that arrive twice, the second time up to a second later.
     pub duplicated_percent: u32,
 }
 
-/// One router.
+/// A running router.
 pub struct RouterHost {
-    /// Its keeper.
+    /// Its budget manager.
     pub manager: Rc<BudgetManager<MemoryRows>>,
-    /// Its handle of the store, to inject faults.
+    /// Its client of the store, to inject faults.
     pub rows: MemoryRows,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// A fleet, and what its callers got.
+/// A fleet, and what its callers received.
 pub struct Fleet {
     /// The store.
     pub store: MemoryRows,
     zones: usize,
     horizon_ms: u64,
     prepaid: Cell<u64>,
-    /// The routers; none where one is down.
+    /// The routers; `None` for a router that is down.
     pub hosts: RefCell<Vec<Option<RouterHost>>>,
-    /// Routers that hear and reach no other.
+    /// Routers that are isolated from all others.
     pub isolated: RefCell<Vec<usize>>,
-    /// What the network does.
+    /// The network's faults.
     pub network: Cell<NetworkFaults>,
-    /// Tokens that callers got.
+    /// Tokens that callers received.
     pub spent: Cell<u64>,
-    /// Requests that were refused, and those told that the budget is spent.
+    /// Number of refused requests.
     pub refused: Cell<u64>,
-    /// See `refused`.
+    /// Number of requests that were refused because the budget is spent.
     pub refused_as_spent: Cell<u64>,
-    /// The longest time that a request waited for its part.
+    /// The longest time that a request waited for its reservation.
     pub longest_wait: Cell<Duration>,
     incarnation: Cell<u64>,
 }
@@ -75,7 +75,7 @@
 }
 
 impl Fleet {
-    /// A fleet of `routers` in `zones`, all started.
+    /// Starts a fleet of `routers` routers in `zones` zones.
     pub fn start(routers: usize, zones: usize, prepaid: u64) -> Rc<Fleet> {
         let fleet = Rc::new(Fleet {
             store: MemoryRows::new(),
@@ -95,7 +95,7 @@
         fleet
     }
 
-    /// Number of places.
+    /// Number of routers, including those that are down.
     pub fn size(&self) -> usize {
         self.hosts.borrow().len()
     }
@@ -114,7 +114,7 @@
         (0..self.size()).map(lender).collect()
     }
 
-    /// Starts the next process of a place.
+    /// Starts the next process of a router.
     pub fn start_at(self: &Rc<Self>, router: usize) {
         let rows = self.store.new_client();
         rows.set_fault(Fault::Slow(STORE_LATENCY));
@@ -141,12 +141,12 @@
         host.manager.halt();
     }
 
-    /// Ends all of them.
+    /// Kills all routers.
     pub fn kill_all(&self) {
         (0..self.size()).for_each(|router| self.kill(router));
     }
 
-    /// Starts all that are down.
+    /// Starts all routers that are down.
     pub fn start_all(self: &Rc<Self>) {
         for router in 0..self.size() {
             if self.hosts.borrow()[router].is_none() {
@@ -155,36 +155,36 @@
         }
     }
 
-    /// Ends a router as planned, once its own requests have ended.
+    /// Stops a router as planned, once its own requests have ended.
     pub async fn stop(&self, router: usize) {
         let Some(manager) = self.manager(router) else { return };
         manager.stop_lending();
         sleep(Duration::from_millis(1_500)).await;
-        // Loans that are still open then are closed at their most.
+        // Loans that are still open after that are charged at their maximum cost.
         drop(tokio::time::timeout(Duration::from_secs(4), manager.wait_for_loans()).await);
         manager.stop().await;
         self.kill(router);
     }
 
-    /// The keeper of a router.
+    /// The budget manager of a router.
     pub fn manager(&self, router: usize) -> Option<Rc<BudgetManager<MemoryRows>>> {
         self.hosts.borrow()[router].as_ref().map(|h| h.manager.clone())
     }
 
-    /// Sets what goes wrong with a router's calls to the store.
+    /// Sets the fault of a router's calls to the store.
     pub fn set_fault(&self, router: usize, fault: Fault) {
         if let Some(host) = &self.hosts.borrow()[router] {
             host.rows.set_fault(fault);
         }
     }
 
-    /// Cuts all routers off from the store, or heals that.
-    pub fn cut_store(&self, isolated: bool) {
-        let fault = if isolated { Fault::Silent } else { Fault::Slow(STORE_LATENCY) };
+    /// Disconnects all routers from the store, or reconnects them.
+    pub fn cut_store(&self, cut: bool) {
+        let fault = if cut { Fault::Silent } else { Fault::Slow(STORE_LATENCY) };
         (0..self.size()).for_each(|router| self.set_fault(router, fault));
     }
 
-    /// The operator raises the budget.
+    /// Raises the operator's budget.
     pub fn top_up(&self, more: u64) {
         self.prepaid.set(self.prepaid.get() + more);
         for host in self.hosts.borrow().iter().flatten() {
@@ -193,13 +193,13 @@
         }
     }
 
-    /// What was prepaid.
+    /// The prepaid amount.
     pub fn prepaid(&self) -> u64 {
         self.prepaid.get()
     }
 
-    /// A request of `most` at a router, which costs `actual` and runs for `runs`. Half of its cost is
-    /// proved half way.
+    /// Starts a request at a router that reserves `max_cost`, costs `actual` and runs for
+    /// `duration`. Half of its cost is confirmed as delivered halfway.
     pub fn request(self: &Rc<Self>, router: usize, max_cost: u64, actual: u64, duration: Duration) {
         let Some(manager) = self.manager(router) else { return };
         let fleet = self.clone();
@@ -217,7 +217,7 @@
                     return;
                 }
             };
-            // Whatever part of it a caller gets, it gets no more.
+            // The caller receives no more than this.
             fleet.spent.set(fleet.spent.get() + actual);
             sleep(duration / 2).await;
             reservation.set_cost(Tokens(actual / 2));
@@ -227,7 +227,7 @@
         });
     }
 
-    /// Requests at all routers in turn, `per_s` a second for `ms`.
+    /// Sends `per_s` requests a second for `ms` ms, to all routers in turn.
     pub async fn load(self: &Rc<Self>, ms: u64, per_s: u64, max_cost: u64) {
         for i in 0..ms * per_s / 1_000 {
             let router = (i as usize * 7) % self.size();
@@ -236,10 +236,10 @@
         }
     }
 
-    /// The organisation's row.
+    /// The organisation's ledger.
     pub fn ledger(&self) -> Ledger {
         let value = self.store.peek(&RowKey::own_partition("budgets", ORG));
-        value.map_or(Ledger::default(), |v| Ledger::decode(&v).expect("the row can be read"))
+        value.map_or(Ledger::default(), |v| Ledger::decode(&v).expect("the ledger can be decoded"))
     }
 
     fn is_connected(&self, from: usize, to: usize) -> bool {
@@ -259,7 +259,7 @@
     }
 }
 
-/// Carries the datagrams of one router, for ever.
+/// Delivers the datagrams of one router, forever.
 async fn carry_datagrams(fleet: Rc<Fleet>, from: usize, manager: Rc<BudgetManager<MemoryRows>>) {
     loop {
         for out in manager.outgoing().await {
@@ -275,7 +275,7 @@
     }
 }
 
-/// Runs a test in virtual time, with the same random numbers each time.
+/// Runs a test in virtual time with a fixed random seed.
 pub fn in_virtual_time(seed: u64, test: impl Future<Output = ()>) {
     fastrand::seed(seed);
     let rt = tokio::runtime::Builder::new_current_thread()
--- a/tests/manager_host.rs
+++ b/tests/manager_host.rs
@@ -1,4 +1,4 @@
-//! A router's keeper of budgets on a store in memory, as tests of deaths and cuts run it.
+//! Runs a router's budget manager on an in-memory store, for tests of crashes and outages.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,17 +9,18 @@
 use kingcupwall::rows::MemoryRows;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// A keeper and its task.
+/// A running budget manager.
 pub struct ManagerHost {
-    /// The keeper.
+    /// The budget manager.
     pub manager: Rc<BudgetManager<MemoryRows>>,
-    /// Its handle of the store, to inject faults.
+    /// The manager's client of the store, to inject faults.
     pub rows: MemoryRows,
     task: JoinHandle<()>,
 }
 
 impl ManagerHost {
-    /// Starts the process `incarnation` of `place`, one of `routers`, with one organisation.
+    /// Starts process `incarnation` of router number `router`, one of `routers`, with one
+    /// organisation.
     pub fn start(
         rows: MemoryRows,
         (router, incarnation): (usize, u64),
@@ -36,13 +37,13 @@
         ManagerHost { manager, rows, task }
     }
 
-    /// Ends it as planned: what is not spent goes back.
+    /// Stops the process as planned and returns unspent tokens.
     pub async fn stop(self) {
         self.manager.stop().await;
         self.task.abort();
     }
 
-    /// Ends it as a kill would.
+    /// Ends the process as a kill would.
     pub fn kill(self) {
         self.task.abort();
         self.manager.halt();
--- a/tests/test_allowance.rs
+++ b/tests/test_allowance.rs
@@ -1,4 +1,4 @@
-//! Lines, rows and accounts, step by step.
+//! Unit tests of spending limits, ledgers, spending rows and accounts.
 
 use std::time::Duration;
 
@@ -37,9 +37,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn anchored_limit_below_store_limit() {
-    // A process must never allow itself more than its successor takes for granted.
-    // The store's clock was past `seen` when the answer arrived; whatever the local clock says
-    // later, the line read by store time is above the line followed by local time.
+    // Guards against a process that allows itself more than its successor accounts for. The store's
+    // clock was past `seen` when the answer arrived, so at any later time the limit by store time
+    // must be above the limit by local time.
     let l = spending_limit(100, 1_000, 5_000);
     let anchored = AnchoredLimit { spending_limit: l, received_at: Instant::now() };
     for ms in [0, 1, 10, 100, 1_000, 7_777, 60_000] {
@@ -72,8 +72,9 @@
 
 #[test]
 fn spending_into_predecessors() {
-    // Two processes die before anything of theirs is closed: what the first one can have spent
-    // does not grow while the second one lives.
+    // Guards against counting a dead process's spending for the lifetime of its successor. Two
+    // processes die before the spending of either is closed; the first one's bound must not grow
+    // meanwhile.
     let first = spending(1, 80, spending_limit(100, 50, 1_000)).into_predecessors(StoreMs(3_000));
     let [predecessor] = &first[..] else { panic!("{first:?}") };
     assert_eq!(
@@ -116,9 +117,9 @@
     assert_eq!((closing.returned, closing.doubt()), (Tokens(800), Tokens(120)));
     assert_eq!((ledger.closed, ledger.doubt), (Tokens(200), Tokens(120)));
     assert_eq!(ledger.grants.len(), 1);
-    // The doubt stays spent, but proves nothing.
+    // The amount in doubt stays charged, but proves nothing.
     assert_eq!(ledger.settled(), Tokens(80 + 80));
-    // Closed once, it is closed.
+    // A grant can be closed only once.
     assert!(ledger.close("a", &predecessor(1, 200, 80)).is_none());
     assert_eq!(ledger.closed, Tokens(200));
 }
@@ -143,7 +144,7 @@
     assert!(Ledger::decode(b"").is_err());
 }
 
-/// An account at one router, with its place's row.
+/// An account at one router, with the write counter of its endpoint's row.
 struct AccountFixture {
     account: Account,
     number: u64,
@@ -157,10 +158,10 @@
         AccountFixture { account, number: 0 }
     }
 
-    /// Sends the place's row, which nobody has answered yet. Returns the number of the write.
+    /// Starts an unanswered write of the endpoint's row and returns its number.
     fn send_limit(&mut self, seen: u64, at: Instant) -> u64 {
         let (_, spending_limit) =
-            self.account.next_limit(StoreMs(seen), at, SIZING).expect("it is used");
+            self.account.next_limit(StoreMs(seen), at, SIZING).expect("the budget is in use");
         self.number += 1;
         self.account.begin_limit_write(self.number, spending_limit, at);
         self.number
@@ -184,14 +185,14 @@
         self.account.grant_written(&plan, ver, now);
     }
 
-    fn reserve_tokens(&mut self, expected: u64) -> Result<(), Denied> {
-        self.account.reserve_tokens(Tokens(expected), Instant::now())
+    fn reserve_tokens(&mut self, max_cost: u64) -> Result<(), Denied> {
+        self.account.reserve_tokens(Tokens(max_cost), Instant::now())
     }
 
-    /// Takes a part, and writes whatever that needs.
-    fn reserve_written(&mut self, expected: u64) {
-        while self.reserve_tokens(expected).is_err() {
-            match self.account.missing_cover(Tokens(expected), Instant::now()) {
+    /// Reserves `max_cost` tokens after all writes that this needs.
+    fn reserve_written(&mut self, max_cost: u64) {
+        while self.reserve_tokens(max_cost).is_err() {
+            match self.account.missing_cover(Tokens(max_cost), Instant::now()) {
                 Some(MissingCover::Grant) if self.next_grant_change(Instant::now()).is_some() => {
                     self.write_grant();
                 }
@@ -200,8 +201,8 @@
         }
     }
 
-    fn settle(&mut self, expected: u64, actual: u64) {
-        self.account.settle(Tokens(expected), Tokens(actual), Tokens(0));
+    fn settle(&mut self, max_cost: u64, actual: u64) {
+        self.account.settle(Tokens(max_cost), Tokens(actual), Tokens(0));
     }
 }
 
@@ -209,8 +210,8 @@
 async fn account_first_request() {
     let mut fixture = AccountFixture::new(10_000);
     assert_eq!(fixture.reserve_tokens(500), Err(Denied::NoneHere));
-    // The place's row names the organisation before anything is granted: a successor that does
-    // not find it there would leave the grant open for ever.
+    // The endpoint's row must list the organisation before anything is granted. A successor that
+    // does not find it there would never close the grant.
     assert!(fixture.next_grant_change(Instant::now()).is_none());
     fixture.write_limit();
     assert_eq!(fixture.reserve_tokens(500), Err(Denied::NoneHere));
@@ -222,8 +223,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_omitted_spending_limit() {
-    // A place's row that no longer names the organisation is on its way: a successor that finds
-    // it closes nothing, so nothing may be spent, nor granted.
+    // Guards against a grant that no successor closes. A write of the endpoint's row that omits the
+    // organisation is in flight, so nothing may be spent or granted.
     let mut fixture = AccountFixture::new(10_000);
     fixture.reserve_written(500);
     fixture.account.omit_limit();
@@ -234,9 +235,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_large_request_raises_limit() {
-    // A large request is refused while its organisation has plenty and the store answers.
-    // The grant covers it and the line opens too slowly: a new line with a higher floor is due at
-    // once, and no change of the grant.
+    // Guards against refusing a large request while its organisation has plenty and the store
+    // answers. The grant covers the request but its limit rises too slowly: a limit with a higher
+    // floor is due at once, and no change of the grant.
     let mut fixture = AccountFixture::new(60_000);
     for _ in 0..20 {
         fixture.reserve_written(500);
@@ -258,8 +259,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_limit_covers_all_waiting() {
-    // Many requests come in one moment and all but one wait for a second write each.
-    // A line covers what all that wait need together.
+    // Guards against one write for each waiting request when many arrive at once. One spending
+    // limit must cover all waiting requests.
     let mut fixture = AccountFixture::new(1_000_000);
     fixture.reserve_written(500);
     for _ in 0..10 {
@@ -278,22 +279,22 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_unanswered_grant() {
-    // An organisation spends past its budget after a lost answer and a power cut.
-    // A write that gives part of the grant back is not answered. If it took effect, another router
-    // has that part; so it must not be spent here from the moment of sending.
+    // Guards against overspending after a lost answer and a power failure. A write that returns
+    // part of the grant is not answered; if it took effect, another router has that part, so it may
+    // not be spent here once the write is sent.
     let mut fixture = AccountFixture::new(10_000);
     fixture.reserve_written(4_000);
     fixture.settle(4_000, 0);
     let before = fixture.account.ceiling();
     assert!(before >= Tokens(4_000));
-    // Nobody asks any more: it is given back.
+    // Without requests the grant is returned.
     let later = Instant::now() + Duration::from_secs(15);
-    let plan = fixture.next_grant_change(later).expect("it is given back");
+    let plan = fixture.next_grant_change(later).expect("the grant is returned");
     assert_eq!(plan.ledger.committed(), Tokens(0));
     fixture.account.begin_grant_write(&plan);
     assert_eq!(fixture.account.ceiling(), Tokens(0));
     assert_eq!(fixture.account.reserve_tokens(Tokens(4_000), later), Err(Denied::NoneHere));
-    // The store turned it away: nothing was given back.
+    // The store rejected the write, so nothing was returned.
     fixture.account.grant_rejected(&plan);
     assert_eq!(fixture.account.ceiling(), before);
     assert_eq!(fixture.account.reserve_tokens(Tokens(4_000), later), Ok(()));
@@ -301,9 +302,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_unanswered_limit() {
-    // A process dies after a lost answer, and has spent more than its successor finds.
-    // Nobody knows which of two lines is in force: the lower one bounds the spending. The next one
-    // is no lower than what this router surely has, or each lost answer would take some away.
+    // Guards against spending more than a successor accounts for after a lost answer. Either of two
+    // limits may be in force, so the lower one applies. The next limit must not be lower, or each
+    // lost answer would take tokens away.
     let mut fixture = AccountFixture::new(1_000_000);
     for _ in 0..5 {
         fixture.reserve_written(4_000);
@@ -321,7 +322,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_late_grant_superseded() {
-    // A write that was not answered can no longer take effect once the row has moved on.
+    // An unanswered write can no longer take effect once the ledger has a newer version.
     let mut fixture = AccountFixture::new(10_000);
     assert_eq!(fixture.reserve_tokens(100), Err(Denied::NoneHere));
     fixture.write_limit();
@@ -337,7 +338,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_late_grant_took_effect() {
-    // The same, but it did take effect before another router wrote: the ceiling is ours.
+    // An unanswered write took effect before another router's write: its ceiling is in force.
     let mut fixture = AccountFixture::new(10_000);
     assert_eq!(fixture.reserve_tokens(100), Err(Denied::NoneHere));
     fixture.write_limit();
@@ -352,9 +353,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_insufficient_remainder() {
-    // An organisation's last tokens lie in pieces with many routers, none large enough for a
-    // request, while each request that is refused makes all of them race for the row.
-    // What is free does not cover the request that waits: it is left to smaller requests.
+    // Guards against contention at the end of a budget, when the last tokens are split among many
+    // routers and each refused request makes all of them write the ledger. A remainder that does
+    // not cover the waiting request must be left alone.
     let mut fixture = AccountFixture::new(10_000);
     fixture.reserve_written(1_000);
     let now = Instant::now();
@@ -373,7 +374,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_spent_needs_proof() {
-    // A customer is told "budget spent" while other routers merely hold the rest.
+    // Guards against telling a customer that the budget is spent while other routers only hold the
+    // rest as grants.
     let mut fixture = AccountFixture::new(1_000);
     let mut ledger = Ledger::default();
     ledger.set(grant(process_id("b", 1), 1_000, 200, 0));
@@ -388,7 +390,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_written_off_loan() {
-    // A customer is told "budget spent" because of a request of which nobody knows what became.
+    // Guards against telling a customer that the budget is spent because of a request whose cost is
+    // unknown.
     let mut fixture = AccountFixture::new(1_000);
     fixture.reserve_written(800);
     fixture.account.prove(Tokens(100));
@@ -401,8 +404,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_fair_share_of_remainder() {
-    // Half a budget's last tokens lie with a router that does not need them, another refuses.
-    // Each grant ends at its router's part of what is left, by the rates of spending.
+    // Guards against a router that holds half of the last tokens without need while another refuses
+    // requests. Each grant must end at its router's share of the rest, by spending rate.
     let mut fixture = AccountFixture::new(1_000_000);
     let mut ledger = Ledger::default();
     ledger.closed = Tokens(900_000);
@@ -421,13 +424,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn account_idle_release() {
-    // Rows hold a grant for every router that ever spent. One that nobody asks of goes, with what
-    // was spent of it; what is spent later counts anew, and needs a line of its own.
+    // Guards against ledgers that list every router that ever spent. A grant without requests is
+    // returned together with what was spent of it; later spending starts from zero and needs a new
+    // limit.
     let mut fixture = AccountFixture::new(100_000);
     fixture.reserve_written(1_000);
     fixture.settle(1_000, 400);
     let later = Instant::now() + Duration::from_secs(30);
-    let plan = fixture.next_grant_change(later).expect("it is given back");
+    let plan = fixture.next_grant_change(later).expect("the grant is returned");
     assert_eq!((plan.ceiling, plan.ledger.closed), (None, Tokens(400)));
     fixture.account.begin_grant_write(&plan);
     fixture.account.grant_written(&plan, Ver(50), later);
--- a/tests/test_allowance_death.rs
+++ b/tests/test_allowance_death.rs
@@ -1,5 +1,5 @@
-//! What the ledgers hold in doubt after a death of all routers, against what they had truly
-//! spent: an auditor that sees both, in virtual time.
+//! Compares the amounts that ledgers hold in doubt after a crash of all routers with what was
+//! actually spent, in virtual time.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,17 +17,17 @@
 const ORG: &str = "norte";
 const ROUTERS: usize = 7;
 const PREPAID: u64 = 3_000_000;
-/// A request's prompt, and how long its stream runs.
+/// Prompt and output of a request in tokens, and the duration of its stream.
 const PROMPT: u64 = 4_000;
 const OUTPUT: u64 = 400;
 const STREAM_DURATION: Duration = Duration::from_millis(900);
-/// Requests of the organisation a second: its budget lasts some 36 s.
+/// The organisation's requests a second. Its budget lasts some 36 s.
 const REQUESTS_PER_S: u64 = 19;
 
 struct Fleet {
     store: MemoryRows,
     routers: RefCell<Vec<ManagerHost>>,
-    /// What callers got, and the part of it in streams that still run.
+    /// Tokens that callers received, including those of running streams.
     spent: Cell<u64>,
     refused: Cell<u64>,
     incarnation_counter: Cell<u64>,
@@ -65,7 +65,7 @@
         self.routers.borrow().iter().for_each(|router| router.rows.set_fault(fault));
     }
 
-    /// A request that streams its answer; what it has cost is told as it goes.
+    /// Starts a request that streams its answer and updates its cost on the way.
     fn request(self: &Rc<Self>, router: usize) {
         let manager = self.routers.borrow()[router].manager.clone();
         let fleet = self.clone();
@@ -93,14 +93,15 @@
     }
 
     async fn ledger(&self) -> Ledger {
-        let page = self.store.scan("budgets", ORG).await.expect("the auditor has no faults");
-        let row = page.rows.iter().find(|router| router.at.key == ORG).expect("it was written");
-        Ledger::decode(row.value.as_ref().expect("it has a value")).expect("it can be read")
+        let page = self.store.scan("budgets", ORG).await.expect("this client has no faults");
+        let row = page.rows.iter().find(|r| r.at.key == ORG).expect("the ledger was written");
+        Ledger::decode(row.value.as_ref().expect("the ledger has a value"))
+            .expect("the ledger can be decoded")
     }
 }
 
 fn in_virtual_time(test: impl Future<Output = ()>) {
-    // Pauses after lost races are random.
+    // Pauses after write conflicts are random.
     fastrand::seed(7);
     let rt = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -110,12 +111,9 @@
     LocalSet::new().block_on(&rt, test);
 }
 
-/// All processes lose power at once while the store answers, and start again after a second.
-/// For the rest of the day an organisation is refused although a twentieth of its budget is
-/// left: the lines of the dead had gone on opening in the second in which nobody lived, and what
-/// they let through stays spent. With lines that open at once 4.5%, 6.7% and 10.0% of the budget
-/// were neither spent nor free in these three cases; so 1.2%, 1.2% and 9.3%: a start that takes
-/// longer than lines stay shut is no better off.
+/// Guards against tokens lost in doubt when all processes lose power and restart: limits that rise
+/// while no process runs leave 4.5%, 6.7% and 10.0% of the budget neither spent nor free. Limits
+/// that open late leave 1.2%, 1.2% and 9.3%; a restart slower than their delay gains nothing.
 #[rstest]
 #[case::at_once(300, 1.5)]
 #[case::usual(1_000, 1.5)]
@@ -133,15 +131,16 @@
         let ledger = fleet.ledger().await;
         assert!(ledger.closed.0 >= spent, "{spent} spent: {ledger:?}");
         let percent = (ledger.closed.0 - spent) as f64 * 100.0 / PREPAID as f64;
-        assert!(percent < max_percent, "{percent:.2}% not spent and in doubt");
-        // What callers of running streams had is proved, but for the latest renewal's time.
-        let unproved = spent - (ledger.closed.0 - ledger.doubt.0).min(spent);
-        assert!(unproved < PREPAID / 50, "{unproved} spent and not proved");
+        assert!(percent < max_percent, "{percent:.2}% not spent but in doubt");
+        // Tokens that callers of running streams received are proven, except those since the last
+        // write.
+        let unproven = spent - (ledger.closed.0 - ledger.doubt.0).min(spent);
+        assert!(unproven < PREPAID / 50, "{unproven} spent but not proven");
     });
 }
 
-/// A cut of all routers begins when a budget is nearly spent. Its lines do not open yet; callers
-/// wait for less than a second. Of 76 requests 15 were refused without waiting, 8 are with it.
+/// Guards against refusals at the start of a store outage while a budget is nearly spent and its
+/// limits have not opened: waiting for less than a second lowers them from 15 to 8 of 76 requests.
 #[test]
 fn reserve_tokens_waits_for_limit() {
     in_virtual_time(async {
@@ -157,11 +156,9 @@
     });
 }
 
-/// After a death of all instances the largest organisation is refused for the rest of the day with
-/// `reason=budget_not_here free=0`, though a seventh of its budget is left. Most routers were cut
-/// off from the store for 8 s; when they were back, the store's part with its ledger was down;
-/// then all died. What they had spent since the cut began was written nowhere
-/// (`event=closed … age_ms=11140 doubt=439239`, 36% of the budget for all of them together).
+/// Guards against refusals (`reason=budget_not_here free=0`) with a seventh of the budget left.
+/// Most routers lose the store for 8 s, then the ledger's partition fails, then all die: unwritten
+/// spending leaves 36% of the budget in doubt (`event=closed … age_ms=11140 doubt=439239`).
 #[test]
 fn reserve_tokens_after_outages_and_restart() {
     in_virtual_time(async {
--- a/tests/test_allowance_fleet_random.rs
+++ b/tests/test_allowance_fleet_random.rs
@@ -1,6 +1,6 @@
-//! Random schedules of a fleet that lends: deaths, cuts from the store and from one another, lost
-//! and doubled datagrams, late writes, top-ups. What callers got never exceeds what was prepaid,
-//! and once all is well again what is neither closed nor granted is what nobody spent.
+//! Random schedules of a fleet with lending: crashes, store outages, network partitions, lost and
+//! duplicated datagrams, late writes and top-ups. Callers never receive more than was prepaid, and
+//! after recovery every token that is neither closed nor granted is unspent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,35 +16,35 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Requests at a router: how many, the most of each, the part of it that is used, in per cent,
-    /// and how long they run, ms.
+    /// Requests at a router: their number, the maximum cost of each, the part of it that is used in
+    /// percent, and their duration in ms.
     Requests(usize, u64, u64, u64, u64),
-    /// A router's calls to the store fail from now on.
+    /// Injects a fault into a router's calls to the store.
     SetFault(usize, u8),
-    /// They work again.
+    /// Clears a router's fault.
     ClearFault(usize),
-    /// The same for all routers.
+    /// Injects a fault into all routers' calls to the store.
     SetFaultAll(u8),
     ClearFaultAll,
-    /// A partition of the store answers nobody: the organisation's, or a place's.
+    /// Makes a partition of the store unresponsive: the organisation's, or a router's.
     SilencePartition(Option<usize>),
-    /// All partitions answer.
+    /// Makes all partitions respond.
     RestorePartitions,
-    /// A router hears and reaches no other.
+    /// Isolates a router from all other routers.
     Isolate(usize),
-    /// All hear one another.
+    /// Reconnects all routers.
     Reconnect,
-    /// Datagrams are lost and doubled.
+    /// Sets the percentages of datagrams that are lost and duplicated.
     NetworkFaults(u32, u32),
-    /// A router is killed; its successor starts after some ms.
+    /// Kills a router and starts its successor after a delay in ms.
     Kill(usize, u64),
-    /// All are.
+    /// Kills all routers and starts their successors after a delay in ms.
     KillAll(u64),
-    /// A router stops in order, and starts again.
+    /// Stops a router as planned and starts it again.
     Restart(usize),
-    /// The operator raises the budget.
+    /// Raises the operator's budget.
     TopUp(u64),
-    /// Time goes by.
+    /// Waits for a time in ms.
     Wait(u64),
 }
 
@@ -130,12 +130,12 @@
     fleet.cut_store(false);
     fleet.isolated.borrow_mut().clear();
     fleet.network.set(NetworkFaults::default());
-    // Longer than a loan whose borrower is gone is waited for, and than idle grants are kept.
+    // Longer than the expiry of a loan whose borrower is gone, and than idle grants are kept.
     sleep(Duration::from_secs(200)).await;
     let ledger = fleet.ledger();
     assert!(ledger.closed.0 >= fleet.spent.get(), "{} spent: {ledger:?}", fleet.spent.get());
-    assert!(ledger.grants.is_empty(), "nobody asks, and these are still granted: {ledger:?}");
-    // What is proved was spent.
+    assert!(ledger.grants.is_empty(), "grants without requests: {ledger:?}");
+    // Everything that is proven was really spent.
     assert!(ledger.settled().0 <= fleet.spent.get(), "{} spent: {ledger:?}", fleet.spent.get());
 }
 
@@ -157,7 +157,7 @@
 
     #[test]
     fn rows_decode_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        // Whatever another writer left there: no panic, and nothing that was half read.
+        // Arbitrary bytes in a row must cause no panic and no partial result.
         drop(Ledger::decode(&bytes));
         drop(Spending::decode(&bytes));
     }
@@ -166,13 +166,13 @@
     fn receive_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         in_virtual_time(1, async {
             let fleet = Fleet::start(1, 1, 1_000);
-            let manager = fleet.manager(0).expect("it was started");
+            let manager = fleet.manager(0).expect("the router was started");
             manager.receive(([10, 0, 0, 9], 7_000).into(), &bytes);
         });
     }
 }
 
-/// Schedules a run; `KINGCUPWALL_SCHEDULES` sets another number for a long one by hand.
+/// Number of schedules. `KINGCUPWALL_SCHEDULES` overrides it for long manual runs.
 fn cases() -> u32 {
     let set = std::env::var("KINGCUPWALL_SCHEDULES").ok().and_then(|n| n.parse().ok());
     set.unwrap_or(150)
--- a/tests/test_allowance_lending.rs
+++ b/tests/test_allowance_lending.rs
@@ -1,5 +1,5 @@
-//! Routers that lend parts of a budget to one another: who is asked, what a loan becomes when
-//! messages, borrowers or lenders are lost.
+//! Lending between routers: which routers are asked, and what becomes of loans when messages,
+//! borrowers or lenders are lost.
 
 use std::time::Duration;
 
@@ -41,10 +41,10 @@
         let order_for =
             |name: &str, zone: &str| Lenders::choose(name, zone, all.clone()).order(org);
         let (own_zone, other_zone) = (order_for("a-19", "a"), order_for("b-19", "b"));
-        // Two routers of a zone ask the same one first, those of other zones ask another.
+        // Two routers of a zone ask the same lender first; those of another zone ask another.
         assert_eq!(own_zone, order_for("a-18", "a"));
         assert_ne!(own_zone[0], other_zone[0]);
-        // Each one's first is asked by the others before anybody's second.
+        // Each zone's first lender is asked by the other zones before any second lender.
         assert!(own_zone[1..3].contains(&other_zone[0]), "{own_zone:?} {other_zone:?}");
         assert_eq!(own_zone.last(), Some(&Source::Fallback));
     }
@@ -59,8 +59,8 @@
     assert_eq!(Lenders::default().order("norte"), [Source::Fallback]);
 }
 
-/// With each router a spender, the row of an organisation was written by all of them. A zone's
-/// lenders write it, whoever serves the requests.
+/// Guards against every router writing an organisation's ledger. Only the zones' lenders write it,
+/// no matter which routers serve the requests.
 #[test]
 fn reserve_tokens_few_spenders() {
     in_virtual_time(1, async {
@@ -69,12 +69,12 @@
         fleet.load(5_000, 200, 4_000).await;
         assert_eq!(fleet.refused.get(), 0);
         let ledger = fleet.ledger();
-        assert!(ledger.grants.len() <= 4, "{} spend", ledger.grants.len());
+        assert!(ledger.grants.len() <= 4, "{} grants", ledger.grants.len());
     });
 }
 
-/// The first request for an organisation, and the first one at a router without a grant, were
-/// refused after 60 ms with all of the budget free. They wait for a few store calls at the most.
+/// Guards against refusing the first request of an organisation, or at a router without a grant,
+/// after 60 ms with all of the budget free. Such requests wait for a few store calls at most.
 #[test]
 fn reserve_tokens_first_request() {
     in_virtual_time(2, async {
@@ -88,7 +88,7 @@
             "{:?}",
             fleet.longest_wait.get()
         );
-        // By now the zone's lender has a grant: the others wait for two datagrams.
+        // Now the zone's lender has a grant, and the others wait for two datagrams.
         fleet.longest_wait.set(Duration::ZERO);
         (1..10).for_each(|i| fleet.request(4 * i, 400, 400, SECOND));
         sleep(SECOND).await;
@@ -101,8 +101,9 @@
     });
 }
 
-/// A burst at the start of a cut was refused with two thirds of the budget free: it came to routers
-/// without a grant, or to one whose grant had run out. Whoever has a part lends it.
+/// Guards against refusals with two thirds of the budget free when a burst arrives at the start of
+/// a store outage, at routers without a grant or with one that is used up. Any router with tokens
+/// must lend them.
 #[test]
 fn reserve_tokens_store_outage() {
     in_virtual_time(3, async {
@@ -119,8 +120,8 @@
     });
 }
 
-/// At the end of a budget its last tokens lay in pieces with 25 routers, and callers were refused
-/// with 2 to 3% of it left. Lenders are asked one after the other, and each has one piece.
+/// Guards against refusals with 2 to 3% of the budget left because its last tokens are split among
+/// 25 routers. Lenders are asked one after another, and each has one piece.
 #[test]
 fn reserve_tokens_end_of_budget() {
     in_virtual_time(4, async {
@@ -130,18 +131,19 @@
         sleep(3 * SECOND).await;
         assert!(fleet.refused.get() > 0);
         let left = fleet.prepaid() - fleet.spent.get();
-        assert!(left < 4 * 4_000, "{left} left");
-        // What is spent is proved: callers are told so, and do not come back in vain.
+        assert!(left < 4 * 4_000, "{left} tokens left");
+        // The spending is proven, so callers learn that the budget is spent and do not retry in
+        // vain.
         let before = fleet.refused_as_spent.get();
         fleet.load(2_000, 50, 20_000).await;
         sleep(SECOND).await;
         let as_spent = fleet.refused_as_spent.get() - before;
-        assert!(as_spent >= 80, "{as_spent} of 100 told that it is spent");
+        assert!(as_spent >= 80, "{as_spent} of 100 refused as spent");
     });
 }
 
-/// A zone's lender stands still. Requests that ask it would wait for it one after the other: the
-/// first ones wait for their patience, all others go to the next at once.
+/// Guards against requests that wait for an unresponsive lender one after another. Only the first
+/// ones wait for the timeout; later ones skip the lender.
 #[test]
 fn reserve_tokens_lender_unresponsive() {
     in_virtual_time(5, async {
@@ -153,7 +155,7 @@
         fleet.isolated.borrow_mut().push(router);
         sleep(Duration::from_millis(100)).await;
         for i in 0..200 {
-            // The one that is cut off has no callers.
+            // The isolated router has no callers.
             let at = (i * 7) % 16;
             if at != router {
                 fleet.request(at, 4_000, 4_000, SECOND);
@@ -169,8 +171,8 @@
     });
 }
 
-/// Datagrams are lost and doubled. A loan that is made twice, or whose end is not heard of, would
-/// take tokens from the organisation for ever.
+/// Guards against leaking tokens when datagrams are lost or duplicated: a loan that is given twice,
+/// or whose end is never reported, would never be returned.
 #[rstest]
 #[case::lossy(30, 0)]
 #[case::doubling(0, 50)]
@@ -182,7 +184,7 @@
         fleet.network.set(NetworkFaults { lost_percent, duplicated_percent });
         fleet.load(5_000, 100, 4_000).await;
         fleet.network.set(NetworkFaults::default());
-        // All grants are given back once nobody asks any more: what stays closed is what was spent.
+        // All grants are returned without requests, so the closed amount equals what was spent.
         sleep(40 * SECOND).await;
         let ledger = fleet.ledger();
         assert!(ledger.grants.is_empty(), "{ledger:?}");
@@ -191,14 +193,14 @@
     });
 }
 
-/// A borrower dies while its requests run. Nobody knows what its callers got: that stays spent, and
-/// nobody is told that the budget is used up because of it.
+/// A borrower dies while its requests run, and what its callers received is unknown. The loans stay
+/// charged, but do not count as proof that the budget is spent.
 #[test]
 fn loans_borrower_dies() {
     in_virtual_time(7, async {
         let fleet = Fleet::start(16, 1, 1_000_000);
         sleep(SECOND).await;
-        // Not a lender: those are the first two.
+        // Not a lender: the lenders are the first two.
         (0..10).for_each(|_| fleet.request(9, 40_000, 10_000, 20 * SECOND));
         sleep(SECOND).await;
         fleet.kill(9);
@@ -209,7 +211,8 @@
     });
 }
 
-/// A lender dies. Its borrowers go on with another, and what they had of it is closed once.
+/// A lender dies. Its borrowers continue with another lender, and the loans are closed exactly
+/// once.
 #[test]
 fn loans_lender_dies() {
     in_virtual_time(8, async {
@@ -222,17 +225,17 @@
         fleet.load(1_000, 60, 4_000).await;
         fleet.start_at(router);
         fleet.load(4_000, 60, 4_000).await;
-        // At most those that it had taken itself, or that were on their way to it.
+        // Only requests at the dead router itself, or on their way to it, may be refused.
         assert!(fleet.refused.get() <= 2, "{}", fleet.refused.get());
         sleep(100 * SECOND).await;
         let row = fleet.ledger();
         assert!(row.closed.0 >= fleet.spent.get());
         let over = row.closed.0 - fleet.spent.get();
-        assert!(over < fleet.prepaid() / 100, "{over} closed though nobody spent it");
+        assert!(over < fleet.prepaid() / 100, "{over} closed but not spent");
     });
 }
 
-/// A planned stop of a lender leaves nothing in doubt, also if others have borrowed of it.
+/// A planned stop of a lender leaves nothing in doubt, even with open loans.
 #[test]
 fn loans_lender_stops() {
     in_virtual_time(9, async {
@@ -251,7 +254,7 @@
     });
 }
 
-/// A router that is cut off from all others serves from a grant of its own.
+/// A router that is isolated from all others serves requests from its own grant.
 #[test]
 fn reserve_tokens_isolated_router() {
     in_virtual_time(10, async {
@@ -267,8 +270,8 @@
     });
 }
 
-/// A request whose route allows it 300 ms was held for a second and a half: a cut had begun, and
-/// the line opened later than that. The refusal came long after its caller had gone.
+/// Guards against holding a request for 1.5 s although its route allows 300 ms. In a store outage
+/// the limit opens later than that, and the refusal comes after the caller has gone.
 #[test]
 fn reserve_by_deadline() {
     in_virtual_time(11, async {
@@ -284,8 +287,9 @@
     });
 }
 
-/// A process of a place is still running when another one begins there, against what the platform
-/// promises. It must spend nothing more once the other has written the place's row.
+/// Guards against double spending if, contrary to the platform's guarantee, two processes run at
+/// one endpoint. The older one must stop spending once the newer one has written the endpoint's
+/// row.
 #[test]
 fn endpoint_taken_over() {
     in_virtual_time(12, async {
@@ -296,14 +300,15 @@
         fleet.start_at(0);
         sleep(SECOND).await;
         let first = manager.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await;
-        // The first attempt after the take-over may still find its old line; its write cannot.
+        // The first attempt may still be covered by the old limit, but a write of the old process
+        // fails.
         drop(first);
         sleep(SECOND).await;
         assert!(manager.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await.is_err());
     });
 }
 
-/// Rows of another format, or damaged ones, are spent from and closed by nobody.
+/// Rows that are damaged or have another format must not be spent from or closed.
 #[rstest]
 #[case::budget("budgets", ORG)]
 #[case::spending_row("spending", "r0")]
@@ -328,7 +333,8 @@
     });
 }
 
-/// Store answers are lost for a while: nothing that was written without an answer is spent twice.
+/// Guards against spending twice what was written without an answer. Store answers are lost for a
+/// while.
 #[test]
 fn reserve_tokens_lost_answers() {
     in_virtual_time(14, async {
--- a/tests/test_allowance_random.rs
+++ b/tests/test_allowance_random.rs
@@ -1,5 +1,5 @@
-//! Random schedules of routers, faults, deaths and top-ups against one budget: what callers
-//! got never exceeds what was prepaid, and what is refused is not refused for ever.
+//! Random schedules of routers, faults, crashes and top-ups against one budget. Callers never
+//! receive more than was prepaid, and refusals do not last forever.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,19 +21,19 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A request at a router: most, and the part of it that is used, in per cent.
+    /// A request at a router: its maximum cost, and the part of it that is used in percent.
     Request(usize, u64, u64),
-    /// A router's calls to the store fail from now on.
+    /// Injects a fault into a router's calls to the store.
     SetFault(usize, u8),
-    /// They work again.
+    /// Clears a router's fault.
     ClearFault(usize),
-    /// A router is killed; its successor starts after some ms.
+    /// Kills a router and starts its successor after a delay in ms.
     Kill(usize, u64),
-    /// A router stops in order, and starts again.
+    /// Stops a router as planned and starts it again.
     Restart(usize),
-    /// The operator raises the budget.
+    /// Raises the operator's budget.
     TopUp(u64),
-    /// Time goes by.
+    /// Waits for a time in ms.
     Wait(u64),
 }
 
@@ -64,7 +64,7 @@
     prepaid: u64,
     incarnation_counter: u64,
     routers: Vec<Option<ManagerHost>>,
-    /// Tokens that callers got.
+    /// Tokens that callers received.
     spent: Rc<Cell<u64>>,
 }
 
@@ -106,7 +106,7 @@
             }
             Step::Kill(r, ms) => {
                 let Some(router) = self.routers[r].take() else { return };
-                // What it had sent may still take effect; it charges nothing any more.
+                // Writes that it sent may still take effect, but it charges nothing more.
                 router.kill();
                 sleep(Duration::from_millis(ms)).await;
                 let started = self.start(r);
@@ -129,8 +129,8 @@
         }
     }
 
-    /// A request runs beside whatever else happens, and counts as spent when it is admitted:
-    /// whatever part of it a caller gets, it gets no more.
+    /// Starts a concurrent request. Its cost counts as spent on admission, because its caller
+    /// receives no more than that.
     fn request(&self, r: usize, max_cost: u64, percent: u64) {
         let Some(router) = &self.routers[r] else { return };
         let (manager, spent) = (router.manager.clone(), self.spent.clone());
@@ -149,10 +149,10 @@
     }
 
     async fn committed(&self) -> u64 {
-        let page = self.store.scan("budgets", ORG).await.expect("the observer has no faults");
+        let page = self.store.scan("budgets", ORG).await.expect("this client has no faults");
         let row = page.rows.iter().find(|r| r.at.key == ORG);
         let value = row.and_then(|r| r.value.clone());
-        value.map_or(0, |v| Ledger::decode(&v).expect("the row can be read").committed().0)
+        value.map_or(0, |v| Ledger::decode(&v).expect("the ledger can be decoded").committed().0)
     }
 }
 
@@ -162,9 +162,9 @@
         group.step(step).await;
         assert!(group.spent.get() <= group.prepaid, "overspent at {step:?}");
         let committed = group.committed().await;
-        assert!(committed <= group.prepaid, "{committed} promised at {step:?}");
+        assert!(committed <= group.prepaid, "{committed} granted at {step:?}");
     }
-    // Everything heals: a request that fits into what is left for sure gets its part.
+    // After recovery the budget must still not be exceeded.
     group.routers.iter().flatten().for_each(|r| r.rows.set_fault(Fault::None));
     sleep(Duration::from_secs(20)).await;
     assert!(group.spent.get() <= group.prepaid);
@@ -192,9 +192,9 @@
     }
 }
 
-/// An organisation is told that its budget is spent although a tenth of it is left.
-/// A router stops while a write of its is under way, of its place's row or of the organisation's;
-/// it took effect after the farewell, and the successor closed the same spending once more.
+/// Guards against reporting a budget as spent with a tenth of it left. A router stops while a write
+/// of its own row or of the ledger is in flight; the write took effect after the router had
+/// returned its grants, and the successor closed the same spending again.
 #[rstest]
 #[case::first_limit(20)]
 #[case::between(60)]
@@ -212,7 +212,7 @@
         group.step(&Step::Restart(0)).await;
         sleep(Duration::from_secs(20)).await;
         let page = group.store.scan("budgets", ORG).await.unwrap();
-        // Nothing was ever granted: there is no row.
+        // Nothing was ever granted, so there is no row.
         let Some(row) = page.rows.first() else { return };
         let ledger = Ledger::decode(row.value.as_ref().unwrap()).unwrap();
         assert_eq!(ledger.doubt, Tokens(0), "{ledger:?}");
@@ -222,8 +222,9 @@
 
 #[test]
 fn manager_rereads_ledger() {
-    // A router refuses an organisation for ten seconds after others have given its tokens back.
-    // Nothing seemed free when it read the ledger last, and nothing made it read again.
+    // Guards against refusing an organisation for ten seconds after other routers have returned its
+    // tokens. Nothing was free when the router last read the ledger, and nothing made it read
+    // again.
     in_virtual_time(async {
         let mut group = RouterGroup::new(10_000);
         sleep(Duration::from_secs(1)).await;
@@ -233,7 +234,7 @@
         }
         assert_eq!(group.committed().await, 10_000);
         group.request(1, 3_000, 100);
-        // The first router's requests end without any cost, and it leaves.
+        // The first router's requests end without cost, and the router stops.
         sleep(Duration::from_secs(3)).await;
         group.step(&Step::Restart(0)).await;
         sleep(Duration::from_secs(3)).await;
@@ -248,10 +249,9 @@
 
 #[test]
 fn manager_one_partition_unresponsive() {
-    // After a death of all routers fewer than a quarter of requests are served: nothing that was
-    // spent for seconds before it can be proved, for any organisation.
-    // A part of the store was down. The lines of all organisations went out in one transaction,
-    // and the rows that were down held up all others.
+    // Guards against unproven spending of all organisations when one partition fails: with all
+    // limits in one transaction, a failed partition held up the others. After a crash of all
+    // routers, fewer than a quarter of requests were served.
     in_virtual_time(async {
         let store = MemoryRows::new();
         let start = |incarnation| {
@@ -289,11 +289,11 @@
         for org in ["norte", "sur"] {
             let page = store.scan("budgets", org).await.unwrap();
             let ledger = Ledger::decode(page.rows[0].value.as_ref().unwrap()).unwrap();
-            // It died within a renewal of its latest write, 200 ms in which it spent 4,000; all it
-            // spent before that is proved.
-            let proved = ledger.closed.0 - ledger.doubt.0;
-            let unproved = spent.get() - proved;
-            assert!(proved > 100_000 && unproved <= 4_000, "{org}: {unproved} {ledger:?}");
+            // The process died within one write interval of its last write: 200 ms, in which it
+            // spent 4,000 tokens. Everything before that is proven.
+            let proven = ledger.closed.0 - ledger.doubt.0;
+            let unproven = spent.get() - proven;
+            assert!(proven > 100_000 && unproven <= 4_000, "{org}: {unproven} {ledger:?}");
         }
     });
 }
