--- a/src/allowance/account.rs
+++ b/src/allowance/account.rs
@@ -282,9 +282,9 @@
             return None;
         }
         let pending = self.pending_limits.iter().map(|p| &p.anchored);
-        let is_awaited =
+        let wait_times =
             self.spending_limit.iter().chain(pending).map(|a| a.time_until(amount, now));
-        is_awaited.reduce(|a, b| Some(a?.max(b?)))?
+        wait_times.reduce(|a, b| Some(a?.max(b?)))?
     }
 
     /// Applies the ledger as read from the store or returned by a transaction.
@@ -356,8 +356,8 @@
             return None;
         }
         let headroom = self.headroom(now, s);
-        let clustered = (self.demand.mean_size() as f64 * headroom.burst_requests) as u64;
-        let burst = self.demand.rate(now) * headroom.burst_ms / 1_000 + clustered + wanted;
+        let request_burst = (self.demand.mean_size() as f64 * headroom.burst_requests) as u64;
+        let burst = self.demand.rate(now) * headroom.burst_ms / 1_000 + request_burst + wanted;
         let mut spending_limit = SpendingLimit {
             floor: Tokens(self.charged().0 + burst),
             rate: Tokens((self.demand.mean_rate(now) * headroom.slope_factor) as u64),
--- a/src/allowance/account/grants.rs
+++ b/src/allowance/account/grants.rs
@@ -93,7 +93,7 @@
         let mut ledger = self.ledger.clone();
         let endpoint = self.me.endpoint.as_str();
         let closes: Vec<ClosedGrant> =
-            predecessors.iter().filter_map(|f| ledger.close(endpoint, f)).collect();
+            predecessors.iter().filter_map(|p| ledger.close(endpoint, p)).collect();
         let grant_change = |cause, ledger, ceiling, closes| {
             let expect = self.ver;
             GrantChange { cause, ledger, expect, ceiling, closes }
@@ -141,8 +141,8 @@
     fn target_remaining(&self, ledger: &Ledger, now: Instant, s: Sizing) -> u64 {
         let mean_rate = self.demand.sizing_rate(now) as u64;
         let headroom = self.headroom(now, s);
-        let clustered = (self.demand.mean_size() as f64 * headroom.burst_requests) as u64;
-        let burst = self.demand.rate(now) * headroom.burst_ms / 1_000 + clustered;
+        let request_burst = (self.demand.mean_size() as f64 * headroom.burst_requests) as u64;
+        let burst = self.demand.rate(now) * headroom.burst_ms / 1_000 + request_burst;
         let desired =
             burst + (mean_rate as f64 * headroom.grant_factor) as u64 * s.horizon_ms / 1_000;
         let desired = desired.max(MIN_TARGET_REQUESTS * self.demand.mean_size());
--- a/src/allowance/calls.rs
+++ b/src/allowance/calls.rs
@@ -89,11 +89,11 @@
                     self.spending_row.borrow_mut().sent_at = Some(now)
                 }
                 Call::ReadLedger(org) => drop(self.with_org_state(org, |s| s.sent_at = Some(now))),
-                Call::WriteLedger(org, plan, _) => drop(self.with_org_state(org, |s| {
+                Call::WriteLedger(org, grant_change, _) => drop(self.with_org_state(org, |s| {
                     s.sent_at = Some(now);
                     // The lower ceiling counts from here, not from the moment of sending: tokens
                     // reserved in between could exceed it.
-                    s.account.begin_grant_write(plan);
+                    s.account.begin_grant_write(grant_change);
                 })),
             }
         }
@@ -136,14 +136,14 @@
             }
             // Spending of predecessors is closed only once none of their writes can take effect.
             let predecessors = if owned { &s.predecessors[..] } else { &[] };
-            if let Some(plan) = s.account.next_grant_change(predecessors, now, sizing) {
+            if let Some(grant_change) = s.account.next_grant_change(predecessors, now, sizing) {
                 let fresh = now.saturating_duration_since(s.read_at) < MAX_READ_AGE_BEFORE_WRITE;
                 if !fresh && s.account.is_shared() {
                     return Some((awaited, Call::ReadLedger(s.org.clone())));
                 }
                 return Some((
                     awaited,
-                    Call::WriteLedger(s.org.clone(), plan, predecessors.to_vec()),
+                    Call::WriteLedger(s.org.clone(), grant_change, predecessors.to_vec()),
                 ));
             }
             // Other routers may have returned tokens or may have nearly used up the budget; only a
@@ -171,8 +171,8 @@
                 let outcome = self.read_ledger(&org).await;
                 self.finish_ledger_call(&org, outcome).await;
             }
-            Call::WriteLedger(org, plan, predecessors) => {
-                let outcome = self.write_ledger(&org, &plan, &predecessors).await;
+            Call::WriteLedger(org, grant_change, predecessors) => {
+                let outcome = self.write_ledger(&org, &grant_change, &predecessors).await;
                 self.finish_ledger_call(&org, outcome).await;
             }
         }
@@ -269,10 +269,10 @@
         let mut unassigned = Vec::new();
         let mut org_states = self.org_states.borrow_mut();
         org_states.iter_mut().for_each(|s| s.predecessors.clear());
-        for f in predecessors {
-            match org_states.binary_search_by(|s| s.org.cmp(&f.org)) {
-                Ok(i) => org_states[i].predecessors.push(f),
-                Err(_) => unassigned.push(f),
+        for p in predecessors {
+            match org_states.binary_search_by(|s| s.org.cmp(&p.org)) {
+                Ok(i) => org_states[i].predecessors.push(p),
+                Err(_) => unassigned.push(p),
             }
         }
         self.spending_row.borrow_mut().unassigned = unassigned;
@@ -408,34 +408,34 @@
     async fn write_ledger(
         &self,
         org: &str,
-        plan: &GrantChange,
+        grant_change: &GrantChange,
         predecessors: &[PredecessorSpending],
     ) -> CallOutcome {
         // After the shutdown has returned the grants, a new grant would count this process's
         // spending twice.
         if self.stopped.get() {
-            self.with_account(org, |a| a.grant_rejected(plan));
+            self.with_account(org, |a| a.grant_rejected(grant_change));
             return CallOutcome::Failed;
         }
         let sent_at = Instant::now();
-        let tx = ledger_tx(org, &plan.ledger, plan.expect);
+        let tx = ledger_tx(org, &grant_change.ledger, grant_change.expect);
         let outcome = self.store.commit(&tx).await;
         let ms = sent_at.elapsed().as_millis();
-        let ceiling = plan.ceiling.map_or(0, |c| c.0);
+        let ceiling = grant_change.ceiling.map_or(0, |c| c.0);
         match outcome {
             Ok(done) => {
-                self.apply_written_grant(org, plan, predecessors, done);
+                self.apply_written_grant(org, grant_change, predecessors, done);
                 self.log.routine(
                     "grant",
                     format_args!(
                         "org={org} cause={:?} ceiling={ceiling} ver={} store_ms={} took_ms={ms} outcome=written",
-                        plan.cause, done.ver, done.now
+                        grant_change.cause, done.ver, done.now
                     ),
                 );
                 CallOutcome::Succeeded
             }
             Err(StoreError::Conflict(rows)) => {
-                self.with_account(org, |a| a.grant_rejected(plan));
+                self.with_account(org, |a| a.grant_rejected(grant_change));
                 for row in rows.iter().filter(|r| r.at.key == org) {
                     self.with_org_state(org, |s| self.apply_ledger_row(s, row));
                 }
@@ -444,7 +444,7 @@
             }
             Err(e) => {
                 if matches!(e, StoreError::Rejected(_)) {
-                    self.with_account(org, |a| a.grant_rejected(plan));
+                    self.with_account(org, |a| a.grant_rejected(grant_change));
                 }
                 self.log.note("grant", format_args!("org={org} took_ms={ms} outcome={e}"));
                 CallOutcome::Failed
@@ -455,22 +455,22 @@
     fn apply_written_grant(
         &self,
         org: &str,
-        plan: &GrantChange,
+        grant_change: &GrantChange,
         predecessors: &[PredecessorSpending],
         done: Committed,
     ) {
         self.observe_store_time(done.now);
         let now = Instant::now();
         self.with_org_state(org, |s| {
-            s.account.grant_written(plan, done.ver, now);
+            s.account.grant_written(grant_change, done.ver, now);
             s.read_at = now;
-            s.predecessors.retain(|f| !predecessors.contains(f));
+            s.predecessors.retain(|p| !predecessors.contains(p));
             s.clear_unavailable();
         });
         if !predecessors.is_empty() {
             self.spending_row.borrow_mut().needs_rewrite = true;
         }
-        plan.closes.iter().for_each(|c| self.log_closed_grant(org, c));
+        grant_change.closes.iter().for_each(|c| self.log_closed_grant(org, c));
     }
 
     /// Logs how a dead process's grant was closed. Start here when an organisation disputes a
@@ -492,9 +492,9 @@
     }
 
     pub(super) fn pending_releases(&self) -> Vec<(CompactString, Ledger, Ver)> {
-        let releases =
+        let as_release =
             |s: &OrgState| s.account.released_ledger().map(|(l, v)| (s.org.clone(), l, v));
-        self.org_states.borrow().iter().filter_map(releases).collect()
+        self.org_states.borrow().iter().filter_map(as_release).collect()
     }
 
     pub(super) async fn write_release(
--- a/src/allowance/lending.rs
+++ b/src/allowance/lending.rs
@@ -57,7 +57,7 @@
         let prepaid = self.with_account(org, |a| a.prepaid())?;
         let (number, mut answer) = self.peers.register();
         self.peers.borrowed.borrow_mut().add_loan(number, addr, max_cost);
-        let mut pending = PendingAsk { keeper: self, number, is_answered: false };
+        let mut pending = PendingAsk { manager: self, number, is_answered: false };
         let until = Instant::now() + self.settings.patience;
         let ask = Message::Ask(Ask { number, org: org.into(), max_cost, prepaid });
         let mut retry_at = Instant::now();
@@ -112,8 +112,8 @@
 
     fn send_reports(&self) {
         let due = self.peers.borrowed.borrow_mut().take_due(Instant::now());
-        for for_lender in due.chunk_by(|(a, _), (b, _)| a == b) {
-            for uses in for_lender.chunks(MAX_USES) {
+        for lender_reports in due.chunk_by(|(a, _), (b, _)| a == b) {
+            for uses in lender_reports.chunks(MAX_USES) {
                 let (to, _) = uses[0];
                 self.send_message(
                     to,
@@ -124,8 +124,8 @@
     }
 
     fn send_reminders(&self) {
-        let take_reminders = self.peers.lent.borrow_mut().take_reminders(Instant::now());
-        for (borrower, number) in take_reminders {
+        let reminders = self.peers.lent.borrow_mut().take_reminders(Instant::now());
+        for (borrower, number) in reminders {
             self.send_message(borrower, Message::Answer(number, Answer::Lent));
         }
     }
@@ -188,11 +188,11 @@
         if self.lending_stopped.get() || self.stopped.get() {
             return answer(Answer::NoneHere(None));
         }
-        let taken = self.with_account(&ask.org, |a| {
+        let reserved = self.with_account(&ask.org, |a| {
             a.set_prepaid(ask.prepaid);
             a.reserve_tokens(ask.max_cost, now)
         });
-        match taken {
+        match reserved {
             None => answer(Answer::NoneHere(None)),
             Some(Ok(())) => {
                 self.peers.lent.borrow_mut().add_loan(id, from, &ask.org, ask.max_cost, now);
@@ -290,7 +290,7 @@
 /// An ask that waits for its answer. Dropping it cancels the ask and reports that nothing was spent
 /// of a loan that may have been given.
 struct PendingAsk<'a, S: RowStore> {
-    keeper: &'a BudgetManager<S>,
+    manager: &'a BudgetManager<S>,
     number: u64,
     is_answered: bool,
 }
@@ -298,8 +298,8 @@
 impl<S: RowStore> Drop for PendingAsk<'_, S> {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.keeper.peers.cancel_ask(self.number);
-            self.keeper.end_loan(self.number, Tokens(0), Tokens(0));
+            self.manager.peers.cancel_ask(self.number);
+            self.manager.end_loan(self.number, Tokens(0), Tokens(0));
         }
     }
 }
--- a/src/allowance/loans.rs
+++ b/src/allowance/loans.rs
@@ -221,7 +221,7 @@
 
 impl BorrowedLoans {
     fn get(&mut self, number: u64) -> Option<&mut BorrowedLoan> {
-        let i = self.0.binary_search_by_key(&number, |d| d.number).ok()?;
+        let i = self.0.binary_search_by_key(&number, |loan| loan.number).ok()?;
         Some(&mut self.0[i])
     }
 
@@ -244,14 +244,14 @@
 
     /// Records that the process `lender` granted the ask.
     pub(super) fn record_lender(&mut self, number: u64, lender: u64) {
-        if let Some(d) = self.get(number) {
-            d.lender_process = lender;
+        if let Some(loan) = self.get(number) {
+            loan.lender_process = lender;
         }
     }
 
     /// Removes a loan whose ask was refused.
     pub(super) fn remove(&mut self, number: u64) {
-        self.0.retain(|d| d.number != number);
+        self.0.retain(|loan| loan.number != number);
     }
 
     /// Sets the cost and the proven tokens of a loan. Returns whether a report to the lender is
@@ -263,22 +263,22 @@
         proven: Tokens,
         now: Instant,
     ) -> bool {
-        let Some(d) = self.get(number) else { return false };
-        (d.actual, d.proven) = (actual, proven);
-        d.is_due(now)
+        let Some(loan) = self.get(number) else { return false };
+        (loan.actual, loan.proven) = (actual, proven);
+        loan.is_due(now)
     }
 
     /// Ends a loan; no more will be spent from it.
     pub(super) fn end(&mut self, number: u64, actual: Tokens, proven: Tokens, now: Instant) {
-        if let Some(d) = self.get(number) {
-            (d.actual, d.proven) = (actual, proven);
-            (d.ended, d.reported_at) = (Some(now), None);
+        if let Some(loan) = self.get(number) {
+            (loan.actual, loan.proven) = (actual, proven);
+            (loan.ended, loan.reported_at) = (Some(now), None);
         }
     }
 
     /// The current use of a running loan, in answer to a reminder.
     pub(super) fn running_use(&mut self, number: u64) -> Option<LoanUse> {
-        self.get(number).filter(|d| d.ended.is_none()).map(|d| d.to_use())
+        self.get(number).filter(|loan| loan.ended.is_none()).map(|loan| loan.to_use())
     }
 
     /// Whether nothing was or will be spent from the loan that the process `lender` refers to.
@@ -286,26 +286,27 @@
     /// the message is old or answers a duplicate ask. A loan that has ended without an
     /// acknowledgement does not count as unused: the lender still needs its cost.
     pub(super) fn is_unused(&mut self, number: u64, lender: u64) -> bool {
-        self.get(number).is_none_or(|d| d.lender_process != 0 && d.lender_process != lender)
+        self.get(number)
+            .is_none_or(|loan| loan.lender_process != 0 && loan.lender_process != lender)
     }
 
     /// Removes a loan whose end the lender has acknowledged.
     pub(super) fn acknowledge(&mut self, number: u64) {
-        self.0.retain(|d| d.number != number || d.ended.is_none());
+        self.0.retain(|loan| loan.number != number || loan.ended.is_none());
     }
 
     /// Returns the reports that are due and their recipients, sorted by recipient, and marks them
     /// as sent.
     pub(super) fn take_due(&mut self, now: Instant) -> Vec<(SocketAddr, LoanUse)> {
-        let given_up = |d: &BorrowedLoan| {
-            d.ended.is_some_and(|t| now.saturating_duration_since(t) >= END_REPORT_GIVE_UP_AFTER)
+        let given_up = |loan: &BorrowedLoan| {
+            loan.ended.is_some_and(|t| now.saturating_duration_since(t) >= END_REPORT_GIVE_UP_AFTER)
         };
-        self.0.retain(|d| !given_up(d));
+        self.0.retain(|loan| !given_up(loan));
         let mut due = Vec::new();
-        for d in self.0.iter_mut().filter(|d| d.is_due(now)) {
-            d.reported_at = Some(now);
-            d.reported_proven = d.proven;
-            due.push((d.lender, d.to_use()));
+        for loan in self.0.iter_mut().filter(|loan| loan.is_due(now)) {
+            loan.reported_at = Some(now);
+            loan.reported_proven = loan.proven;
+            due.push((loan.lender, loan.to_use()));
         }
         due.sort_by_key(|(to, _)| *to);
         due
@@ -313,6 +314,6 @@
 
     /// Whether the end of some loan is not acknowledged yet.
     pub(super) fn has_unacknowledged(&self) -> bool {
-        self.0.iter().any(|d| d.ended.is_some())
+        self.0.iter().any(|loan| loan.ended.is_some())
     }
 }
--- a/src/allowance/manager.rs
+++ b/src/allowance/manager.rs
@@ -199,7 +199,7 @@
 
 /// Tokens reserved for a request. On drop, the actual cost is charged and the rest is returned.
 pub struct Reservation<S: RowStore> {
-    keeper: Rc<BudgetManager<S>>,
+    manager: Rc<BudgetManager<S>>,
     org: CompactString,
     reserved_from: ReservedFrom,
     max_cost: Tokens,
@@ -218,8 +218,8 @@
         let more = self.actual.min(self.max_cost).minus(self.proven);
         self.proven.0 += more.0;
         match self.reserved_from {
-            ReservedFrom::Own => self.keeper.update_account(&self.org, |a| a.prove(more)),
-            ReservedFrom::Loan(number) => self.keeper.use_loan(number, self.actual, self.proven),
+            ReservedFrom::Own => self.manager.update_account(&self.org, |a| a.prove(more)),
+            ReservedFrom::Loan(number) => self.manager.use_loan(number, self.actual, self.proven),
         }
     }
 
@@ -234,30 +234,34 @@
         let (max_cost, actual, proven) = (self.max_cost, self.actual, self.proven);
         match self.reserved_from {
             ReservedFrom::Own => {
-                self.keeper.update_account(&self.org, |a| a.settle(max_cost, actual, proven))
+                self.manager.update_account(&self.org, |a| a.settle(max_cost, actual, proven))
             }
-            ReservedFrom::Loan(number) => self.keeper.end_loan(number, actual, proven),
+            ReservedFrom::Loan(number) => self.manager.end_loan(number, actual, proven),
         }
     }
 }
 
 /// Counts a request as waiting demand until dropped.
 struct WaitingDemand<'a, S: RowStore> {
-    keeper: &'a BudgetManager<S>,
+    manager: &'a BudgetManager<S>,
     org: &'a str,
     max_cost: Tokens,
 }
 
 impl<'a, S: RowStore> WaitingDemand<'a, S> {
-    fn begin(keeper: &'a BudgetManager<S>, org: &'a str, max_cost: Tokens) -> WaitingDemand<'a, S> {
-        keeper.update_account(org, |a| a.add_waiting(max_cost));
-        WaitingDemand { keeper, org, max_cost }
+    fn begin(
+        manager: &'a BudgetManager<S>,
+        org: &'a str,
+        max_cost: Tokens,
+    ) -> WaitingDemand<'a, S> {
+        manager.update_account(org, |a| a.add_waiting(max_cost));
+        WaitingDemand { manager, org, max_cost }
     }
 }
 
 impl<S: RowStore> Drop for WaitingDemand<'_, S> {
     fn drop(&mut self) {
-        self.keeper.update_account(self.org, |a| a.remove_waiting(self.max_cost));
+        self.manager.update_account(self.org, |a| a.remove_waiting(self.max_cost));
     }
 }
 
@@ -429,7 +433,7 @@
                     let org = CompactString::from(org);
                     let (actual, proven) = (Tokens(0), Tokens(0));
                     return Ok(Reservation {
-                        keeper: self.clone(),
+                        manager: self.clone(),
                         org,
                         reserved_from,
                         max_cost,
--- a/tests/lending_fleet.rs
+++ b/tests/lending_fleet.rs
@@ -91,7 +91,7 @@
             longest_wait: Cell::default(),
             incarnation: Cell::new(1),
         });
-        (0..routers).for_each(|router| fleet.start_at(router));
+        (0..routers).for_each(|router| fleet.start_router(router));
         fleet
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Starts the next process of a router.
-    pub fn start_at(self: &Rc<Self>, router: usize) {
+    pub fn start_router(self: &Rc<Self>, router: usize) {
         let rows = self.store.new_client();
         rows.set_fault(Fault::Slow(STORE_LATENCY));
         let incarnation = self.incarnation.get();
@@ -150,7 +150,7 @@
     pub fn start_all(self: &Rc<Self>) {
         for router in 0..self.size() {
             if self.hosts.borrow()[router].is_none() {
-                self.start_at(router);
+                self.start_router(router);
             }
         }
     }
--- a/tests/test_allowance.rs
+++ b/tests/test_allowance.rs
@@ -179,10 +179,10 @@
 
     fn write_grant(&mut self) {
         let now = Instant::now();
-        let plan = self.next_grant_change(now).expect("a grant is due");
-        self.account.begin_grant_write(&plan);
+        let change = self.next_grant_change(now).expect("a grant is due");
+        self.account.begin_grant_write(&change);
         let ver = Ver(self.account.ver().0 + 1);
-        self.account.grant_written(&plan, ver, now);
+        self.account.grant_written(&change, ver, now);
     }
 
     fn reserve_tokens(&mut self, max_cost: u64) -> Result<(), Denied> {
@@ -289,13 +289,13 @@
     assert!(before >= Tokens(4_000));
     // Without requests the grant is returned.
     let later = Instant::now() + Duration::from_secs(15);
-    let plan = fixture.next_grant_change(later).expect("the grant is returned");
-    assert_eq!(plan.ledger.committed(), Tokens(0));
-    fixture.account.begin_grant_write(&plan);
+    let change = fixture.next_grant_change(later).expect("the grant is returned");
+    assert_eq!(change.ledger.committed(), Tokens(0));
+    fixture.account.begin_grant_write(&change);
     assert_eq!(fixture.account.ceiling(), Tokens(0));
     assert_eq!(fixture.account.reserve_tokens(Tokens(4_000), later), Err(Denied::NoneHere));
     // The store rejected the write, so nothing was returned.
-    fixture.account.grant_rejected(&plan);
+    fixture.account.grant_rejected(&change);
     assert_eq!(fixture.account.ceiling(), before);
     assert_eq!(fixture.account.reserve_tokens(Tokens(4_000), later), Ok(()));
 }
@@ -368,8 +368,8 @@
     assert!(fixture.next_grant_change(now).is_none(), "2,000 are free");
     ledger.set(grant(process_id("b", 1), 1_000, 0, 0));
     fixture.account.observe(ledger, Ver(9));
-    let plan = fixture.next_grant_change(now).expect("8,000 are free");
-    assert!(plan.ceiling.is_some_and(|c| c >= Tokens(1_000 + 2_500)));
+    let change = fixture.next_grant_change(now).expect("8,000 are free");
+    assert!(change.ceiling.is_some_and(|c| c >= Tokens(1_000 + 2_500)));
 }
 
 #[tokio::test(start_paused = true)]
@@ -415,9 +415,9 @@
         fixture.reserve_written(3_000);
     }
     let later = Instant::now() + Duration::from_secs(1);
-    if let Some(plan) = fixture.next_grant_change(later) {
-        assert!(plan.ceiling.is_some_and(|c| c < Tokens(60_000)), "{:?}", plan.ceiling);
-        assert!(plan.ledger.committed() <= Tokens(1_000_000));
+    if let Some(change) = fixture.next_grant_change(later) {
+        assert!(change.ceiling.is_some_and(|c| c < Tokens(60_000)), "{:?}", change.ceiling);
+        assert!(change.ledger.committed() <= Tokens(1_000_000));
     }
     assert!(fixture.account.ceiling() < Tokens(80_000), "{}", fixture.account.ceiling());
 }
@@ -431,10 +431,10 @@
     fixture.reserve_written(1_000);
     fixture.settle(1_000, 400);
     let later = Instant::now() + Duration::from_secs(30);
-    let plan = fixture.next_grant_change(later).expect("the grant is returned");
-    assert_eq!((plan.ceiling, plan.ledger.closed), (None, Tokens(400)));
-    fixture.account.begin_grant_write(&plan);
-    fixture.account.grant_written(&plan, Ver(50), later);
+    let change = fixture.next_grant_change(later).expect("the grant is returned");
+    assert_eq!((change.ceiling, change.ledger.closed), (None, Tokens(400)));
+    fixture.account.begin_grant_write(&change);
+    fixture.account.grant_written(&change, Ver(50), later);
     assert_eq!((fixture.account.charged(), fixture.account.allowed(later)), (Tokens(0), Tokens(0)));
     assert!(fixture.account.next_limit(StoreMs(1_000), later, SIZING).is_none());
     fixture.reserve_written(1_000);
--- a/tests/test_allowance_fleet_random.rs
+++ b/tests/test_allowance_fleet_random.rs
@@ -101,7 +101,7 @@
         Step::Kill(r, ms) => {
             fleet.kill(r);
             sleep(Duration::from_millis(ms)).await;
-            fleet.start_at(r);
+            fleet.start_router(r);
         }
         Step::KillAll(ms) => {
             fleet.kill_all();
--- a/tests/test_allowance_lending.rs
+++ b/tests/test_allowance_lending.rs
@@ -223,7 +223,7 @@
         let router: usize = lender[1..].parse().unwrap();
         fleet.kill(router);
         fleet.load(1_000, 60, 4_000).await;
-        fleet.start_at(router);
+        fleet.start_router(router);
         fleet.load(4_000, 60, 4_000).await;
         // Only requests at the dead router itself, or on their way to it, may be refused.
         assert!(fleet.refused.get() <= 2, "{}", fleet.refused.get());
@@ -244,7 +244,7 @@
         fleet.load(4_000, 60, 4_000).await;
         for router in 0..16 {
             fleet.stop(router).await;
-            fleet.start_at(router);
+            fleet.start_router(router);
             fleet.load(500, 60, 4_000).await;
         }
         sleep(40 * SECOND).await;
@@ -297,7 +297,7 @@
         sleep(SECOND).await;
         fleet.load(1_000, 10, 4_000).await;
         let manager = fleet.hosts.borrow()[0].as_ref().unwrap().manager.clone();
-        fleet.start_at(0);
+        fleet.start_router(0);
         sleep(SECOND).await;
         let first = manager.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await;
         // The first attempt may still be covered by the old limit, but a write of the old process
@@ -323,7 +323,7 @@
             ..Default::default()
         };
         store.commit(&tx).await.unwrap();
-        fleet.start_at(0);
+        fleet.start_router(0);
         sleep(SECOND).await;
         fleet.load(1_000, 10, 4_000).await;
         sleep(SECOND).await;
