--- a/src/allowance/account.rs
+++ b/src/allowance/account.rs
@@ -94,7 +94,7 @@
     /// Spending limits whose writes were not answered. Any of them may be in force.
     pending_limits: Vec<PendingLimit>,
     /// Tokens charged for finished requests, and the part of them that is not proven to be spent.
-    finished: Tokens,
+    finished_cost: Tokens,
     unproven: Tokens,
     /// Tokens of running requests that their callers have received, and that are therefore spent
     /// for certain.
@@ -105,7 +105,7 @@
     granted_at: Instant,
     /// The spending reported with the limit in force, and when that limit was written.
     reported: SpendingReport,
-    renewed_at: Instant,
+    limit_written_at: Instant,
 }
 
 impl Account {
@@ -121,14 +121,14 @@
             pending_ceilings: Vec::new(),
             spending_limit: None,
             pending_limits: Vec::new(),
-            finished: Tokens(0),
+            finished_cost: Tokens(0),
             unproven: Tokens(0),
             proven: Tokens(0),
             held: Tokens(0),
             demand: Demand::new(now),
             granted_at: now,
             reported: SpendingReport::default(),
-            renewed_at: now,
+            limit_written_at: now,
         }
     }
 
@@ -144,12 +144,12 @@
 
     /// Upper bound of the tokens spent, including the reservations of running requests.
     pub fn charged(&self) -> Tokens {
-        Tokens(self.finished.0 + self.held.0)
+        Tokens(self.finished_cost.0 + self.held.0)
     }
 
     /// Tokens spent for certain.
     pub fn settled(&self) -> Tokens {
-        Tokens(self.finished.0 - self.unproven.0 + self.proven.0)
+        Tokens(self.finished_cost.0 - self.unproven.0 + self.proven.0)
     }
 
     /// Version of the ledger that decisions are based on.
@@ -265,7 +265,7 @@
     pub fn settle(&mut self, max_cost: Tokens, actual: Tokens, proven: Tokens) {
         self.held.0 -= max_cost.0;
         self.proven.0 -= proven.0;
-        self.finished.0 += actual.0.max(proven.0).min(max_cost.0);
+        self.finished_cost.0 += actual.0.max(proven.0).min(max_cost.0);
     }
 
     /// Settles a request that reserved `max_cost` and whose cost will never be reported. All of it
@@ -310,7 +310,7 @@
     /// Resets the spending after the grant was returned together with what was spent of it. Later
     /// spending counts from zero and needs a new spending limit.
     fn reset_spending(&mut self) {
-        self.finished = Tokens(0);
+        self.finished_cost = Tokens(0);
         self.unproven = Tokens(0);
         self.spending_limit = None;
         self.pending_limits.clear();
@@ -386,7 +386,7 @@
         if is_awaited || !self.pending_limits.is_empty() {
             return Some(is_awaited);
         }
-        let is_old = now.saturating_duration_since(self.renewed_at) >= LIMIT_WRITE_INTERVAL;
+        let is_old = now.saturating_duration_since(self.limit_written_at) >= LIMIT_WRITE_INTERVAL;
         let changed = self.reported != self.spending_report();
         (is_old && changed && self.spending_limit.is_some()).then_some(false)
     }
@@ -418,10 +418,10 @@
     /// Records that write `number` of the endpoint's row is in force; no other unanswered write can
     /// take effect any more.
     pub fn limit_written(&mut self, number: u64, now: Instant) {
-        if let Some(reported) = self.pending_limits.iter().find(|p| p.number == number) {
-            self.spending_limit = Some(reported.anchored);
-            self.reported = reported.spending_report;
-            self.renewed_at = now;
+        if let Some(pending) = self.pending_limits.iter().find(|p| p.number == number) {
+            self.spending_limit = Some(pending.anchored);
+            self.reported = pending.spending_report;
+            self.limit_written_at = now;
         }
         self.pending_limits.clear();
         // Demand that is covered by now would otherwise raise each limit for seconds.
--- a/src/allowance/manager.rs
+++ b/src/allowance/manager.rs
@@ -570,7 +570,7 @@
                 }
             }
         }
-        // Writes that were sent may still take effect; their answers tell.
+        // Writes that were sent may still take effect, so their answers are awaited.
         while calls.next().await.is_some() {}
     }
 
--- a/tests/test_allowance.rs
+++ b/tests/test_allowance.rs
@@ -54,8 +54,8 @@
     let anchored =
         AnchoredLimit { spending_limit: spending_limit(100, 1_000, 0), received_at: now };
     assert_eq!(anchored.time_until(Tokens(100), now), Some(Duration::ZERO));
-    let add_waiting = anchored.time_until(Tokens(1_100), now).unwrap();
-    assert!(anchored.at(now + add_waiting + Duration::from_millis(2)) >= Tokens(1_100));
+    let wait = anchored.time_until(Tokens(1_100), now).unwrap();
+    assert!(anchored.at(now + wait + Duration::from_millis(2)) >= Tokens(1_100));
     let flat = AnchoredLimit { spending_limit: spending_limit(100, 0, 0), received_at: now };
     assert_eq!(flat.time_until(Tokens(101), now), None);
 }
