--- a/src/gateway/feed.rs
+++ b/src/gateway/feed.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::allowance::Keeper;
+use crate::allowance::BudgetManager;
 use crate::oplog::Log;
-use crate::rows::{Arriving, Page, RowStore, StoreError, StoreResult, Ver};
+use crate::rows::{ArrivingAnswers, Page, RowStore, StoreError, StoreResult, Ver};
 use crate::stats::{Reason, Stats};
 
 /// How long a feed waits for a change. Short, because a connection that has gone silent shows
@@ -46,7 +46,7 @@
 /// Reads tables, and notes what each reading says of the store.
 pub struct Reader<P: RowStore> {
     rows: P,
-    keeper: Rc<Keeper<P>>,
+    keeper: Rc<BudgetManager<P>>,
     log: Log,
     stats: Stats,
     link: Cell<StoreLink>,
@@ -58,14 +58,14 @@
     /// All changes up to this version are known; `None` until the table was read whole.
     at: Cell<Option<Ver>>,
     /// Whether changes are arriving.
-    arriving: Arriving,
+    arriving: ArrivingAnswers,
 }
 
 impl Feed {
     /// What changed up to now; nothing if the store does not say. Waits for changes that are
     /// arriving instead of asking for them a second time.
     pub async fn catch_up<P: RowStore>(&self, reader: &Reader<P>, table: &str) -> Option<Page> {
-        timeout(ARRIVAL_WAIT, self.arriving.over()).await.ok()?;
+        timeout(ARRIVAL_WAIT, self.arriving.wait_until_none()).await.ok()?;
         let at = self.at.get()?;
         // Without its history the table must be read whole, which its follower does.
         self.changes(reader, table, at, Duration::ZERO, Reading::start("confirm")).await.ok()
@@ -91,7 +91,7 @@
 
     async fn whole<P: RowStore>(&self, reader: &Reader<P>, table: &str) -> StoreResult<Page> {
         let reading = Reading::start("whole");
-        let _arrival = self.arriving.begin();
+        let _arrival = self.arriving.start_answer();
         let outcome = reader.rows.scan(table, "").await;
         reader.note(reading, &outcome);
         outcome
@@ -117,7 +117,7 @@
 
 impl<P: RowStore> Reader<P> {
     /// A reader of a store that has not answered yet.
-    pub fn new(rows: P, keeper: Rc<Keeper<P>>, log: Log, stats: Stats) -> Reader<P> {
+    pub fn new(rows: P, keeper: Rc<BudgetManager<P>>, log: Log, stats: Stats) -> Reader<P> {
         let link = Cell::new(StoreLink { answered: None, back: None, away: true });
         Reader { rows, keeper, log, stats, link }
     }
@@ -157,7 +157,7 @@
         match outcome {
             Ok(page) => {
                 self.note_read(reading, page);
-                self.keeper.saw(page.now);
+                self.keeper.observe_store_time(page.now);
                 if before.away {
                     let ms = before.answered.map(|t| (now - t).as_millis());
                     self.log.note(
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -42,7 +42,7 @@
         }
         match topic {
             Some((Topic::Hints, payload)) => apply_hints(&gw, payload),
-            Some((Topic::Budgets, payload)) => gw.keeper.heard(from, payload),
+            Some((Topic::Budgets, payload)) => gw.keeper.receive(from, payload),
             Some((Topic::Crashes, payload)) => gw.crashes.heard(payload, gw.keeper.store_now()),
             Some((Topic::Orders, payload)) => {
                 gw.zones.merge_newer(&gw.zones.parse(payload), "peer")
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -22,7 +22,7 @@
 use super::warmup::Admissions;
 use super::zone_filter::ZoneRegions;
 use super::zones::ZoneGossip;
-use crate::allowance::{HolderName, Keeper, KeeperSettings};
+use crate::allowance::{BudgetManager, BudgetSettings, ProcessId};
 use crate::error::Result;
 use crate::oplog::Log;
 use crate::rows::RowStore;
@@ -75,7 +75,7 @@
     /// The fleet's allowance of repeated sends.
     pub retries: RetryAllowance,
     /// Settings of budgets.
-    pub budgets: KeeperSettings,
+    pub budgets: BudgetSettings,
     /// Weights of placement.
     pub weights: PlacementWeights,
     /// Requests a second that this router is meant to take.
@@ -126,7 +126,7 @@
     /// Requests to cold targets.
     pub cold: Admissions,
     /// Budgets.
-    pub keeper: Rc<Keeper<P>>,
+    pub keeper: Rc<BudgetManager<P>>,
     /// Shares of the retry budget.
     pub retries: RefCell<ServiceRetryBudgets>,
     /// Reads tables that are followed.
@@ -152,13 +152,14 @@
     /// Fires when the last request has ended.
     pub idle: Notify,
     /// This process.
-    pub me: HolderName,
+    pub me: ProcessId,
 }
 
 impl<P: Platform> Gateway<P> {
     /// A router that knows nothing yet.
-    pub fn new(platform: P, settings: Settings, me: HolderName, log: Log) -> Rc<Gateway<P>> {
-        let keeper = Keeper::new(platform.clone(), me.clone(), settings.budgets, log.clone());
+    pub fn new(platform: P, settings: Settings, me: ProcessId, log: Log) -> Rc<Gateway<P>> {
+        let keeper =
+            BudgetManager::new(platform.clone(), me.clone(), settings.budgets, log.clone());
         let keeper = Rc::new(keeper);
         let stats = Stats::new();
         Rc::new(Gateway {
--- a/tests/test_allowance_random.rs
+++ b/tests/test_allowance_random.rs
@@ -1,11 +1,11 @@
-//! Random schedules of routers, faults, deaths and top-ups against one budget: what callers
-//! got never exceeds what was prepaid, and what is refused is not refused for ever.
+//! Random schedules of routers, faults, crashes and top-ups against one budget. Callers never
+//! receive more than was prepaid, and refusals do not last forever.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupwall::allowance::{Hold, HolderName, Keeper, KeeperSettings, Ledger};
+use kingcupwall::allowance::{BudgetManager, BudgetSettings, Ledger, ProcessId, Reservation};
 use kingcupwall::ids::Tokens;
 use kingcupwall::oplog::Log;
 use kingcupwall::rows::{Fault, MemoryRows, RowStore};
@@ -14,26 +14,26 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-use crate::keeperdir::KeeperHost;
+use crate::manager_host::ManagerHost;
 
 const ORG: &str = "norte";
 const ROUTERS: usize = 3;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A request at a router: most, and the part of it that is used, in per cent.
+    /// A request at a router: its maximum cost, and the part of it that is used in percent.
     Request(usize, u64, u64),
-    /// A router's calls to the store fail from now on.
-    Break(usize, u8),
-    /// They work again.
-    Heal(usize),
-    /// A router is killed; its successor starts after some ms.
+    /// Injects a fault into a router's calls to the store.
+    SetFault(usize, u8),
+    /// Clears a router's fault.
+    ClearFault(usize),
+    /// Kills a router and starts its successor after a delay in ms.
     Kill(usize, u64),
-    /// A router stops in order, and starts again.
+    /// Stops a router as planned and starts it again.
     Restart(usize),
-    /// The operator raises the budget.
+    /// Raises the operator's budget.
     TopUp(u64),
-    /// Time goes by.
+    /// Waits for a time in ms.
     Wait(u64),
 }
 
@@ -41,8 +41,8 @@
     let router = 0..ROUTERS;
     prop_oneof![
         8 => (router.clone(), 1_u64..3_000, 0_u64..=100).prop_map(|(r, m, p)| Step::Request(r, m, p)),
-        2 => (router.clone(), 0_u8..4).prop_map(|(r, f)| Step::Break(r, f)),
-        2 => router.clone().prop_map(Step::Heal),
+        2 => (router.clone(), 0_u8..4).prop_map(|(r, f)| Step::SetFault(r, f)),
+        2 => router.clone().prop_map(Step::ClearFault),
         1 => (router.clone(), 0_u64..4_000).prop_map(|(r, ms)| Step::Kill(r, ms)),
         1 => router.prop_map(Step::Restart),
         1 => (1_u64..20_000).prop_map(Step::TopUp),
@@ -59,54 +59,54 @@
     }
 }
 
-struct World {
+struct RouterGroup {
     store: MemoryRows,
     prepaid: u64,
-    next: u64,
-    routers: Vec<Option<KeeperHost>>,
-    /// Tokens that callers got.
+    incarnation_counter: u64,
+    routers: Vec<Option<ManagerHost>>,
+    /// Tokens that callers received.
     spent: Rc<Cell<u64>>,
 }
 
-impl World {
-    fn new(prepaid: u64) -> World {
-        let mut world = World {
+impl RouterGroup {
+    fn new(prepaid: u64) -> RouterGroup {
+        let mut group = RouterGroup {
             store: MemoryRows::new(),
             prepaid,
-            next: 1,
+            incarnation_counter: 1,
             routers: Vec::new(),
             spent: Rc::default(),
         };
         for r in 0..ROUTERS {
-            let started = world.start(r);
-            world.routers.push(Some(started));
+            let started = group.start(r);
+            group.routers.push(Some(started));
         }
-        world
+        group
     }
 
-    fn start(&mut self, place: usize) -> KeeperHost {
-        let incarnation = self.next;
-        self.next += 1;
-        let rows = self.store.another();
-        KeeperHost::start(rows, (place, incarnation), ROUTERS, 10_000, (ORG, self.prepaid))
+    fn start(&mut self, router_index: usize) -> ManagerHost {
+        let incarnation = self.incarnation_counter;
+        self.incarnation_counter += 1;
+        let rows = self.store.new_client();
+        ManagerHost::start(rows, (router_index, incarnation), ROUTERS, 10_000, (ORG, self.prepaid))
     }
 
     async fn step(&mut self, step: &Step) {
         match *step {
-            Step::Request(r, most, percent) => self.request(r, most, percent),
-            Step::Break(r, f) => {
+            Step::Request(r, max_cost, percent) => self.request(r, max_cost, percent),
+            Step::SetFault(r, f) => {
                 if let Some(router) = &self.routers[r] {
                     router.rows.set_fault(fault(f));
                 }
             }
-            Step::Heal(r) => {
+            Step::ClearFault(r) => {
                 if let Some(router) = &self.routers[r] {
                     router.rows.set_fault(Fault::None);
                 }
             }
             Step::Kill(r, ms) => {
                 let Some(router) = self.routers[r].take() else { return };
-                // What it had sent may still take effect; it charges nothing any more.
+                // Writes that it sent may still take effect, but it charges nothing more.
                 router.kill();
                 sleep(Duration::from_millis(ms)).await;
                 let started = self.start(r);
@@ -122,52 +122,53 @@
                 self.prepaid += more;
                 for router in self.routers.iter().flatten() {
                     let raised = [(ORG.into(), Tokens(self.prepaid))];
-                    router.keeper.set_prepaid(raised.into_iter());
+                    router.manager.set_prepaid(raised.into_iter());
                 }
             }
             Step::Wait(ms) => sleep(Duration::from_millis(ms)).await,
         }
     }
 
-    /// A request runs beside whatever else happens, and counts as spent when it is admitted:
-    /// whatever part of it a caller gets, it gets no more.
-    fn request(&self, r: usize, most: u64, percent: u64) {
+    /// Starts a concurrent request. Its cost counts as spent on admission, because its caller
+    /// receives no more than that.
+    fn request(&self, r: usize, max_cost: u64, percent: u64) {
         let Some(router) = &self.routers[r] else { return };
-        let (keeper, spent) = (router.keeper.clone(), self.spent.clone());
+        let (manager, spent) = (router.manager.clone(), self.spent.clone());
         spawn_local(async move {
-            let taken: Result<Hold<MemoryRows>, _> = keeper.hold(ORG, Tokens(most)).await;
-            let Ok(mut hold) = taken else { return };
-            let actual = most * percent / 100;
+            let reserved: Result<Reservation<MemoryRows>, _> =
+                manager.reserve_tokens(ORG, Tokens(max_cost)).await;
+            let Ok(mut reservation) = reserved else { return };
+            let actual = max_cost * percent / 100;
             spent.set(spent.get() + actual);
-            hold.cost(Tokens(actual));
-            if most.is_multiple_of(2) {
-                hold.prove();
+            reservation.set_cost(Tokens(actual));
+            if max_cost.is_multiple_of(2) {
+                reservation.confirm_delivered();
             }
-            sleep(Duration::from_millis(most)).await;
+            sleep(Duration::from_millis(max_cost)).await;
         });
     }
 
     async fn committed(&self) -> u64 {
-        let page = self.store.scan("budgets", ORG).await.expect("the observer has no faults");
+        let page = self.store.scan("budgets", ORG).await.expect("this client has no faults");
         let row = page.rows.iter().find(|r| r.at.key == ORG);
         let value = row.and_then(|r| r.value.clone());
-        value.map_or(0, |v| Ledger::decode(&v).expect("the row can be read").committed().0)
+        value.map_or(0, |v| Ledger::decode(&v).expect("the ledger can be decoded").committed().0)
     }
 }
 
-async fn play(prepaid: u64, steps: &[Step]) {
-    let mut world = World::new(prepaid);
+async fn run_schedule(prepaid: u64, steps: &[Step]) {
+    let mut group = RouterGroup::new(prepaid);
     for step in steps {
-        world.step(step).await;
-        assert!(world.spent.get() <= world.prepaid, "overspent at {step:?}");
-        let committed = world.committed().await;
-        assert!(committed <= world.prepaid, "{committed} promised at {step:?}");
+        group.step(step).await;
+        assert!(group.spent.get() <= group.prepaid, "overspent at {step:?}");
+        let committed = group.committed().await;
+        assert!(committed <= group.prepaid, "{committed} granted at {step:?}");
     }
-    // Everything heals: a request that fits into what is left for sure gets its part.
-    world.routers.iter().flatten().for_each(|r| r.rows.set_fault(Fault::None));
+    // After recovery the budget must still not be exceeded.
+    group.routers.iter().flatten().for_each(|r| r.rows.set_fault(Fault::None));
     sleep(Duration::from_secs(20)).await;
-    assert!(world.spent.get() <= world.prepaid);
-    assert!(world.committed().await <= world.prepaid);
+    assert!(group.spent.get() <= group.prepaid);
+    assert!(group.committed().await <= group.prepaid);
 }
 
 fn in_virtual_time(test: impl Future<Output = ()>) {
@@ -183,35 +184,35 @@
     #![proptest_config(ProptestConfig { cases: 150, ..ProptestConfig::default() })]
 
     #[test]
-    fn keeper_never_overspends(
+    fn manager_never_overspends(
         prepaid in 1_000_u64..60_000,
         steps in proptest::collection::vec(step(), 1..60),
     ) {
-        in_virtual_time(play(prepaid, &steps));
+        in_virtual_time(run_schedule(prepaid, &steps));
     }
 }
 
-/// An organisation is told that its budget is spent although a tenth of it is left.
-/// A router stops while a write of its is under way, of its place's row or of the organisation's;
-/// it took effect after the farewell, and the successor closed the same spending once more.
+/// Guards against reporting a budget as spent with a tenth of it left. A router stops while a write
+/// of its own row or of the ledger is in flight; the write took effect after the router had
+/// returned its grants, and the successor closed the same spending again.
 #[rstest]
-#[case::first_line(20)]
+#[case::first_limit(20)]
 #[case::between(60)]
 #[case::grant(90)]
 #[case::granted(125)]
-#[case::next_line(180)]
-fn keeper_stop_during_write(#[case] ms: u64) {
+#[case::next_limit(180)]
+fn manager_stop_during_write(#[case] ms: u64) {
     in_virtual_time(async {
-        let mut world = World::new(100_000);
+        let mut group = RouterGroup::new(100_000);
         sleep(Duration::from_secs(1)).await;
         let slow = Fault::Slow(Duration::from_millis(50));
-        world.routers[0].as_ref().unwrap().rows.set_fault(slow);
-        world.request(0, 2_000, 100);
+        group.routers[0].as_ref().unwrap().rows.set_fault(slow);
+        group.request(0, 2_000, 100);
         sleep(Duration::from_millis(ms)).await;
-        world.step(&Step::Restart(0)).await;
+        group.step(&Step::Restart(0)).await;
         sleep(Duration::from_secs(20)).await;
-        let page = world.store.scan("budgets", ORG).await.unwrap();
-        // Nothing was ever granted: there is no row.
+        let page = group.store.scan("budgets", ORG).await.unwrap();
+        // Nothing was ever granted, so there is no row.
         let Some(row) = page.rows.first() else { return };
         let ledger = Ledger::decode(row.value.as_ref().unwrap()).unwrap();
         assert_eq!(ledger.doubt, Tokens(0), "{ledger:?}");
@@ -220,57 +221,57 @@
 }
 
 #[test]
-fn keeper_rereads_when_starved() {
-    // A router refuses an organisation for ten seconds after others have given its tokens back.
-    // Nothing seemed free when it read the ledger last, and nothing made it read again.
+fn manager_rereads_ledger() {
+    // Guards against refusing an organisation for ten seconds after other routers have returned its
+    // tokens. Nothing was free when the router last read the ledger, and nothing made it read
+    // again.
     in_virtual_time(async {
-        let mut world = World::new(10_000);
+        let mut group = RouterGroup::new(10_000);
         sleep(Duration::from_secs(1)).await;
         for _ in 0..5 {
-            world.request(0, 2_000, 0);
+            group.request(0, 2_000, 0);
             sleep(Duration::from_millis(100)).await;
         }
-        assert_eq!(world.committed().await, 10_000);
-        world.request(1, 3_000, 100);
-        // The first router's requests end without any cost, and it leaves.
+        assert_eq!(group.committed().await, 10_000);
+        group.request(1, 3_000, 100);
+        // The first router's requests end without cost, and the router stops.
         sleep(Duration::from_secs(3)).await;
-        world.step(&Step::Restart(0)).await;
+        group.step(&Step::Restart(0)).await;
         sleep(Duration::from_secs(3)).await;
-        let before = world.spent.get();
+        let before = group.spent.get();
         for _ in 0..4 {
-            world.request(1, 3_000, 100);
+            group.request(1, 3_000, 100);
             sleep(Duration::from_millis(400)).await;
         }
-        assert!(world.spent.get() > before, "still refused");
+        assert!(group.spent.get() > before, "still refused");
     });
 }
 
 #[test]
-fn keeper_one_partition_silent() {
-    // After a death of all routers fewer than a quarter of requests are served: nothing that was
-    // spent for seconds before it can be proved, for any organisation.
-    // A part of the store was down. The lines of all organisations went out in one transaction,
-    // and the rows that were down held up all others.
+fn manager_one_partition_unresponsive() {
+    // Guards against unproven spending of all organisations when one partition fails: with all
+    // limits in one transaction, a failed partition held up the others. After a crash of all
+    // routers, fewer than a quarter of requests were served.
     in_virtual_time(async {
         let store = MemoryRows::new();
         let start = |incarnation| {
             let settings =
-                KeeperSettings { horizon_ms: 10_000, patience: Duration::from_millis(60) };
-            let me = HolderName { place: "r0".into(), incarnation };
-            let keeper = Rc::new(Keeper::new(store.another(), me, settings, Log::new()));
+                BudgetSettings { horizon_ms: 10_000, patience: Duration::from_millis(60) };
+            let me = ProcessId { endpoint: "r0".into(), incarnation };
+            let manager = Rc::new(BudgetManager::new(store.new_client(), me, settings, Log::new()));
             let orgs = ["este", "norte", "sur"].map(|o| (o.into(), Tokens(1_000_000)));
-            keeper.set_prepaid(orgs.into_iter());
-            keeper.set_routers(1);
-            (keeper.clone(), spawn_local(keeper.run()))
+            manager.set_prepaid(orgs.into_iter());
+            manager.set_routers(1);
+            (manager.clone(), spawn_local(manager.run()))
         };
-        let (keeper, task) = start(1);
+        let (manager, task) = start(1);
         sleep(Duration::from_secs(1)).await;
         let spent = Cell::new(0);
         let spend = async |seconds: u64| {
             for _ in 0..seconds * 20 {
                 for org in ["este", "norte", "sur"] {
-                    if let Ok(mut hold) = keeper.hold(org, Tokens(1_000)).await {
-                        hold.cost(Tokens(1_000));
+                    if let Ok(mut reservation) = manager.reserve_tokens(org, Tokens(1_000)).await {
+                        reservation.set_cost(Tokens(1_000));
                         spent.set(spent.get() + if org == "norte" { 1_000 } else { 0 });
                     }
                 }
@@ -278,21 +279,21 @@
             }
         };
         spend(2).await;
-        store.set_silent(&["este"]);
+        store.set_unresponsive(&["este"]);
         spend(5).await;
         task.abort();
-        keeper.halt();
-        store.set_silent(&[]);
+        manager.halt();
+        store.set_unresponsive(&[]);
         let (_, _task) = start(2);
         sleep(Duration::from_secs(4)).await;
         for org in ["norte", "sur"] {
             let page = store.scan("budgets", org).await.unwrap();
             let ledger = Ledger::decode(page.rows[0].value.as_ref().unwrap()).unwrap();
-            // It died within a renewal of its latest write, 200 ms in which it spent 4,000; all it
-            // spent before that is proved.
-            let proved = ledger.closed.0 - ledger.doubt.0;
-            let unproved = spent.get() - proved;
-            assert!(proved > 100_000 && unproved <= 4_000, "{org}: {unproved} {ledger:?}");
+            // The process died within one write interval of its last write: 200 ms, in which it
+            // spent 4,000 tokens. Everything before that is proven.
+            let proven = ledger.closed.0 - ledger.doubt.0;
+            let unproven = spent.get() - proven;
+            assert!(proven > 100_000 && unproven <= 4_000, "{org}: {unproven} {ledger:?}");
         }
     });
 }
