--- a/soak/src/fatal.rs
+++ b/soak/src/fatal.rs
@@ -6,7 +6,7 @@
 
 use compact_str::{CompactString, format_compact};
 use fastrand::Rng;
-use kingcupwall::gateway::quarantine::CRASHES_TO_CONVICT;
+use kingcupwall::gateway::quarantine::CRASHES_TO_QUARANTINE;
 use kingcupwall::standin::gateway_target::{FATAL_BODY, Seen};
 use kingcupwall_platform::names;
 use tokio::time::{Instant, sleep, timeout};
@@ -70,7 +70,7 @@
     let earlier = runs_by_path(before);
     let wrong = |(path, runs): (CompactString, usize)| {
         let before = earlier.iter().find(|(p, _)| *p == path).map_or(0, |(_, n)| *n);
-        let allowed = CRASHES_TO_CONVICT.saturating_sub(before) + SENDS_AFTER;
+        let allowed = CRASHES_TO_QUARANTINE.saturating_sub(before) + SENDS_AFTER;
         let more = runs - before;
         (more > allowed)
             .then(|| format!("calm again: {path} ended {more} more targets after {before}"))
--- a/src/experiment/quarantine.rs
+++ b/src/experiment/quarantine.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::gateway::fingerprint::Fingerprint;
-use crate::gateway::quarantine::{Crash, EndedWell, Incarnation, Quarantine, Report, Source};
+use crate::gateway::quarantine::{Completion, Crash, CrashReport, Incarnation, Quarantine, Source};
 use crate::rows::StoreMs;
 
 /// Resolution of the model, ms.
@@ -106,7 +106,7 @@
     rng: Rng,
     routers: Vec<Quarantine>,
     /// Each router's row, and when it is written next.
-    rows: Vec<(Report, u64)>,
+    rows: Vec<(CrashReport, u64)>,
     targets: Vec<Target>,
     running: Vec<Run>,
     next_request: u64,
@@ -135,7 +135,7 @@
             trouble,
             rng: Rng::with_seed(seed),
             routers: (0..routers).map(|_| Quarantine::default()).collect(),
-            rows: (0..routers).map(|_| (Report::default(), u64::MAX)).collect(),
+            rows: (0..routers).map(|_| (CrashReport::default(), u64::MAX)).collect(),
             targets: (0..targets).map(target).collect(),
             running: Vec::new(),
             next_request: CAUSE.0 + 1,
@@ -180,7 +180,7 @@
     }
 
     fn send(&mut self, request: Fingerprint, attempt: u32, router: usize, now: u64, over: u64) {
-        if self.routers[router].held_back_until(request, StoreMs(now)).is_some() {
+        if self.routers[router].quarantined_until(request, StoreMs(now)).is_some() {
             self.cell.others_held_back += u64::from(request != CAUSE);
             return;
         }
@@ -233,18 +233,18 @@
                 began: StoreMs(run.began),
                 at: StoreMs(now),
             };
-            self.routers[run.router].note(crash, Source::Own);
+            self.routers[run.router].record_crash(crash, Source::Own);
             let row = &mut self.rows[run.router];
             row.1 = row.1.min(now + WRITE_MS);
-            self.tell(run.router, &Report { crashes: vec![crash], ended_well: Vec::new() });
+            self.tell(run.router, &CrashReport { crashes: vec![crash], ended_well: Vec::new() });
             if run.request != CAUSE {
-                let under = self.routers[run.router].crashes(run.request);
+                let under = self.routers[run.router].crash_count(run.request);
                 self.cell.most_under_other = self.cell.most_under_other.max(under);
             }
         }
     }
 
-    fn tell(&mut self, from: usize, report: &Report) {
+    fn tell(&mut self, from: usize, report: &CrashReport) {
         if self.sharing != Sharing::RowsAndDatagrams {
             return;
         }
@@ -253,7 +253,7 @@
         for to in (0..self.routers.len()).filter(|to| *to != from) {
             self.cell.told_bytes += bytes.len() as u64;
             if self.rng.u8(..100) >= LOST_PERCENT {
-                self.routers[to].take(report, Source::Other);
+                self.routers[to].merge_report(report, Source::Other);
             }
         }
     }
@@ -263,9 +263,9 @@
             std::mem::take(&mut self.running).into_iter().partition(|r| r.over <= now);
         self.running = running;
         for run in over {
-            let well = EndedWell { request: run.request, at: StoreMs(now) };
-            if self.routers[run.router].end_well(well, Source::Own) {
-                self.tell(run.router, &Report { crashes: Vec::new(), ended_well: vec![well] });
+            let well = Completion { request: run.request, at: StoreMs(now) };
+            if self.routers[run.router].record_completion(well, Source::Own) {
+                self.tell(run.router, &CrashReport { crashes: Vec::new(), ended_well: vec![well] });
             }
         }
     }
@@ -284,8 +284,8 @@
                 continue;
             }
             self.rows[router] = (self.routers[router].report(StoreMs(now)), u64::MAX);
-            for (report, _) in self.rows.iter().filter(|(r, _)| *r != Report::default()) {
-                self.routers[router].take(report, Source::Other);
+            for (report, _) in self.rows.iter().filter(|(r, _)| *r != CrashReport::default()) {
+                self.routers[router].merge_report(report, Source::Other);
             }
             self.routers[router].expire(StoreMs(now));
         }
--- a/src/gateway/suspects.rs
+++ b/src/gateway/crash_attribution.rs
@@ -10,14 +10,14 @@
 use super::backend::Backend;
 use super::fingerprint::Fingerprint;
 use super::forward::Job;
-use super::quarantine::{Crash, EndedWell};
+use super::quarantine::{Completion, Crash};
 use super::refusal::Own;
 use super::state::{Gateway, Platform};
 use crate::rows::StoreMs;
 
 /// How long after its caller left a request still counts as one that its target had: the target
 /// hears of it late, and may have begun to run it.
-const RUNS_AFTER_LEAVING: Duration = Duration::from_millis(500);
+const DISCONNECTED_RUN_GRACE: Duration = Duration::from_millis(500);
 
 impl<P: Platform> Job<'_, P> {
     /// What makes this request the same as others.
@@ -35,12 +35,12 @@
             return Ok(());
         }
         let now = self.gw.keeper.store_now();
-        match known.held_back_until(self.fingerprint(), now) {
+        match known.quarantined_until(self.fingerprint(), now) {
             None => Ok(()),
             Some(until) => {
                 let (id, request) = (&self.facts.id, self.fingerprint());
                 let org = self.org.as_deref().unwrap_or("-");
-                let ended = known.count(request);
+                let ended = known.crash_count(request);
                 self.gw.log.note(
                     "held_back",
                     format_args!("id={id} request={request} org={org} ended={ended}"),
@@ -53,34 +53,34 @@
 
     /// An answer of `backend` to this request broke off: finds out whether the target has ended,
     /// also when the caller leaves meanwhile. One that was to leave was not ended by a request.
-    pub(super) fn broke_off(&self, backend: &Rc<Backend>) -> Option<JoinHandle<()>> {
+    pub(super) fn spawn_crash_check(&self, backend: &Rc<Backend>) -> Option<JoinHandle<()>> {
         if !backend.is_expected_to_stay() {
             return None;
         }
-        let (broken, gw, backend) = (self.broken(), self.gw.clone(), backend.clone());
+        let (interrupted, gw, backend) = (self.interrupted(), self.gw.clone(), backend.clone());
         Some(spawn_local(async move {
             if backend.find_ended().await {
-                broken.note(&gw, &backend);
+                interrupted.record_crash(&gw, &backend);
             }
         }))
     }
 
     /// The caller left while a target had the request. The target may end under it all the same,
     /// which then shows to the next one that connects.
-    pub(super) fn left(&self) {
-        let may_run = |b: &&Rc<Backend>| self.may_have_run.get() && b.is_expected_to_stay();
-        let Some(backend) = self.at.as_ref().filter(may_run) else { return };
-        let (broken, gw, backend) = (self.broken(), self.gw.clone(), backend.clone());
+    pub(super) fn caller_disconnected(&self) {
+        let may_be_running = |b: &&Rc<Backend>| self.may_have_run.get() && b.is_expected_to_stay();
+        let Some(backend) = self.at.as_ref().filter(may_be_running) else { return };
+        let (interrupted, gw, backend) = (self.interrupted(), self.gw.clone(), backend.clone());
         spawn_local(async move {
-            sleep(RUNS_AFTER_LEAVING).await;
+            sleep(DISCONNECTED_RUN_GRACE).await;
             if backend.life.has_ended() {
-                broken.note(&gw, &backend);
+                interrupted.record_crash(&gw, &backend);
             }
         });
     }
 
-    fn broken(&self) -> Broken {
-        Broken {
+    fn interrupted(&self) -> InterruptedRequest {
+        InterruptedRequest {
             id: self.facts.id.clone(),
             org: self.org.clone(),
             request: self.fingerprint(),
@@ -89,34 +89,34 @@
     }
 
     /// The request was answered whole: if targets ended under it, it was not the cause.
-    pub fn ended_well(&self) {
+    pub fn record_completion(&self) {
         if self.gw.crashes.is_empty() {
             return;
         }
-        let well = EndedWell { request: self.fingerprint(), at: self.gw.keeper.store_now() };
-        self.gw.crashes.end_well(well);
+        let well = Completion { request: self.fingerprint(), at: self.gw.keeper.store_now() };
+        self.gw.crashes.record_completion(well);
     }
 }
 
 /// A request whose answer broke off, or that was given up.
-struct Broken {
+struct InterruptedRequest {
     id: CompactString,
     org: Option<CompactString>,
     request: Fingerprint,
     sent: Instant,
 }
 
-impl Broken {
+impl InterruptedRequest {
     /// Notes that its target has ended.
-    fn note<P: Platform>(&self, gw: &Gateway<P>, backend: &Backend) {
+    fn record_crash<P: Platform>(&self, gw: &Gateway<P>, backend: &Backend) {
         gw.stats.targets_ended.inc();
         let at = gw.keeper.store_now();
         let ran_ms = u64::try_from(self.sent.elapsed().as_millis()).unwrap_or(u64::MAX);
         let began = StoreMs(at.0.saturating_sub(ran_ms));
         let target = backend.incarnation();
-        gw.crashes.note(Crash { request: self.request, target, began, at });
+        gw.crashes.record_crash(Crash { request: self.request, target, began, at });
         let (id, org) = (&self.id, self.org.as_deref().unwrap_or("-"));
-        let (request, ended) = (self.request, gw.crashes.count(self.request));
+        let (request, ended) = (self.request, gw.crashes.crash_count(self.request));
         gw.log.note(
             "target_ended",
             format_args!(
--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -14,43 +14,43 @@
 
 use super::datagram::Topic;
 use super::fingerprint::Fingerprint;
-use super::quarantine::{Crash, EndedWell, Quarantine, Report, Source};
+use super::quarantine::{Completion, Crash, CrashReport, Quarantine, Source};
 use crate::oplog::Log;
 use crate::rows::StoreMs;
 use crate::stats::Stats;
 
 /// Crashes and good ends of so long go into one datagram: all requests of a target break off
 /// together.
-const GATHER_TIME: Duration = Duration::from_millis(5);
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 /// Least pause between two writings of this router's row because of crashes.
-const WRITE_PAUSE: Duration = Duration::from_millis(500);
+const MIN_ROW_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 /// Crashes, and good ends, in one datagram, at most; 70 bytes for one of each keep it under a usual
 /// packet.
-const MAX_TOLD: usize = 20;
+const MAX_EVENTS_PER_DATAGRAM: usize = 20;
 
 /// What this router knows of crashes, and what it has not told yet.
 #[derive(Debug)]
-pub struct Crashes {
+pub struct CrashTracker {
     log: Log,
     stats: Stats,
     known: RefCell<Quarantine>,
-    untold: RefCell<Report>,
-    some_untold: Notify,
-    unwritten: Notify,
+    unsent: RefCell<CrashReport>,
+    unsent_added: Notify,
+    row_outdated: Notify,
     /// All routers that are known to live: the request may come to any of them.
     peers: RefCell<Vec<SocketAddr>>,
 }
 
-impl Crashes {
+impl CrashTracker {
     /// Nothing known yet.
-    pub fn new(log: Log, stats: Stats) -> Crashes {
-        Crashes {
+    pub fn new(log: Log, stats: Stats) -> CrashTracker {
+        CrashTracker {
             log,
             stats,
             known: RefCell::default(),
-            untold: RefCell::default(),
-            some_untold: Notify::new(),
-            unwritten: Notify::new(),
+            unsent: RefCell::default(),
+            unsent_added: Notify::new(),
+            row_outdated: Notify::new(),
             peers: RefCell::default(),
         }
     }
@@ -61,24 +61,28 @@
     }
 
     /// Targets that ended under a request, as far as is known.
-    pub fn count(&self, request: Fingerprint) -> usize {
-        self.known.borrow().crashes(request)
+    pub fn crash_count(&self, request: Fingerprint) -> usize {
+        self.known.borrow().crash_count(request)
     }
 
     /// What this router's row says.
-    pub fn report(&self, now: StoreMs) -> Report {
+    pub fn report(&self, now: StoreMs) -> CrashReport {
         self.known.borrow().report(now)
     }
 
     /// Takes in what rows say: of this router's predecessor, or of others.
-    pub fn take<'a>(&self, reports: impl Iterator<Item = (&'a Report, Source)>, now: StoreMs) {
+    pub fn merge_reports<'a>(
+        &self,
+        reports: impl Iterator<Item = (&'a CrashReport, Source)>,
+        now: StoreMs,
+    ) {
         let mut known = self.known.borrow_mut();
         for (report, source) in reports {
-            known.take(report, source);
+            known.merge_report(report, source);
         }
         known.expire(now);
         drop(known);
-        self.note_held_back();
+        self.update_quarantine_gauge();
     }
 
     /// Whether no crash is known, so that requests need not be looked up.
@@ -87,52 +91,52 @@
     }
 
     /// Until when a request is held back, if it is.
-    pub fn held_back_until(&self, request: Fingerprint, now: StoreMs) -> Option<StoreMs> {
-        self.known.borrow().held_back_until(request, now)
+    pub fn quarantined_until(&self, request: Fingerprint, now: StoreMs) -> Option<StoreMs> {
+        self.known.borrow().quarantined_until(request, now)
     }
 
     /// Waits until the row should be written because of crashes.
-    pub async fn to_write(&self) {
-        self.unwritten.notified().await;
-        sleep(WRITE_PAUSE).await;
+    pub async fn row_write_due(&self) {
+        self.row_outdated.notified().await;
+        sleep(MIN_ROW_WRITE_INTERVAL).await;
     }
 
     /// A target ended under a request of this router.
-    pub fn note(&self, crash: Crash) {
-        if self.known.borrow_mut().note(crash, Source::Own) {
-            self.untold.borrow_mut().crashes.push(crash);
-            self.some_untold.notify_one();
-            self.unwritten.notify_one();
+    pub fn record_crash(&self, crash: Crash) {
+        if self.known.borrow_mut().record_crash(crash, Source::Own) {
+            self.unsent.borrow_mut().crashes.push(crash);
+            self.unsent_added.notify_one();
+            self.row_outdated.notify_one();
         }
-        self.note_held_back();
+        self.update_quarantine_gauge();
     }
 
     /// A request of this router was answered whole.
-    pub fn end_well(&self, well: EndedWell) {
-        if self.known.borrow_mut().end_well(well, Source::Own) {
-            self.untold.borrow_mut().ended_well.push(well);
-            self.some_untold.notify_one();
+    pub fn record_completion(&self, well: Completion) {
+        if self.known.borrow_mut().record_completion(well, Source::Own) {
+            self.unsent.borrow_mut().ended_well.push(well);
+            self.unsent_added.notify_one();
         }
     }
 
-    fn take_untold(&self) -> Report {
-        let mut untold = self.untold.borrow_mut();
-        let (crashes, well) = (untold.crashes.len(), untold.ended_well.len());
-        Report {
-            crashes: untold.crashes.drain(..crashes.min(MAX_TOLD)).collect(),
-            ended_well: untold.ended_well.drain(..well.min(MAX_TOLD)).collect(),
+    fn take_unsent(&self) -> CrashReport {
+        let mut unsent = self.unsent.borrow_mut();
+        let (crashes, well) = (unsent.crashes.len(), unsent.ended_well.len());
+        CrashReport {
+            crashes: unsent.crashes.drain(..crashes.min(MAX_EVENTS_PER_DATAGRAM)).collect(),
+            ended_well: unsent.ended_well.drain(..well.min(MAX_EVENTS_PER_DATAGRAM)).collect(),
         }
     }
 
     /// Tells the others, for ever.
-    pub async fn tell(&self, socket: &UdpSocket) {
+    pub async fn broadcast(&self, socket: &UdpSocket) {
         loop {
-            if *self.untold.borrow() == Report::default() {
-                self.some_untold.notified().await;
+            if *self.unsent.borrow() == CrashReport::default() {
+                self.unsent_added.notified().await;
             }
-            sleep(GATHER_TIME).await;
+            sleep(BATCH_DELAY).await;
             let mut bytes = Vec::new();
-            let report = self.take_untold();
+            let report = self.take_unsent();
             ciborium::into_writer(&report, &mut bytes).expect("writing to memory cannot fail");
             let datagram = Topic::Crashes.frame(&bytes);
             let peers = self.peers.borrow().clone();
@@ -146,15 +150,15 @@
     }
 
     /// Takes in what another router tells.
-    pub fn heard(&self, bytes: &[u8], now: StoreMs) {
-        match ciborium::from_reader::<Report, _>(bytes) {
-            Ok(report) => self.take([(&report, Source::Other)].into_iter(), now),
+    pub fn handle_datagram(&self, bytes: &[u8], now: StoreMs) {
+        match ciborium::from_reader::<CrashReport, _>(bytes) {
+            Ok(report) => self.merge_reports([(&report, Source::Other)].into_iter(), now),
             Err(e) => self.log.note("peer", format_args!("topic=crashes error={e}")),
         }
     }
 
-    fn note_held_back(&self) {
-        let n = i64::try_from(self.known.borrow().held_back()).unwrap_or(i64::MAX);
+    fn update_quarantine_gauge(&self) {
+        let n = i64::try_from(self.known.borrow().quarantined_count()).unwrap_or(i64::MAX);
         let before = self.stats.held_back.set(n);
         if before != n {
             self.log.note("quarantine", format_args!("held_back={n} before={before}"));
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -296,7 +296,7 @@
             }
             self.note_ended(&backend, ended, ran_before);
             if ended.is_broken() {
-                await_evidence(self.broke_off(&backend)).await;
+                await_evidence(self.spawn_crash_check(&backend)).await;
             }
             let final_answer =
                 match outcome::next(self.route.kind, ended, self.made, self.route.max_attempts) {
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -214,7 +214,7 @@
         () = conn.closed() => {
             ended(&gw.stats, kind, "caller_left");
             note_left(gw, &id, started, job.may_have_run.get());
-            job.left();
+            job.caller_disconnected();
             return false;
         }
     };
@@ -273,8 +273,8 @@
         Relayed::TimedOut => "timed_out",
     };
     match outcome {
-        "answered" => job.ended_well(),
-        "caller_left" => job.left(),
+        "answered" => job.record_completion(),
+        "caller_left" => job.caller_disconnected(),
         _ => (),
     }
     ended(&gw.stats, label(job.route.kind), outcome);
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -11,7 +11,7 @@
 
 use super::cold::Owner;
 use super::entry::RouterEntry;
-use super::quarantine::{Report, Source};
+use super::quarantine::{CrashReport, Source};
 use super::state::{Gateway, Phase, Platform};
 use crate::allowance::Lender;
 use crate::error::{Error, Kind, Result};
@@ -46,7 +46,7 @@
     beat: StoreMs,
     /// Targets that ended under requests.
     #[serde(default)]
-    report: Report,
+    report: CrashReport,
 }
 
 impl Entry {
@@ -128,7 +128,7 @@
                 // A stop is written at once: callers ask others, which must leave this one out.
                 _ = phase.changed() => (),
                 // So is a target's end: the others must know which requests it ended under.
-                () = gw.crashes.to_write() => (),
+                () = gw.crashes.row_write_due() => (),
             }
         };
         // Without a change the row is renewed all the same.
@@ -222,7 +222,7 @@
     let former = own.iter().map(|o| (&o.entry.report, Source::Own));
     // Also of routers that are long dead: what they saw still holds.
     let told = others.iter().map(|o| (&o.entry.report, Source::Other));
-    gw.crashes.take(former.chain(told), page.now);
+    gw.crashes.merge_reports(former.chain(told), page.now);
     let stale_ms = reads.stale_ms(page.now);
     let live: Vec<&Other> = others.iter().filter(|o| o.age_ms < stale_ms).collect();
     let zone = &gw.settings.zone;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -9,6 +9,7 @@
 pub mod backend;
 pub mod catalog;
 pub mod cold;
+mod crash_attribution;
 pub mod crashes;
 pub mod datagram;
 pub mod drain;
@@ -39,7 +40,6 @@
 mod start;
 pub mod state;
 mod stats;
-mod suspects;
 pub mod sync;
 pub mod targets;
 pub mod timing;
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -43,7 +43,9 @@
         match topic {
             Some((Topic::Hints, payload)) => take_hints(&gw, payload),
             Some((Topic::Budgets, payload)) => gw.keeper.heard(from, payload),
-            Some((Topic::Crashes, payload)) => gw.crashes.heard(payload, gw.keeper.store_now()),
+            Some((Topic::Crashes, payload)) => {
+                gw.crashes.handle_datagram(payload, gw.keeper.store_now())
+            }
             Some((Topic::Orders, payload)) => gw.zones.take(&gw.zones.parse(payload), "peer"),
             Some((Topic::Cold, payload)) => gw.cold.heard(from, payload, |w| cold_target(&gw, w)),
             None => gw.log.note("peer", format_args!("from={from} bytes={n} error=unknown_topic")),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -240,7 +240,7 @@
             "stream_broken",
             format_args!("id={id} target={from} events={events} last={last:?} resumes={may}"),
         );
-        let found = job.broke_off(self.flight.backend());
+        let found = job.spawn_crash_check(self.flight.backend());
         if !may {
             return Err(Relayed::Broken);
         }
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -28,7 +28,7 @@
         spawn_local(gw.keeper.clone().run()),
         spawn_local(gw.keeper.clone().tell()),
         spawn_local(async move { hints.hints.tell(&hints_socket).await }),
-        spawn_local(async move { crashes.crashes.tell(&crashes_socket).await }),
+        spawn_local(async move { crashes.crashes.broadcast(&crashes_socket).await }),
         spawn_local(async move { zones.zones.tell(&zones_socket).await }),
         spawn_local(peers::tell_budgets(gw.clone(), socket.clone())),
         spawn_local(peers::listen(gw.clone(), socket)),
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -11,7 +11,7 @@
 use super::backend::TargetInfo;
 use super::catalog::{Catalog, Limits};
 use super::cold::{ColdBound, Pace};
-use super::crashes::Crashes;
+use super::crashes::CrashTracker;
 use super::entry::EntryView;
 use super::feed::{Confirmation, Feed, Reader};
 use super::hints::Hints;
@@ -120,7 +120,7 @@
     /// What routers tell one another.
     pub hints: Hints,
     /// Requests under which targets ended.
-    pub crashes: Crashes,
+    pub crashes: CrashTracker,
     /// Zones that the operator has emptied.
     pub zones: Zones,
     /// Requests to cold targets.
@@ -162,7 +162,7 @@
         let keeper = Rc::new(keeper);
         let stats = Stats::new();
         Rc::new(Gateway {
-            crashes: Crashes::new(log.clone(), stats.clone()),
+            crashes: CrashTracker::new(log.clone(), stats.clone()),
             zones: Zones::new(log.clone(), stats.clone()),
             cold: Admissions::new(settings.instance.clone(), log.clone(), stats.clone()),
             reader: Reader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcupwall::gateway::liveness::Life;
-use kingcupwall::gateway::quarantine::CRASHES_TO_CONVICT;
+use kingcupwall::gateway::quarantine::CRASHES_TO_QUARANTINE;
 use kingcupwall::http1::Conn;
 use kingcupwall::rows::Fault;
 use kingcupwall::standin::gateway::{LocalPlatform, parts};
@@ -261,7 +261,7 @@
             let status = call.send(fleet.routers[0].front).await.status();
             assert!([502, 503].contains(&status));
         }
-        assert_eq!(fleet.ended(), CRASHES_TO_CONVICT);
+        assert_eq!(fleet.ended(), CRASHES_TO_QUARANTINE);
     });
 }
 
--- a/tests/test_gateway_quarantine.rs
+++ b/tests/test_gateway_quarantine.rs
@@ -3,8 +3,8 @@
 use kingcupwall::experiment::quarantine::{Sharing, Trouble, run};
 use kingcupwall::gateway::fingerprint::Fingerprint;
 use kingcupwall::gateway::quarantine::{
-    CRASHES_TO_CONVICT, Crash, EndedWell, HELD_BACK_MS, Incarnation, Quarantine, Report,
-    SUSPECTED_MS, Source,
+    CRASH_RETENTION_MS, CRASHES_TO_QUARANTINE, Completion, Crash, CrashReport, Incarnation,
+    QUARANTINE_MS, Quarantine, Source,
 };
 use kingcupwall::http1::RequestHead;
 use kingcupwall::rows::StoreMs;
@@ -23,26 +23,26 @@
 fn ended_in_turn(request: Fingerprint, n: usize) -> Quarantine {
     let mut q = Quarantine::default();
     for t in 0..n as u64 {
-        assert!(q.note(crash(request, t, 100 * t, 100 * t + 90), Source::Own));
+        assert!(q.record_crash(crash(request, t, 100 * t, 100 * t + 90), Source::Own));
     }
     q
 }
 
 fn note_all(q: &mut Quarantine, crashes: impl Iterator<Item = Crash>, source: Source) {
     for crash in crashes {
-        q.note(crash, source);
+        q.record_crash(crash, source);
     }
 }
 
 fn is_held_back(q: &Quarantine, request: Fingerprint, now: u64) -> bool {
-    q.held_back_until(request, StoreMs(now)).is_some()
+    q.quarantined_until(request, StoreMs(now)).is_some()
 }
 
 #[test]
 fn held_back_after_targets_in_turn() {
-    assert!(!is_held_back(&ended_in_turn(CAUSE, CRASHES_TO_CONVICT - 1), CAUSE, 1_000));
-    let q = ended_in_turn(CAUSE, CRASHES_TO_CONVICT);
-    assert_eq!(q.held_back_until(CAUSE, StoreMs(1_000)), Some(StoreMs(290 + HELD_BACK_MS)));
+    assert!(!is_held_back(&ended_in_turn(CAUSE, CRASHES_TO_QUARANTINE - 1), CAUSE, 1_000));
+    let q = ended_in_turn(CAUSE, CRASHES_TO_QUARANTINE);
+    assert_eq!(q.quarantined_until(CAUSE, StoreMs(1_000)), Some(StoreMs(290 + QUARANTINE_MS)));
     assert!(!is_held_back(&q, INNOCENT, 1_000));
 }
 
@@ -53,7 +53,7 @@
     let mut q = Quarantine::default();
     note_all(&mut q, (0..4).map(|t| crash(CAUSE, t, 0, 90 + t)), Source::Other);
     assert!(!is_held_back(&q, CAUSE, 1_000));
-    q.note(crash(CAUSE, 4, 500, 590), Source::Own);
+    q.record_crash(crash(CAUSE, 4, 500, 590), Source::Own);
     assert!(is_held_back(&q, CAUSE, 1_000));
 }
 
@@ -64,7 +64,7 @@
     let mut q = Quarantine::default();
     note_all(&mut q, (0..10).map(|t| crash(INNOCENT, t, 10 * t, 500 + t)), Source::Other);
     assert!(!is_held_back(&q, INNOCENT, 1_000));
-    assert!(q.end_well(EndedWell { request: INNOCENT, at: StoreMs(700) }, Source::Own));
+    assert!(q.record_completion(Completion { request: INNOCENT, at: StoreMs(700) }, Source::Own));
     // Another one fails later.
     note_all(&mut q, (20..22).map(|t| crash(INNOCENT, t, 900, 1_000 + t)), Source::Other);
     assert!(!is_held_back(&q, INNOCENT, 2_000));
@@ -72,34 +72,34 @@
 
 #[test]
 fn ended_well_clears() {
-    let mut q = ended_in_turn(INNOCENT, CRASHES_TO_CONVICT - 1);
-    let well = EndedWell { request: INNOCENT, at: StoreMs(300) };
-    assert!(q.end_well(well, Source::Other));
+    let mut q = ended_in_turn(INNOCENT, CRASHES_TO_QUARANTINE - 1);
+    let well = Completion { request: INNOCENT, at: StoreMs(300) };
+    assert!(q.record_completion(well, Source::Other));
     // The rows of those who saw the crashes still name them.
     note_all(&mut q, (0..2).map(|t| crash(INNOCENT, t, 100 * t, 100 * t + 90)), Source::Other);
-    q.note(crash(INNOCENT, 5, 400, 450), Source::Own);
-    assert_eq!(q.crashes(INNOCENT), 1);
-    assert!(!q.end_well(EndedWell { request: CAUSE, at: StoreMs(300) }, Source::Own));
+    q.record_crash(crash(INNOCENT, 5, 400, 450), Source::Own);
+    assert_eq!(q.crash_count(INNOCENT), 1);
+    assert!(!q.record_completion(Completion { request: CAUSE, at: StoreMs(300) }, Source::Own));
 }
 
 #[test]
 fn note_two_observers_of_one_crash() {
     let mut q = Quarantine::default();
-    assert!(q.note(crash(CAUSE, 1, 0, 90), Source::Other));
-    assert!(!q.note(crash(CAUSE, 1, 20, 95), Source::Own));
-    assert_eq!(q.crashes(CAUSE), 1);
+    assert!(q.record_crash(crash(CAUSE, 1, 0, 90), Source::Other));
+    assert!(!q.record_crash(crash(CAUSE, 1, 20, 95), Source::Own));
+    assert_eq!(q.crash_count(CAUSE), 1);
     // What this router saw as well it reports, although another one was first.
     assert_eq!(q.report(StoreMs(100)).crashes.len(), 1);
 }
 
 #[rstest]
-#[case(1, SUSPECTED_MS)]
-#[case(CRASHES_TO_CONVICT, HELD_BACK_MS)]
+#[case(1, CRASH_RETENTION_MS)]
+#[case(CRASHES_TO_QUARANTINE, QUARANTINE_MS)]
 fn expire_after(#[case] crashes: usize, #[case] ms: u64) {
     let mut q = ended_in_turn(CAUSE, crashes);
     let last = 100 * (crashes as u64 - 1) + 90;
     q.expire(StoreMs(last + ms - 1));
-    assert_eq!(q.crashes(CAUSE), crashes);
+    assert_eq!(q.crash_count(CAUSE), crashes);
     q.expire(StoreMs(last + ms));
     assert!(q.is_empty());
     assert!(!is_held_back(&q, CAUSE, last + ms));
@@ -107,34 +107,34 @@
 
 #[test]
 fn take_report_of_predecessor() {
-    let before = ended_in_turn(CAUSE, CRASHES_TO_CONVICT);
+    let before = ended_in_turn(CAUSE, CRASHES_TO_QUARANTINE);
     let mut after = Quarantine::default();
-    after.take(&before.report(StoreMs(1_000)), Source::Own);
+    after.merge_report(&before.report(StoreMs(1_000)), Source::Own);
     assert!(is_held_back(&after, CAUSE, 1_000));
     assert_eq!(after.report(StoreMs(1_000)), before.report(StoreMs(1_000)));
     let mut other = Quarantine::default();
-    other.take(&before.report(StoreMs(1_000)), Source::Other);
+    other.merge_report(&before.report(StoreMs(1_000)), Source::Other);
     assert!(is_held_back(&other, CAUSE, 1_000));
-    assert_eq!(other.report(StoreMs(1_000)), Report::default());
+    assert_eq!(other.report(StoreMs(1_000)), CrashReport::default());
 }
 
 #[test]
 fn report_is_bounded_and_names_the_cause() {
     // A zone fails with hundreds of requests in flight, beside a request that has ended targets.
-    let mut q = ended_in_turn(CAUSE, CRASHES_TO_CONVICT);
+    let mut q = ended_in_turn(CAUSE, CRASHES_TO_QUARANTINE);
     for n in 100..5_000 {
-        q.note(crash(Fingerprint(n), n, 10_000, 20_000), Source::Own);
+        q.record_crash(crash(Fingerprint(n), n, 10_000, 20_000), Source::Own);
     }
     let report = q.report(StoreMs(21_000));
     let mut bytes = Vec::new();
     ciborium::into_writer(&report, &mut bytes).unwrap();
     assert!(bytes.len() < 600, "{} bytes", bytes.len());
     let named = report.crashes.iter().filter(|c| c.request == CAUSE).count();
-    assert_eq!(named, CRASHES_TO_CONVICT);
+    assert_eq!(named, CRASHES_TO_QUARANTINE);
     assert!(is_held_back(&q, CAUSE, 30_000));
     // A while later only what several targets ended under is left: hundreds of routers read it.
     let later = q.report(StoreMs(40_000));
-    assert_eq!(later.crashes.len(), CRASHES_TO_CONVICT);
+    assert_eq!(later.crashes.len(), CRASHES_TO_QUARANTINE);
 }
 
 #[test]
@@ -143,9 +143,9 @@
     // The report has no room for all of them; by rows alone the others never hear of the cause.
     let mut q = Quarantine::default();
     for n in 100..120 {
-        q.note(crash(Fingerprint(n), 1, 20 * n, 5_000), Source::Own);
+        q.record_crash(crash(Fingerprint(n), 1, 20 * n, 5_000), Source::Own);
     }
-    q.note(crash(CAUSE, 1, 4_900, 5_000), Source::Own);
+    q.record_crash(crash(CAUSE, 1, 4_900, 5_000), Source::Own);
     assert!(q.report(StoreMs(5_100)).crashes.iter().any(|c| c.request == CAUSE));
 }
 
@@ -221,9 +221,9 @@
         let over = running.iter().filter(|r| r.3 <= now);
         ending.extend(over.filter(|r| r.0 == CAUSE).map(|r| r.1));
         for (request, target, began, _) in running.iter().filter(|r| ending.contains(&r.1)) {
-            q.note(crash(*request, incarnations[*target], *began, now), Source::Own);
+            q.record_crash(crash(*request, incarnations[*target], *began, now), Source::Own);
             if *request != CAUSE {
-                most = most.max(q.crashes(*request));
+                most = most.max(q.crash_count(*request));
             }
         }
         running.retain(|r| !ending.contains(&r.1));
@@ -232,7 +232,7 @@
             next_incarnation += 1;
         }
         for (request, ..) in running.iter().filter(|r| r.3 <= now) {
-            q.end_well(EndedWell { request: *request, at: StoreMs(now) }, Source::Own);
+            q.record_completion(Completion { request: *request, at: StoreMs(now) }, Source::Own);
         }
         running.retain(|r| r.3 > now);
     }
@@ -256,8 +256,8 @@
     run(seed, cell, |c| {
         assert_eq!(c.sharing, Sharing::RowsAndDatagrams);
         assert_eq!(c.others_held_back, 0);
-        assert!(c.ended <= 2 * CRASHES_TO_CONVICT as u64, "{c:?}");
-        assert!(c.trouble == Trouble::Waves || c.ended >= CRASHES_TO_CONVICT as u64, "{c:?}");
+        assert!(c.ended <= 2 * CRASHES_TO_QUARANTINE as u64, "{c:?}");
+        assert!(c.trouble == Trouble::Waves || c.ended >= CRASHES_TO_QUARANTINE as u64, "{c:?}");
     });
 }
 
@@ -273,8 +273,8 @@
     #[test]
     fn report_any_bytes(bytes: Vec<u8>) {
         // Whatever another process writes into a row or a datagram, it is read or turned away.
-        if let Ok(report) = ciborium::from_reader::<Report, _>(bytes.as_slice()) {
-            Quarantine::default().take(&report, Source::Other);
+        if let Ok(report) = ciborium::from_reader::<CrashReport, _>(bytes.as_slice()) {
+            Quarantine::default().merge_report(&report, Source::Other);
         }
     }
 }
