--- a/src/experiment/cold_start.rs
+++ b/src/experiment/cold_start.rs
@@ -13,7 +13,10 @@
 
 use super::plot::{self, Series};
 use crate::error;
-use crate::gateway::cold::{ADMISSION_LIFE, ColdBound, Meter, Owner, Pace, WarmUp, owner};
+use crate::gateway::cold::{
+    ADMISSION_TTL, AdmissionLimit, AdmissionWindow, ColdRateLimit, OwnerCandidate, WarmUp,
+    pick_owner,
+};
 
 /// Resolution of the model.
 const STEP: Duration = Duration::from_millis(1);
@@ -25,7 +28,7 @@
 const TARGETS: usize = 20;
 /// Requests a second that a cold target bears, and the operator's bound for it.
 const PER_S: f64 = 11.0;
-const BOUND: ColdBound = ColdBound { over: 1.5, slack: 5.0 };
+const BOUND: ColdRateLimit = ColdRateLimit { rate_factor: 1.5, slack: 5.0 };
 /// Requests a second for each target: more than all of them bear.
 const WANTED: f64 = 30.0;
 /// How long a caller waits before it is refused.
@@ -98,12 +101,12 @@
 struct Play {
     cell: Cell,
     rng: Rng,
-    pace: Pace,
-    routers: Vec<Owner>,
+    pace: AdmissionLimit,
+    routers: Vec<OwnerCandidate>,
     /// The list of those that lack the largest.
-    old_list: Vec<Owner>,
+    old_list: Vec<OwnerCandidate>,
     /// By router and target.
-    meters: Vec<Meter>,
+    meters: Vec<AdmissionWindow>,
     /// Until when a router leaves a target alone.
     closed: Vec<Option<Instant>>,
     /// When requests reached each target.
@@ -147,18 +150,23 @@
 
 impl Play {
     fn new(mechanism: Mechanism, views: Views, routers: usize, seed: u64) -> Play {
-        let router = |n: usize| Owner {
+        let router = |n: usize| OwnerCandidate {
             instance: format!("r{n}").into(),
             zone: "z".into(),
             addr: ([127, 0, 0, 1], 80).into(),
             capacity: if n.is_multiple_of(LARGE_EVERY) { 200 } else { 48 },
         };
-        let all: Vec<Owner> = (0..routers).map(router).collect();
-        let mut pace = Pace::of(WarmUp { lasts: COLD, per_s: PER_S }, BOUND);
+        let all: Vec<OwnerCandidate> = (0..routers).map(router).collect();
+        let mut pace = AdmissionLimit::for_warm_up(
+            WarmUp { cold_duration: COLD, requests_per_s: PER_S },
+            BOUND,
+        );
         if mechanism == Mechanism::Shares {
             let share = PER_S / routers as f64;
-            pace =
-                Pace::of(WarmUp { lasts: COLD, per_s: share }, ColdBound { over: 2.0, slack: 0.0 });
+            pace = AdmissionLimit::for_warm_up(
+                WarmUp { cold_duration: COLD, requests_per_s: share },
+                ColdRateLimit { rate_factor: 2.0, slack: 0.0 },
+            );
         }
         Play {
             cell: Cell {
@@ -166,7 +174,7 @@
                 views,
                 routers,
                 most_in_second: 0,
-                bound: PER_S * BOUND.over + BOUND.slack,
+                bound: PER_S * BOUND.rate_factor + BOUND.slack,
                 used_percent: 0,
                 wait_p50_ms: 0,
                 wait_p95_ms: 0,
@@ -175,7 +183,7 @@
             rng: Rng::with_seed(seed),
             pace,
             old_list: all.iter().filter(|r| r.capacity < 200).cloned().collect(),
-            meters: (0..routers * TARGETS).map(|_| Meter::default()).collect(),
+            meters: (0..routers * TARGETS).map(|_| AdmissionWindow::default()).collect(),
             closed: vec![None; routers * TARGETS],
             routers: all,
             sent: vec![VecDeque::new(); TARGETS],
@@ -265,7 +273,7 @@
         }
         self.meters[by * TARGETS + target].admit(now, self.pace)?;
         Ok(if asks {
-            self.rng.u32(..=ADMISSION_LIFE.as_millis() as u32 / 2) * STEP + ROUND_TRIP
+            self.rng.u32(..=ADMISSION_TTL.as_millis() as u32 / 2) * STEP + ROUND_TRIP
         } else {
             Duration::ZERO
         })
@@ -275,7 +283,7 @@
         let has_old = self.cell.views == Views::Split && router.is_multiple_of(2);
         let list =
             if has_old && !self.old_list.is_empty() { &self.old_list } else { &self.routers };
-        let found = owner(list, &format!("t{target}"), "z").expect("there are routers");
+        let found = pick_owner(list, &format!("t{target}"), "z").expect("there are routers");
         self.routers.iter().position(|r| r.instance == found.instance).expect("it is one of them")
     }
 
--- a/src/gateway/backend.rs
+++ b/src/gateway/backend.rs
@@ -9,9 +9,9 @@
 use compact_str::CompactString;
 use tokio::time::Instant;
 
-use super::liveness::Life;
+use super::liveness::Liveness;
 use super::load::Load;
-use super::notice::Standing;
+use super::notice::Availability;
 use super::pool::Pool;
 use super::quarantine::Incarnation;
 use super::request::Part;
@@ -75,9 +75,9 @@
     /// Kept connections.
     pub pool: RefCell<Pool>,
     /// Whether its process has ended.
-    pub life: Life,
+    pub life: Liveness,
     /// What it says of itself.
-    pub standing: Standing,
+    pub standing: Availability,
     pub(super) load: RefCell<Load>,
     /// What is learnt of its service's engines.
     pub(super) timing: Rc<RefCell<FirstToken>>,
@@ -106,14 +106,14 @@
 impl Backend {
     pub(super) fn new(
         info: TargetInfo,
-        standing: Standing,
+        standing: Availability,
         timing: Rc<RefCell<FirstToken>>,
     ) -> Backend {
         let backend = Backend {
             word: target_word(&info.id),
             info: RefCell::new(info),
             pool: RefCell::default(),
-            life: Life::default(),
+            life: Liveness::default(),
             standing,
             load: RefCell::new(Load::new(Instant::now())),
             timing,
@@ -161,9 +161,9 @@
         Incarnation(target_word(&format!("{}/{born}", info.id)))
     }
 
-    /// Whether its process has ended; see [`Life::find_ended`].
+    /// Whether its process has ended; see [`Liveness::probe_ended`].
     pub async fn find_ended(&self) -> bool {
-        self.life.find_ended(self.addr(), &self.pool).await
+        self.life.probe_ended(self.addr(), &self.pool).await
     }
 
     /// Whether neither its entry nor the target itself says that it leaves. An entry that the store
@@ -174,7 +174,7 @@
 
     /// A request got an answer.
     pub fn answered(&self) {
-        self.life.lives();
+        self.life.mark_alive();
         let mut load = self.load.borrow_mut();
         load.failures = 0;
         load.doubtful_until = None;
@@ -199,7 +199,7 @@
 
     /// It turned a request away.
     pub fn turned_away(&self) {
-        self.standing.rest(Instant::now(), FULL);
+        self.standing.back_off(Instant::now(), FULL);
     }
 }
 
--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -17,81 +17,81 @@
 use crate::ids::Digest;
 
 /// How long an admission holds. The request must leave within this time, or ask again.
-pub const ADMISSION_LIFE: Duration = Duration::from_millis(10);
+pub const ADMISSION_TTL: Duration = Duration::from_millis(10);
 /// The span over which the bound counts requests.
-const SPAN: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 /// Routers that may admit requests to one target at the same time while their lists differ.
-const OWNERS_AT_ONCE: f64 = 2.0;
+const MAX_CONCURRENT_OWNERS: f64 = 2.0;
 
 /// How targets of a service warm up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
     /// How long a target stays cold after its start.
-    pub lasts: Duration,
+    pub cold_duration: Duration,
     /// Requests a second that a cold target bears.
-    pub per_s: f64,
+    pub requests_per_s: f64,
 }
 
 /// What the operator tolerates in one second at a cold target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdBound {
+pub struct ColdRateLimit {
     /// Times the rate that it bears.
-    pub over: f64,
+    pub rate_factor: f64,
     /// Requests on top.
     pub slack: f64,
 }
 
-impl Default for ColdBound {
+impl Default for ColdRateLimit {
     /// The bare rate, where nothing else is stated.
-    fn default() -> ColdBound {
-        ColdBound { over: 1.0, slack: 0.0 }
+    fn default() -> ColdRateLimit {
+        ColdRateLimit { rate_factor: 1.0, slack: 0.0 }
     }
 }
 
 /// What one owner admits to one target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Pace {
+pub struct AdmissionLimit {
     /// Requests.
     pub requests: usize,
     /// In any span of this length.
     pub window: Duration,
 }
 
-impl Pace {
-    /// The pace for targets that warm up like this: what they bear, and no more than an owner's
+impl AdmissionLimit {
+    /// The limit for targets that warm up like this: what they bear, and no more than an owner's
     /// part of the bound.
-    pub fn of(warm_up: WarmUp, bound: ColdBound) -> Pace {
-        let bound = warm_up.per_s * bound.over + bound.slack;
-        let rate = warm_up.per_s.min(bound / OWNERS_AT_ONCE);
+    pub fn for_warm_up(warm_up: WarmUp, bound: ColdRateLimit) -> AdmissionLimit {
+        let bound = warm_up.requests_per_s * bound.rate_factor + bound.slack;
+        let rate = warm_up.requests_per_s.min(bound / MAX_CONCURRENT_OWNERS);
         if rate >= 1.0 {
             // An admitted request leaves up to the admission's life later.
-            return Pace { requests: rate as usize, window: SPAN + ADMISSION_LIFE };
+            return AdmissionLimit { requests: rate as usize, window: RATE_WINDOW + ADMISSION_TTL };
         }
         let window = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(Duration::MAX);
-        Pace { requests: 1, window: window.saturating_add(ADMISSION_LIFE) }
+        AdmissionLimit { requests: 1, window: window.saturating_add(ADMISSION_TTL) }
     }
 }
 
 /// Requests that an owner admitted to one target of late.
 #[derive(Debug, Default)]
-pub struct Meter {
+pub struct AdmissionWindow {
     admitted: VecDeque<Instant>,
 }
 
-impl Meter {
+impl AdmissionWindow {
     /// Admits a request.
     ///
     /// # Errors
     /// The time until there is room.
-    pub fn admit(&mut self, now: Instant, pace: Pace) -> Result<(), Duration> {
-        while self.admitted.front().is_some_and(|t| *t + pace.window <= now) {
+    pub fn admit(&mut self, now: Instant, limit: AdmissionLimit) -> Result<(), Duration> {
+        while self.admitted.front().is_some_and(|t| *t + limit.window <= now) {
             self.admitted.pop_front();
         }
-        if self.admitted.len() < pace.requests {
+        if self.admitted.len() < limit.requests {
             self.admitted.push_back(now);
             return Ok(());
         }
-        Err(self.admitted.front().map_or(pace.window, |t| *t + pace.window - now))
+        Err(self.admitted.front().map_or(limit.window, |t| *t + limit.window - now))
     }
 
     /// Whether nothing was admitted within `window`.
@@ -101,45 +101,50 @@
 }
 
 /// How long a process does not admit after its start: its predecessor may have, a moment ago.
-pub const SETTLE: Duration = Duration::from_millis(1_100);
+pub const STARTUP_DELAY: Duration = Duration::from_millis(1_100);
 /// Meters of targets that had no request for so long are dropped.
-const METER_LIFE: Duration = Duration::from_secs(10);
+const IDLE_WINDOW_TTL: Duration = Duration::from_secs(10);
 
 /// What one process admits to the targets that it owns.
 #[derive(Debug)]
 pub struct Admitter {
-    settled: Instant,
+    ready_at: Instant,
     /// By digest of the target's id.
-    meters: Vec<(u64, Meter)>,
+    windows: Vec<(u64, AdmissionWindow)>,
 }
 
 impl Admitter {
     /// For a process that started then.
     pub fn new(started: Instant) -> Admitter {
-        Admitter { settled: started + SETTLE, meters: Vec::new() }
+        Admitter { ready_at: started + STARTUP_DELAY, windows: Vec::new() }
     }
 
     /// Admits a request to a target.
     ///
     /// # Errors
     /// The time until there is room.
-    pub fn admit(&mut self, target: u64, now: Instant, pace: Pace) -> Result<(), Duration> {
-        if now < self.settled {
-            return Err(self.settled - now);
+    pub fn admit(
+        &mut self,
+        target: u64,
+        now: Instant,
+        limit: AdmissionLimit,
+    ) -> Result<(), Duration> {
+        if now < self.ready_at {
+            return Err(self.ready_at - now);
         }
-        let i = self.meters.binary_search_by_key(&target, |(t, _)| *t).unwrap_or_else(|i| {
-            self.meters.insert(i, (target, Meter::default()));
+        let i = self.windows.binary_search_by_key(&target, |(t, _)| *t).unwrap_or_else(|i| {
+            self.windows.insert(i, (target, AdmissionWindow::default()));
             i
         });
-        let outcome = self.meters[i].1.admit(now, pace);
-        self.meters.retain(|(_, m)| !m.is_idle(now, pace.window.max(METER_LIFE)));
+        let outcome = self.windows[i].1.admit(now, limit);
+        self.windows.retain(|(_, m)| !m.is_idle(now, limit.window.max(IDLE_WINDOW_TTL)));
         outcome
     }
 }
 
 /// A router that may own targets.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Owner {
+pub struct OwnerCandidate {
     /// Its name.
     pub instance: CompactString,
     /// Its availability zone.
@@ -152,8 +157,12 @@
 }
 
 /// The owner of a target: one of the largest routers of its zone, or of all if its zone has none.
-pub fn owner<'a>(routers: &'a [Owner], target: &str, zone: &str) -> Option<&'a Owner> {
-    let rank = |r: &&Owner| (r.capacity, Reverse(rendezvous(target, &r.instance)));
+pub fn pick_owner<'a>(
+    routers: &'a [OwnerCandidate],
+    target: &str,
+    zone: &str,
+) -> Option<&'a OwnerCandidate> {
+    let rank = |r: &&OwnerCandidate| (r.capacity, Reverse(rendezvous(target, &r.instance)));
     let near = routers.iter().filter(|r| r.zone == zone).max_by_key(rank);
     near.or_else(|| routers.iter().max_by_key(rank))
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -11,7 +11,7 @@
 use super::backend::{Backend, Planned};
 use super::catalog::{Catalog, Route, RouteKind};
 use super::fingerprint::Fingerprint;
-use super::liveness::await_evidence;
+use super::liveness::await_probe;
 use super::outcome::{self, Ended, Final, Made, Next};
 use super::place::{Demand, Placement, place};
 use super::reach::{Barred, Reach};
@@ -296,7 +296,7 @@
             }
             self.note_ended(&backend, ended, ran_before);
             if ended.is_broken() {
-                await_evidence(self.spawn_crash_check(&backend)).await;
+                await_probe(self.spawn_crash_check(&backend)).await;
             }
             let final_answer =
                 match outcome::next(self.route.kind, ended, self.made, self.route.max_attempts) {
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::cold::Owner;
+use super::cold::OwnerCandidate;
 use super::entry::RouterEntry;
 use super::quarantine::{CrashReport, Source};
 use super::state::{Gateway, Phase, Platform};
@@ -81,8 +81,8 @@
 }
 
 impl Other {
-    fn as_owner(&self) -> Owner {
-        Owner {
+    fn as_owner(&self) -> OwnerCandidate {
+        OwnerCandidate {
             instance: self.instance.clone(),
             zone: self.entry.zone.clone(),
             addr: self.entry.peer,
@@ -250,9 +250,9 @@
 fn set_owners<P: Platform>(gw: &Gateway<P>, known: &[&Other], listed: bool) {
     let s = &gw.settings;
     let staying = known.iter().filter(|o| !o.entry.leaving);
-    let mut owners: Vec<Owner> = staying.map(|o| o.as_owner()).collect();
+    let mut owners: Vec<OwnerCandidate> = staying.map(|o| o.as_owner()).collect();
     if listed && *gw.phase.borrow() == Phase::Up {
-        owners.push(Owner {
+        owners.push(OwnerCandidate {
             instance: s.instance.clone(),
             zone: s.zone.clone(),
             addr: s.peer,
--- a/src/gateway/notice.rs
+++ b/src/gateway/notice.rs
@@ -12,7 +12,7 @@
 use crate::http1::{ResponseHead, header};
 
 /// The longest delay that is kept to; a target that states more has most likely a fault.
-const MAX_DELAY: Duration = Duration::from_secs(24 * 60 * 60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// What an answer says of the target that gave it, apart from the request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -55,7 +55,7 @@
 /// the answer's own, which is of the same clock; this instance's clock may differ.
 fn retry_after(after: &str, date: Option<&str>) -> RetryAfter {
     let seconds = after.parse().ok().and_then(|s| match s {
-        s if s >= 0.0 => Some(Duration::try_from_secs_f64(s).unwrap_or(MAX_DELAY)),
+        s if s >= 0.0 => Some(Duration::try_from_secs_f64(s).unwrap_or(MAX_RETRY_AFTER)),
         _ => None,
     });
     let until = || {
@@ -64,33 +64,33 @@
         Some(until.duration_since(now).unwrap_or_default())
     };
     let delay = seconds.or_else(until);
-    delay.map_or(RetryAfter::Unreadable, |d| RetryAfter::Delay(d.min(MAX_DELAY)))
+    delay.map_or(RetryAfter::Unreadable, |d| RetryAfter::Delay(d.min(MAX_RETRY_AFTER)))
 }
 
 /// What a target has said of itself since its start.
 #[derive(Clone, Debug, Default)]
-pub struct Standing {
+pub struct Availability {
     leaving: Cell<bool>,
-    rests_until: Cell<Option<Instant>>,
+    backoff_until: Cell<Option<Instant>>,
 }
 
-impl Standing {
+impl Availability {
     /// Takes in what an answer says. Returns whether that is new.
-    pub fn take(&self, notice: Notice, now: Instant) -> bool {
-        let leaves = notice.leaving && !self.leaving.replace(true);
-        let rests = match notice.retry_after {
-            Some(RetryAfter::Delay(delay)) => self.rest(now, delay),
+    pub fn apply_notice(&self, notice: Notice, now: Instant) -> bool {
+        let newly_leaving = notice.leaving && !self.leaving.replace(true);
+        let longer_backoff = match notice.retry_after {
+            Some(RetryAfter::Delay(delay)) => self.back_off(now, delay),
             Some(RetryAfter::Unreadable) | None => false,
         };
-        leaves || rests
+        newly_leaving || longer_backoff
     }
 
     /// It wants no request for so long. Returns whether that is longer than was known: the latest
     /// end holds, answers to requests that were sent together may each state one.
-    pub fn rest(&self, now: Instant, delay: Duration) -> bool {
-        let before = self.rests_until.get();
+    pub fn back_off(&self, now: Instant, delay: Duration) -> bool {
+        let before = self.backoff_until.get();
         let until = before.max(now.checked_add(delay));
-        self.rests_until.set(until);
+        self.backoff_until.set(until);
         until > before
     }
 
@@ -100,13 +100,13 @@
     }
 
     /// How long it still wants no request, if it said so.
-    pub fn rests_for(&self, now: Instant) -> Option<Duration> {
-        let until = self.rests_until.get()?;
+    pub fn backoff_left(&self, now: Instant) -> Option<Duration> {
+        let until = self.backoff_until.get()?;
         until.checked_duration_since(now).filter(|d| !d.is_zero())
     }
 
     /// Whether it wants no request now.
-    pub fn holds_off(&self, now: Instant) -> bool {
-        self.is_leaving() || self.rests_for(now).is_some()
+    pub fn is_unavailable(&self, now: Instant) -> bool {
+        self.is_leaving() || self.backoff_left(now).is_some()
     }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use tokio::net::UdpSocket;
 
-use super::cold::Pace;
+use super::cold::AdmissionLimit;
 use super::datagram::{MAX_DATAGRAM, Topic};
 use super::hints;
 use super::request::Part;
@@ -47,7 +47,9 @@
                 gw.crashes.handle_datagram(payload, gw.keeper.store_now())
             }
             Some((Topic::Orders, payload)) => gw.zones.take(&gw.zones.parse(payload), "peer"),
-            Some((Topic::Cold, payload)) => gw.cold.heard(from, payload, |w| cold_target(&gw, w)),
+            Some((Topic::Cold, payload)) => {
+                gw.cold.handle_datagram(from, payload, |w| cold_target(&gw, w))
+            }
             None => gw.log.note("peer", format_args!("from={from} bytes={n} error=unknown_topic")),
         }
     }
@@ -65,7 +67,7 @@
 fn cold_target<P: Platform>(
     gw: &Gateway<P>,
     word: u64,
-) -> Option<(CompactString, CompactString, Pace)> {
+) -> Option<(CompactString, CompactString, AdmissionLimit)> {
     let backend = gw.targets.by_word(word)?;
     let info = backend.info.borrow();
     Some((info.id.clone(), info.zone.clone(), gw.cold_pace(&info.service)?))
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -8,7 +8,7 @@
 
 use super::catalog::RouteKind;
 use super::forward::Job;
-use super::liveness::await_evidence;
+use super::liveness::await_probe;
 use super::refusal::Own;
 use super::reply::{Reply, Rest};
 use super::request::{is_hop_by_hop, line};
@@ -244,7 +244,7 @@
         if !may {
             return Err(Relayed::Broken);
         }
-        await_evidence(found).await;
+        await_probe(found).await;
         let reply = tokio::select! {
             biased;
             reply = job.obtain(last.clone()) => reply,
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, timeout};
 
 use super::backend::{Backend, Flight, Planned};
-use super::cold::Pace;
+use super::cold::AdmissionLimit;
 use super::forward::Job;
 use super::notice::{Notice, RetryAfter};
 use super::outcome::Ended;
@@ -47,11 +47,11 @@
             Some(link) => link,
             None => match dial(backend.addr()).await {
                 Ok(link) => {
-                    backend.life.lives();
+                    backend.life.mark_alive();
                     link
                 }
                 Err(e) => {
-                    backend.life.unreached(&e);
+                    backend.life.connect_failed(&e);
                     return Err(Ended::NotSent);
                 }
             },
@@ -106,9 +106,9 @@
             (info.service.clone(), info.zone.clone(), info.id.clone())
         };
         if let Some(warm_up) = self.catalog.warm_up(&service) {
-            if backend.life.reached() {
-                backend.cool(warm_up.lasts);
-                let ms = warm_up.lasts.as_millis();
+            if backend.life.connected() {
+                backend.cool(warm_up.cold_duration);
+                let ms = warm_up.cold_duration.as_millis();
                 self.gw
                     .log
                     .note("target", format_args!("target={id} cold_ms={ms} cause=reached_again"));
@@ -118,17 +118,17 @@
             // nor the configuration need be known.
             let now = Instant::now();
             if let Some(since) = self.gw.zones.taken_back_for(&zone, now) {
-                backend.cool(warm_up.lasts.saturating_sub(since));
+                backend.cool(warm_up.cold_duration.saturating_sub(since));
             }
             if backend.is_cold(now) {
-                let pace = Pace::of(warm_up, self.gw.settings.cold);
+                let pace = AdmissionLimit::for_warm_up(warm_up, self.gw.settings.cold);
                 if let Err(room_in) = self.gw.cold.admit(&id, &zone, pace).await {
                     backend.has_no_room(room_in);
                     return Err(Ended::HeldOff);
                 }
             }
         }
-        let holds_off = backend.standing.holds_off(Instant::now());
+        let holds_off = backend.standing.is_unavailable(Instant::now());
         if self.gw.zones.is_emptied(&zone) || !backend.is_expected_to_stay() || holds_off {
             return Err(Ended::HeldOff);
         }
@@ -213,7 +213,7 @@
             return;
         };
         noticed(&self.gw.stats, notice);
-        let is_new = backend.standing.take(notice, Instant::now());
+        let is_new = backend.standing.apply_notice(notice, Instant::now());
         if !is_new && notice.retry_after != Some(RetryAfter::Unreadable) {
             return;
         }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -10,7 +10,7 @@
 
 use super::backend::TargetInfo;
 use super::catalog::{Catalog, Limits};
-use super::cold::{ColdBound, Pace};
+use super::cold::{AdmissionLimit, ColdRateLimit};
 use super::crashes::CrashTracker;
 use super::entry::EntryView;
 use super::feed::{Confirmation, Feed, Reader};
@@ -65,7 +65,7 @@
     /// The region of each availability zone.
     pub regions: ZoneRegions,
     /// What a cold target may get in one second.
-    pub cold: ColdBound,
+    pub cold: ColdRateLimit,
     /// Age of a router's row from which on callers are not sent there.
     pub unnamed_after: Duration,
     /// Where callers connect.
@@ -207,9 +207,9 @@
     }
 
     /// The pace for cold targets of a service; none if they bear any number of requests.
-    pub fn cold_pace(&self, service: &str) -> Option<Pace> {
+    pub fn cold_pace(&self, service: &str) -> Option<AdmissionLimit> {
         let warm_up = self.catalog.borrow().as_ref().and_then(|c| c.warm_up(service))?;
-        Some(Pace::of(warm_up, self.settings.cold))
+        Some(AdmissionLimit::for_warm_up(warm_up, self.settings.cold))
     }
 
     /// Whether callers should be sent here.
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::backend::{Backend, StartedMs, TargetInfo, TargetState, millis};
-use super::notice::Standing;
+use super::notice::Availability;
 use super::place::Candidate;
 use super::reach::{Barred, Reach};
 use super::request::Part;
@@ -40,7 +40,7 @@
 struct Parted {
     id: CompactString,
     born: Option<StartedMs>,
-    standing: Standing,
+    standing: Availability,
 }
 
 /// All targets, by id.
@@ -103,7 +103,8 @@
         let restarted = info.is_newer(known.born);
         if restarted || known.service != info.service || known.addr != info.addr {
             // An entry that only speaks of another address does not undo what its target said.
-            let standing = if restarted { Standing::default() } else { all[i].standing.clone() };
+            let standing =
+                if restarted { Availability::default() } else { all[i].standing.clone() };
             all[i] = self.backend(info, standing);
             return Change::Restarted;
         }
@@ -115,14 +116,14 @@
         if changed { Change::State } else { Change::Same }
     }
 
-    fn backend(&self, info: TargetInfo, standing: Standing) -> Rc<Backend> {
+    fn backend(&self, info: TargetInfo, standing: Availability) -> Rc<Backend> {
         let timing = self.timing(&info.service);
         Rc::new(Backend::new(info, standing, timing))
     }
 
     /// Keeps what a target said whose entry is gone.
     fn part(&self, b: &Backend) {
-        if !b.standing.holds_off(Instant::now()) {
+        if !b.standing.is_unavailable(Instant::now()) {
             return;
         }
         let mut parted = self.parted.borrow_mut();
@@ -134,7 +135,7 @@
     }
 
     /// What a target has said before its entry was gone.
-    fn rejoin(&self, info: &TargetInfo) -> Standing {
+    fn rejoin(&self, info: &TargetInfo) -> Availability {
         let mut parted = self.parted.borrow_mut();
         let found = parted.iter().rposition(|p| p.id == info.id);
         let known = found.and_then(|i| parted.remove(i));
@@ -211,7 +212,7 @@
     /// How many targets want no request for a while.
     pub fn count_resting(&self) -> usize {
         let now = Instant::now();
-        self.all.borrow().iter().filter(|b| b.standing.rests_for(now).is_some()).count()
+        self.all.borrow().iter().filter(|b| b.standing.backoff_left(now).is_some()).count()
     }
 
     /// How many targets are cold.
@@ -293,7 +294,7 @@
         slots: info.slots,
         rank,
         doubtful: b.lapsed.get() || load.doubtful_until.is_some_and(|t| t > now),
-        resting: b.standing.rests_for(now),
+        resting: b.standing.backoff_left(now),
         tried: req.tried.contains(&info.id),
         room_in: b.is_cold(now).then(|| {
             b.no_room_until.get().map_or(Duration::ZERO, |t| t.saturating_duration_since(now))
--- a/src/gateway/warmup.rs
+++ b/src/gateway/warmup.rs
@@ -13,20 +13,20 @@
 use tokio::time::{Instant, timeout};
 
 use super::backend::target_word;
-use super::cold::{ADMISSION_LIFE, Admitter, Owner, Pace, owner};
+use super::cold::{ADMISSION_TTL, AdmissionLimit, Admitter, OwnerCandidate, pick_owner};
 use super::datagram::Topic;
 use crate::oplog::Log;
 use crate::stats::{Reason, Stats};
 
 /// How long a target is left alone whose owner does not answer, or is not known.
-const OWNER_SILENT: Duration = Duration::from_millis(200);
+const OWNER_SILENT_BACKOFF: Duration = Duration::from_millis(200);
 /// How long it is left alone when an admission came too late to be used.
-const TOO_LATE: Duration = Duration::from_millis(20);
+const LATE_ADMISSION_BACKOFF: Duration = Duration::from_millis(20);
 
 /// A word between a router that has a request and the owner of a cold target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub enum Word {
+pub enum AdmissionMessage {
     /// May one request go to the target of this digest?
     Ask {
         /// Number of the question.
@@ -46,26 +46,26 @@
 /// Admission of requests to cold targets.
 #[derive(Debug)]
 pub struct Admissions {
-    me: CompactString,
+    local_instance: CompactString,
     log: Log,
     stats: Stats,
-    owners: RefCell<Vec<Owner>>,
-    own: RefCell<Admitter>,
-    asked: RefCell<Vec<(u64, oneshot::Sender<Option<Duration>>)>>,
+    owners: RefCell<Vec<OwnerCandidate>>,
+    local_admitter: RefCell<Admitter>,
+    open_queries: RefCell<Vec<(u64, oneshot::Sender<Option<Duration>>)>>,
     next_number: Cell<u64>,
     socket: OnceCell<Rc<UdpSocket>>,
 }
 
 impl Admissions {
     /// For the router `me`, which knows no others yet.
-    pub fn new(me: CompactString, log: Log, stats: Stats) -> Admissions {
+    pub fn new(local_instance: CompactString, log: Log, stats: Stats) -> Admissions {
         Admissions {
-            me,
+            local_instance,
             log,
             stats,
             owners: RefCell::default(),
-            own: RefCell::new(Admitter::new(Instant::now())),
-            asked: RefCell::default(),
+            local_admitter: RefCell::new(Admitter::new(Instant::now())),
+            open_queries: RefCell::default(),
             next_number: Cell::new(fastrand::u64(..)),
             socket: OnceCell::new(),
         }
@@ -78,106 +78,119 @@
     }
 
     /// Sets the routers that may own targets; this one is among them if it may.
-    pub fn set_owners(&self, owners: Vec<Owner>) {
+    pub fn set_owners(&self, owners: Vec<OwnerCandidate>) {
         *self.owners.borrow_mut() = owners;
     }
 
     /// The router that admits requests to a target while it is cold.
     pub fn owner_of(&self, target: &str, zone: &str) -> Option<CompactString> {
-        owner(&self.owners.borrow(), target, zone).map(|o| o.instance.clone())
+        pick_owner(&self.owners.borrow(), target, zone).map(|o| o.instance.clone())
     }
 
     /// Admits one request of this router to a cold target. It must leave within
-    /// [`ADMISSION_LIFE`].
+    /// [`ADMISSION_TTL`].
     ///
     /// # Errors
     /// The time until it makes sense to ask again.
-    pub async fn admit(&self, target: &str, zone: &str, pace: Pace) -> Result<(), Duration> {
-        let owner = owner(&self.owners.borrow(), target, zone).cloned();
+    pub async fn admit(
+        &self,
+        target: &str,
+        zone: &str,
+        limit: AdmissionLimit,
+    ) -> Result<(), Duration> {
+        let owner = pick_owner(&self.owners.borrow(), target, zone).cloned();
         let outcome = match &owner {
-            Some(o) if o.instance == self.me => self.admit_own(target_word(target), pace),
-            Some(o) => self.ask(o.addr, target_word(target)).await,
-            None => Err(OWNER_SILENT),
+            Some(o) if o.instance == self.local_instance => {
+                self.admit_locally(target_word(target), limit)
+            }
+            Some(o) => self.query_owner(o.addr, target_word(target)).await,
+            None => Err(OWNER_SILENT_BACKOFF),
         };
         let reason = if outcome.is_ok() { "admitted" } else { "held_off" };
         self.stats.cold.get_or_create(&Reason { reason }).inc();
         outcome
     }
 
-    fn admit_own(&self, word: u64, pace: Pace) -> Result<(), Duration> {
-        self.own.borrow_mut().admit(word, Instant::now(), pace)
+    fn admit_locally(&self, target_digest: u64, limit: AdmissionLimit) -> Result<(), Duration> {
+        self.local_admitter.borrow_mut().admit(target_digest, Instant::now(), limit)
     }
 
-    async fn ask(&self, owner: SocketAddr, target: u64) -> Result<(), Duration> {
-        let socket = self.socket.get().ok_or(OWNER_SILENT)?;
+    async fn query_owner(&self, owner: SocketAddr, target: u64) -> Result<(), Duration> {
+        let socket = self.socket.get().ok_or(OWNER_SILENT_BACKOFF)?;
         let number = self.next_number.get();
         self.next_number.set(number.wrapping_add(1));
         let (tx, rx) = oneshot::channel();
-        self.asked.borrow_mut().push((number, tx));
+        self.open_queries.borrow_mut().push((number, tx));
         let sent = Instant::now();
-        let answer = match say(socket, &Word::Ask { number, target }, owner) {
-            Ok(()) => timeout(ADMISSION_LIFE, rx).await.ok().and_then(Result::ok),
+        let answer = match send_message(socket, &AdmissionMessage::Ask { number, target }, owner) {
+            Ok(()) => timeout(ADMISSION_TTL, rx).await.ok().and_then(Result::ok),
             Err(e) => {
                 self.log.routine("peer", format_args!("to={owner} outcome=unsent cause={e}"));
                 None
             }
         };
-        self.asked.borrow_mut().retain(|(n, _)| *n != number);
+        self.open_queries.borrow_mut().retain(|(n, _)| *n != number);
         match answer {
-            Some(None) if sent.elapsed() < ADMISSION_LIFE => Ok(()),
-            Some(None) => Err(TOO_LATE),
+            Some(None) if sent.elapsed() < ADMISSION_TTL => Ok(()),
+            Some(None) => Err(LATE_ADMISSION_BACKOFF),
             Some(Some(room_in)) => Err(room_in),
-            None => Err(OWNER_SILENT),
+            None => Err(OWNER_SILENT_BACKOFF),
         }
     }
 
     /// Takes in a word of another router. `target_of` names the target of a digest that this
-    /// router knows, its zone and pace.
-    pub fn heard(
+    /// router knows, its zone and limit.
+    pub fn handle_datagram(
         &self,
         from: SocketAddr,
         bytes: &[u8],
-        target_of: impl Fn(u64) -> Option<(CompactString, CompactString, Pace)>,
+        target_of: impl Fn(u64) -> Option<(CompactString, CompactString, AdmissionLimit)>,
     ) {
-        match ciborium::from_reader::<Word, _>(bytes) {
-            Ok(Word::Ask { number, target }) => {
-                let outcome = self.answer(target, target_of(target));
+        match ciborium::from_reader::<AdmissionMessage, _>(bytes) {
+            Ok(AdmissionMessage::Ask { number, target }) => {
+                let outcome = self.answer_query(target, target_of(target));
                 let room_in_ms =
                     outcome.err().map(|d| u32::try_from(d.as_millis()).unwrap_or(u32::MAX).max(1));
                 let Some(socket) = self.socket.get() else { return };
-                if let Err(e) = say(socket, &Word::Answer { number, room_in_ms }, from) {
+                if let Err(e) =
+                    send_message(socket, &AdmissionMessage::Answer { number, room_in_ms }, from)
+                {
                     self.log.routine("peer", format_args!("to={from} outcome=unsent cause={e}"));
                 }
             }
-            Ok(Word::Answer { number, room_in_ms }) => {
-                let mut asked = self.asked.borrow_mut();
+            Ok(AdmissionMessage::Answer { number, room_in_ms }) => {
+                let mut open_queries = self.open_queries.borrow_mut();
                 // One that is not known any more came too late.
-                let Some(i) = asked.iter().position(|(n, _)| *n == number) else { return };
+                let Some(i) = open_queries.iter().position(|(n, _)| *n == number) else { return };
                 let room_in = room_in_ms.map(|ms| Duration::from_millis(u64::from(ms)));
                 // Its request may have been given up.
-                let _ = asked.swap_remove(i).1.send(room_in);
+                let _ = open_queries.swap_remove(i).1.send(room_in);
             }
             Err(e) => self.log.note("peer", format_args!("topic=cold error={e}")),
         }
     }
 
     /// Admits only to targets that this router owns by its own list: who asks may have another.
-    fn answer(
+    fn answer_query(
         &self,
-        word: u64,
-        target: Option<(CompactString, CompactString, Pace)>,
+        target_digest: u64,
+        target: Option<(CompactString, CompactString, AdmissionLimit)>,
     ) -> Result<(), Duration> {
-        let (target, zone, pace) = target.ok_or(OWNER_SILENT)?;
+        let (target, zone, limit) = target.ok_or(OWNER_SILENT_BACKOFF)?;
         let owners = self.owners.borrow();
-        if owner(&owners, &target, &zone).is_none_or(|o| o.instance != self.me) {
-            return Err(OWNER_SILENT);
+        if pick_owner(&owners, &target, &zone).is_none_or(|o| o.instance != self.local_instance) {
+            return Err(OWNER_SILENT_BACKOFF);
         }
-        self.admit_own(word, pace)
+        self.admit_locally(target_digest, limit)
     }
 }
 
-fn say(socket: &UdpSocket, word: &Word, to: SocketAddr) -> std::io::Result<()> {
+fn send_message(
+    socket: &UdpSocket,
+    message: &AdmissionMessage,
+    to: SocketAddr,
+) -> std::io::Result<()> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(word, &mut bytes).expect("writing to memory cannot fail");
+    ciborium::into_writer(message, &mut bytes).expect("writing to memory cannot fail");
     socket.try_send_to(&Topic::Cold.frame(&bytes), to).map(drop)
 }
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -10,7 +10,7 @@
 use super::gateway_target::{StandinTarget, TOKENS_PER_EVENT};
 use crate::error::{Error, Kind, Result};
 use crate::gateway::catalog::{Engine, Share};
-use crate::gateway::cold::ColdBound;
+use crate::gateway::cold::ColdRateLimit;
 use crate::gateway::place::Weights;
 use crate::gateway::reach::ZoneRegions;
 use crate::gateway::retries::RetryAllowance;
@@ -255,7 +255,7 @@
             ("zone-2".into(), "south".into()),
             ("zone-3".into(), "north".into()),
         ]),
-        cold: ColdBound { over: 1.5, slack: 5.0 },
+        cold: ColdRateLimit { rate_factor: 1.5, slack: 5.0 },
         unnamed_after: Duration::from_millis(4_500),
         front,
         peer: front,
--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -3,7 +3,10 @@
 use std::time::Duration;
 
 use kingcupwall::gateway::CatalogParts;
-use kingcupwall::gateway::cold::{ADMISSION_LIFE, ColdBound, Meter, Owner, Pace, WarmUp, owner};
+use kingcupwall::gateway::cold::{
+    ADMISSION_TTL, AdmissionLimit, AdmissionWindow, ColdRateLimit, OwnerCandidate, WarmUp,
+    pick_owner,
+};
 use kingcupwall::gateway::place::{Candidate, Demand, Placement, Weights, place};
 use kingcupwall::standin::gateway::{LocalPlatform, parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
@@ -15,55 +18,55 @@
 
 use crate::gatedir::{Call, eventually, local};
 
-const BOUND: ColdBound = ColdBound { over: 1.5, slack: 5.0 };
+const BOUND: ColdRateLimit = ColdRateLimit { rate_factor: 1.5, slack: 5.0 };
 
-fn warm_up(per_s: f64) -> WarmUp {
-    WarmUp { lasts: Duration::from_secs(3), per_s }
+fn warm_up(requests_per_s: f64) -> WarmUp {
+    WarmUp { cold_duration: Duration::from_secs(3), requests_per_s }
 }
 
 #[rstest]
 #[case::usual(11.0, BOUND)]
 #[case::slow(2.0, BOUND)]
 #[case::very_slow(0.3, BOUND)]
-#[case::no_slack(8.0, ColdBound { over: 1.0, slack: 0.0 })]
-#[case::nothing_on_top(0.8, ColdBound { over: 1.0, slack: 0.0 })]
+#[case::no_slack(8.0, ColdRateLimit { rate_factor: 1.0, slack: 0.0 })]
+#[case::nothing_on_top(0.8, ColdRateLimit { rate_factor: 1.0, slack: 0.0 })]
 #[case::fast(400.0, BOUND)]
-fn pace_two_owners_within_bound(#[case] per_s: f64, #[case] bound: ColdBound) {
-    let pace = Pace::of(warm_up(per_s), bound);
-    let spans = 1.0_f64.max(pace.window.as_secs_f64());
-    let most = 2.0 * pace.requests as f64 / spans;
-    assert!(most <= per_s * bound.over + bound.slack, "{pace:?}");
-    assert!(pace.requests >= 1 && pace.requests as f64 / spans <= per_s, "{pace:?}");
+fn pace_two_owners_within_bound(#[case] requests_per_s: f64, #[case] bound: ColdRateLimit) {
+    let limit = AdmissionLimit::for_warm_up(warm_up(requests_per_s), bound);
+    let spans = 1.0_f64.max(limit.window.as_secs_f64());
+    let most = 2.0 * limit.requests as f64 / spans;
+    assert!(most <= requests_per_s * bound.rate_factor + bound.slack, "{limit:?}");
+    assert!(limit.requests >= 1 && limit.requests as f64 / spans <= requests_per_s, "{limit:?}");
 }
 
 proptest! {
     #[test]
     fn meter_any_second(gaps in proptest::collection::vec(0_u64..300, 1..200)) {
-        let pace = Pace::of(warm_up(11.0), BOUND);
-        let mut meter = Meter::default();
+        let limit = AdmissionLimit::for_warm_up(warm_up(11.0), BOUND);
+        let mut admission_window = AdmissionWindow::default();
         let mut now = Instant::now();
         let mut admitted = Vec::new();
         for gap in gaps {
             now += Duration::from_millis(gap);
-            match meter.admit(now, pace) {
+            match admission_window.admit(now, limit) {
                 Ok(()) => admitted.push(now),
                 Err(room_in) => {
                     prop_assert!(!room_in.is_zero());
                     // There is room when it says so, and not before.
-                    prop_assert!(room_in <= pace.window);
+                    prop_assert!(room_in <= limit.window);
                 }
             }
         }
         for from in &admitted {
             let within = |t: &&Instant| *t >= from && **t < *from + Duration::from_secs(1);
-            prop_assert!(admitted.iter().filter(within).count() <= pace.requests);
+            prop_assert!(admitted.iter().filter(within).count() <= limit.requests);
         }
     }
 }
 
-fn router(name: &str, zone: &str, capacity: u32) -> Owner {
+fn router(name: &str, zone: &str, capacity: u32) -> OwnerCandidate {
     let addr = "127.0.0.1:80".parse().unwrap();
-    Owner { instance: name.into(), zone: zone.into(), addr, capacity }
+    OwnerCandidate { instance: name.into(), zone: zone.into(), addr, capacity }
 }
 
 #[test]
@@ -74,8 +77,9 @@
         router("c", "z1", 200),
         router("d", "z2", 900),
     ];
-    let of =
-        |routers: &[Owner], target: &str| owner(routers, target, "z1").unwrap().instance.clone();
+    let of = |routers: &[OwnerCandidate], target: &str| {
+        pick_owner(routers, target, "z1").unwrap().instance.clone()
+    };
     let owners: Vec<_> = (0..20).map(|n| of(&routers, &format!("t{n}"))).collect();
     assert!(owners.iter().all(|o| o == "b" || o == "c"));
     assert!(owners.iter().any(|o| o == "b") && owners.iter().any(|o| o == "c"));
@@ -86,8 +90,8 @@
         assert_eq!(of(&routers, &format!("t{n}")), *before);
     }
     // A zone without routers is seen to by the others.
-    assert_eq!(owner(&routers, "t1", "z3").unwrap().instance, "d");
-    assert_eq!(owner(&[], "t1", "z1"), None);
+    assert_eq!(pick_owner(&routers, "t1", "z3").unwrap().instance, "d");
+    assert_eq!(pick_owner(&[], "t1", "z1"), None);
 }
 
 #[rstest]
@@ -164,7 +168,7 @@
             eventually("the others are known", || r.gw.peers.borrow().len() + 1 >= routers).await;
             eventually("targets are known", || r.gw.targets.count().0 == warm + cold).await;
         }
-        // Until each knows its own row, and has settled.
+        // Until each knows its own row, and has ready_at.
         sleep(Duration::from_millis(2_300)).await;
         let fleet = Fleet { platform, targets, routers: hosts };
         for target in &fleet.targets[..cold] {
@@ -286,7 +290,7 @@
     local(async {
         let fleet = Fleet::start(1, 0, 1).await;
         let backend = fleet.routers[0].gw.targets.all().remove(0);
-        backend.life.unreached(&std::io::ErrorKind::ConnectionRefused.into());
+        backend.life.connect_failed(&std::io::ErrorKind::ConnectionRefused.into());
         fleet.targets[0].set_cold(Some(BEARS));
         fleet.burst(30).await;
         assert!(!fleet.targets[0].has_ended());
@@ -313,5 +317,5 @@
 #[test]
 fn admission_is_short() {
     // An admission that is used later than this counts in another second than it was admitted in.
-    assert!(ADMISSION_LIFE < Duration::from_millis(50));
+    assert!(ADMISSION_TTL < Duration::from_millis(50));
 }
--- a/tests/test_gateway_cold_model.rs
+++ b/tests/test_gateway_cold_model.rs
@@ -5,7 +5,8 @@
 
 use fastrand::Rng;
 use kingcupwall::gateway::cold::{
-    ADMISSION_LIFE, Admitter, ColdBound, Owner, Pace, SETTLE, WarmUp, owner,
+    ADMISSION_TTL, AdmissionLimit, Admitter, ColdRateLimit, OwnerCandidate, STARTUP_DELAY, WarmUp,
+    pick_owner,
 };
 use rstest::rstest;
 use tokio::time::Instant;
@@ -13,7 +14,7 @@
 const TARGET: &str = "t1";
 const WORD: u64 = 1;
 const PER_S: f64 = 11.0;
-const BOUND: ColdBound = ColdBound { over: 1.5, slack: 5.0 };
+const BOUND: ColdRateLimit = ColdRateLimit { rate_factor: 1.5, slack: 5.0 };
 const MOST: usize = 21;
 /// Schedules that are tried; a planted mistake must show in one of them.
 const SCHEDULES: u64 = 400;
@@ -42,9 +43,9 @@
 struct Model {
     rng: Rng,
     mistake: Mistake,
-    pace: Pace,
+    admission_limit: AdmissionLimit,
     start: Instant,
-    lists: [Vec<Owner>; 2],
+    lists: [Vec<OwnerCandidate>; 2],
     processes: Vec<Process>,
     /// When requests left for the target, ms.
     left_ms: Vec<u64>,
@@ -54,35 +55,39 @@
     fn new(seed: u64, mistake: Mistake) -> Model {
         let mut rng = Rng::with_seed(seed);
         let n = rng.usize(3..9);
-        let router = |n: usize, rng: &mut Rng| Owner {
+        let router = |n: usize, rng: &mut Rng| OwnerCandidate {
             instance: format!("r{n}").into(),
             zone: "z".into(),
             addr: ([127, 0, 0, 1], 80).into(),
             capacity: rng.u32(1..3) * 100,
         };
-        let all: Vec<Owner> = (0..n).map(|i| router(i, &mut rng)).collect();
+        let all: Vec<OwnerCandidate> = (0..n).map(|i| router(i, &mut rng)).collect();
         let some = |rng: &mut Rng| {
-            let kept: Vec<Owner> = all.iter().filter(|_| rng.u8(..4) > 0).cloned().collect();
+            let kept: Vec<OwnerCandidate> =
+                all.iter().filter(|_| rng.u8(..4) > 0).cloned().collect();
             if kept.is_empty() { all.clone() } else { kept }
         };
         let lists = [some(&mut rng), some(&mut rng)];
         let start = Instant::now();
-        let settled = start - 2 * SETTLE;
+        let ready_at = start - 2 * STARTUP_DELAY;
         let process = |rng: &mut Rng| Process {
-            admitter: Admitter::new(settled),
+            admitter: Admitter::new(ready_at),
             switches_ms: rng.u64(..PLAY_MS),
         };
         let processes = (0..n).map(|_| process(&mut rng)).collect();
-        let mut pace = Pace::of(WarmUp { lasts: Duration::from_secs(3), per_s: PER_S }, BOUND);
+        let mut admission_limit = AdmissionLimit::for_warm_up(
+            WarmUp { cold_duration: Duration::from_secs(3), requests_per_s: PER_S },
+            BOUND,
+        );
         if mistake == Mistake::WholeBound {
-            pace.requests = MOST;
+            admission_limit.requests = MOST;
         }
-        Model { rng, mistake, pace, start, lists, processes, left_ms: Vec::new() }
+        Model { rng, mistake, admission_limit, start, lists, processes, left_ms: Vec::new() }
     }
 
     fn owner_by(&self, process: usize, ms: u64) -> usize {
         let list = &self.lists[usize::from(ms >= self.processes[process].switches_ms)];
-        let name = &owner(list, TARGET, "z").expect("no list is empty").instance;
+        let name = &pick_owner(list, TARGET, "z").expect("no list is empty").instance;
         name[1..].parse().expect("a number")
     }
 
@@ -108,7 +113,7 @@
     fn restart(&mut self, which: usize, ms: u64) {
         let mut started = self.start + Duration::from_millis(ms);
         if self.mistake == Mistake::NoSettling {
-            started -= SETTLE;
+            started -= STARTUP_DELAY;
         }
         self.processes[which].admitter = Admitter::new(started);
     }
@@ -123,14 +128,14 @@
             true => (0, 0),
             false => (self.rng.u64(..8), self.rng.u64(..8)),
         };
-        let is_late = there + back >= ADMISSION_LIFE.as_millis() as u64;
+        let is_late = there + back >= ADMISSION_TTL.as_millis() as u64;
         let back = if is_late && self.rng.bool() { back + self.rng.u64(..900) } else { back };
         let owns = self.owner_by(by, ms + there) == by;
         if !owns && self.mistake != Mistake::AnyoneAdmits {
             return;
         }
         let now = self.start + Duration::from_millis(ms + there);
-        if self.processes[by].admitter.admit(WORD, now, self.pace).is_err() {
+        if self.processes[by].admitter.admit(WORD, now, self.admission_limit).is_err() {
             return;
         }
         let is_lost = by != who && self.rng.u8(..30) == 0;
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcupwall::gateway::liveness::Life;
+use kingcupwall::gateway::liveness::Liveness;
 use kingcupwall::gateway::quarantine::CRASHES_TO_QUARANTINE;
 use kingcupwall::http1::Conn;
 use kingcupwall::rows::Fault;
@@ -308,7 +308,7 @@
         let targets = &fleet.routers[0].gw.targets;
         let refused = std::io::Error::from(std::io::ErrorKind::ConnectionRefused);
         for target in targets.all() {
-            target.life.unreached(&refused);
+            target.life.connect_failed(&refused);
             assert!(target.life.has_ended());
         }
         for n in 0..ENDED_AT_MOST {
@@ -381,10 +381,10 @@
 
 #[test]
 fn unreached_says_ended_only_if_refused() {
-    let life = Life::default();
-    life.unreached(&std::io::ErrorKind::TimedOut.into());
-    life.unreached(&std::io::ErrorKind::HostUnreachable.into());
+    let life = Liveness::default();
+    life.connect_failed(&std::io::ErrorKind::TimedOut.into());
+    life.connect_failed(&std::io::ErrorKind::HostUnreachable.into());
     assert!(!life.has_ended());
-    life.unreached(&std::io::ErrorKind::ConnectionRefused.into());
+    life.connect_failed(&std::io::ErrorKind::ConnectionRefused.into());
     assert!(life.has_ended());
 }
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -5,10 +5,10 @@
 
 use futures_util::future::join_all;
 use kingcupwall::gateway::Platform;
-use kingcupwall::gateway::cold::{Owner, WarmUp};
+use kingcupwall::gateway::cold::{OwnerCandidate, WarmUp};
 use kingcupwall::gateway::datagram::Topic;
 use kingcupwall::gateway::notice::{Notice, RetryAfter};
-use kingcupwall::gateway::warmup::Word;
+use kingcupwall::gateway::warmup::AdmissionMessage;
 use kingcupwall::http1::ResponseHead;
 use kingcupwall::standin::gateway::{LEAVING, LocalPlatform, parts};
 use kingcupwall::standin::gateway_target::{StandinTarget, TargetFault};
@@ -292,16 +292,16 @@
         let fleet = Fleet::start(1, 1_000).await;
         let (gw, target) = (&fleet.router.gw, &fleet.targets[0]);
         let mut warming = parts(2, 1_000);
-        let warm_up = WarmUp { lasts: Duration::from_secs(60), per_s: 4.0 };
+        let warm_up = WarmUp { cold_duration: Duration::from_secs(60), requests_per_s: 4.0 };
         warming.services[0].warm_up = Some(warm_up);
         fleet.platform.configure(warming);
-        fleet.platform.register_cold(target, "ready", warm_up.lasts);
+        fleet.platform.register_cold(target, "ready", warm_up.cold_duration);
         eventually("a cold target", || gw.targets.count_cold() == 1 && fleet.version() == 2).await;
         // Another router admits requests to it: until that one answers, the request waits.
         let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let addr = other.local_addr().unwrap();
         gw.set_peers(vec![addr.ip()]);
-        gw.cold.set_owners(vec![Owner {
+        gw.cold.set_owners(vec![OwnerCandidate {
             instance: "r2".into(),
             zone: "zone-1".into(),
             addr,
@@ -311,10 +311,12 @@
             let mut buf = [0; 256];
             let (n, from) = other.recv_from(&mut buf).await.unwrap();
             let (_, word) = Topic::parse(&buf[..n]).unwrap();
-            let Word::Ask { number, .. } = ciborium::from_reader(word).unwrap() else { panic!() };
-            gw.targets.all()[0].standing.take(notice, Instant::now());
+            let AdmissionMessage::Ask { number, .. } = ciborium::from_reader(word).unwrap() else {
+                panic!()
+            };
+            gw.targets.all()[0].standing.apply_notice(notice, Instant::now());
             let mut word = Vec::new();
-            let answer = Word::Answer { number, room_in_ms: None };
+            let answer = AdmissionMessage::Answer { number, room_in_ms: None };
             ciborium::into_writer(&answer, &mut word).unwrap();
             other.send_to(&Topic::Cold.frame(&word), from).await.unwrap();
         };
--- a/tests/test_gateway_targets.rs
+++ b/tests/test_gateway_targets.rs
@@ -5,7 +5,7 @@
 
 use kingcupwall::gateway::backend::target_word;
 use kingcupwall::gateway::backend::{Backend, Flight, Planned, StartedMs, TargetInfo, TargetState};
-use kingcupwall::gateway::notice::{Notice, RetryAfter, Standing};
+use kingcupwall::gateway::notice::{Availability, Notice, RetryAfter};
 use kingcupwall::gateway::reach::Reach;
 use kingcupwall::gateway::request::Part;
 use kingcupwall::gateway::targets::{Change, PlaceRequest, Targets};
@@ -186,7 +186,7 @@
 ) {
     let targets = Targets::default();
     targets.set(entry(born, READY));
-    only(&targets).standing.take(LEAVING, Instant::now());
+    only(&targets).standing.apply_notice(LEAVING, Instant::now());
     if gone {
         targets.remove("t1");
     }
@@ -200,7 +200,7 @@
 fn set_keeps_leaving_at_other_address() {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
-    only(&targets).standing.take(LEAVING, Instant::now());
+    only(&targets).standing.apply_notice(LEAVING, Instant::now());
     let moved = TargetInfo { addr: "127.0.0.9:81".parse().unwrap(), ..entry(Some(5), READY) };
     targets.set(moved);
     targets.set(entry(Some(5), READY));
@@ -211,7 +211,7 @@
 fn sweep_keeps_leaving() {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
-    only(&targets).standing.take(LEAVING, Instant::now());
+    only(&targets).standing.apply_notice(LEAVING, Instant::now());
     targets.lapse("t1");
     assert_eq!(targets.sweep(), ["t1"]);
     targets.set(entry(Some(5), READY));
@@ -224,21 +224,21 @@
         leaving: false,
         retry_after: Some(RetryAfter::Delay(Duration::from_millis(ms))),
     };
-    let (standing, start) = (Standing::default(), Instant::now());
+    let (standing, start) = (Availability::default(), Instant::now());
     let at = |ms| start + Duration::from_millis(ms);
-    let rests_ms = |ms| standing.rests_for(at(ms)).map(|d| d.as_millis());
-    assert!(standing.take(asks(3_000), start));
+    let rests_ms = |ms| standing.backoff_left(at(ms)).map(|d| d.as_millis());
+    assert!(standing.apply_notice(asks(3_000), start));
     // Neither a shorter time nor an answer without one ends it sooner.
-    assert!(!standing.take(asks(100), at(10)));
-    assert!(!standing.take(asks(0), at(20)));
-    assert!(!standing.take(Notice::default(), at(30)));
+    assert!(!standing.apply_notice(asks(100), at(10)));
+    assert!(!standing.apply_notice(asks(0), at(20)));
+    assert!(!standing.apply_notice(Notice::default(), at(30)));
     assert_eq!((rests_ms(2_999), rests_ms(3_000)), (Some(1), None));
-    assert!(standing.take(asks(3_000), at(1_000)));
+    assert!(standing.apply_notice(asks(3_000), at(1_000)));
     assert_eq!(rests_ms(3_500), Some(500));
-    assert!(
-        !standing
-            .take(Notice { leaving: false, retry_after: Some(RetryAfter::Unreadable) }, at(9_000))
-    );
+    assert!(!standing.apply_notice(
+        Notice { leaving: false, retry_after: Some(RetryAfter::Unreadable) },
+        at(9_000)
+    ));
     assert_eq!(rests_ms(9_000), None);
 }
 
@@ -250,7 +250,7 @@
 async fn set_keeps_rest(#[case] next: Option<u64>, #[case] takes: usize) {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
-    only(&targets).standing.rest(Instant::now(), Duration::from_secs(3));
+    only(&targets).standing.back_off(Instant::now(), Duration::from_secs(3));
     targets.remove("t1");
     targets.set(entry(next, READY));
     let takes_some = |t: &Targets| {
