--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -1,7 +1,7 @@
 //! The datagrams that routers send one another: one codec, told apart by topic.
 
 /// The largest datagram that is read, in bytes.
-pub const MAX_DATAGRAM: usize = 2_048;
+pub const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 /// What a datagram is about; its first byte.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -9,19 +9,19 @@
 use super::state::{Gateway, Phase, Platform};
 
 /// Callers may keep an entry answer this many times its lifetime.
-const STALE_ANSWERS_X: u32 = 3;
+const MAX_ENTRY_AGE_TTLS: u32 = 3;
 /// Time for the last transaction and the exit, before the platform ends the process by force.
-const LAST_WRITES: Duration = Duration::from_millis(600);
+const FINAL_WRITES_TIME: Duration = Duration::from_millis(600);
 
 /// Stops this router; returns when the process may exit.
 pub async fn stop<P: Platform>(gw: &Rc<Gateway<P>>) {
-    let ordered = Instant::now();
-    let end = ordered + gw.settings.grace.saturating_sub(LAST_WRITES);
+    let requested_at = Instant::now();
+    let end = requested_at + gw.settings.grace.saturating_sub(FINAL_WRITES_TIME);
     gw.log.note("stop", format_args!("phase=leaving active={}", gw.active.get()));
     gw.phase.send_replace(Phase::Leaving);
-    members::leave(gw);
+    members::mark_leaving(gw);
     gw.keeper.leave();
-    sleep(gw.settings.entry_ttl * STALE_ANSWERS_X).await;
+    sleep(gw.settings.entry_ttl * MAX_ENTRY_AGE_TTLS).await;
     gw.log.note("stop", format_args!("phase=finishing active={}", gw.active.get()));
     gw.phase.send_replace(Phase::Finishing);
     while gw.active.get() > 0 {
@@ -35,7 +35,7 @@
         format_args!(
             "phase=last_writes active={} ms={}",
             gw.active.get(),
-            ordered.elapsed().as_millis()
+            requested_at.elapsed().as_millis()
         ),
     );
     // What is still lent when this router goes counts as spent at the most.
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -20,16 +20,16 @@
 /// The table of routers.
 const TABLE: &str = "routers";
 /// Pause between two renewals. With 470 routers this is 235 writes and as many reads a second.
-const BEAT: Duration = Duration::from_secs(2);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 /// Age of an entry after which its router counts as gone, ms: three renewals missed.
 const STALE_MS: u64 = 6_500;
 /// Age after which an entry no longer counts as one that may still repeat requests, ms.
-const FORGOTTEN_MS: u64 = 60_000;
+const RETRYING_ROUTER_MAX_AGE_MS: u64 = 60_000;
 
 /// Readings after which all living routers have renewed their rows.
-const FEW_READS: u32 = 3;
+const MIN_READS: u32 = 3;
 /// How long a router takes to read the table and renew its row, at most, ms.
-const RENEWAL_MS: u64 = 500;
+const MAX_RENEWAL_MS: u64 = 500;
 
 /// A router's row.
 #[derive(Clone, Debug)]
@@ -74,13 +74,13 @@
 }
 
 /// Another router, and how old what it says is.
-struct Other {
+struct PeerRow {
     instance: CompactString,
     entry: Entry,
     age_ms: u64,
 }
 
-impl Other {
+impl PeerRow {
     fn as_owner(&self) -> OwnerCandidate {
         OwnerCandidate {
             instance: self.instance.clone(),
@@ -103,22 +103,22 @@
 /// Renews this router's row and reads all others, for ever.
 pub async fn run<P: Platform>(gw: Rc<Gateway<P>>) {
     let mut phase = gw.phase.subscribe();
-    let mut reads = Reads::default();
+    let mut reads = TableReads::default();
     publish(&gw, &[]);
-    let mut measured = Instant::now();
+    let mut rate_since = Instant::now();
     loop {
-        let s = measured.elapsed().as_secs_f64();
-        if s >= BEAT.as_secs_f64() / 2.0 {
+        let s = rate_since.elapsed().as_secs_f64();
+        if s >= RENEWAL_INTERVAL.as_secs_f64() / 2.0 {
             gw.rate.set((f64::from(gw.taken.replace(0)) / s) as u32);
-            measured = Instant::now();
+            rate_since = Instant::now();
         }
         gw.stats.active.set(i64::try_from(gw.active.get()).unwrap_or(i64::MAX));
         gw.stats.log_dropped.set(i64::try_from(gw.log.lines_dropped()).unwrap_or(i64::MAX));
         // Read first: a row written without knowing the store's time would count as stale.
         match gw.platform.scan(TABLE, "").await {
             Ok(page) => {
-                reads.note(page.now);
-                take(&gw, &page, &reads);
+                reads.record_read(page.now);
+                apply_rows(&gw, &page, &reads);
                 renew(&gw, page.now).await;
             }
             Err(e) => gw.log.routine("members", format_args!("outcome=unread cause={e}")),
@@ -132,22 +132,22 @@
             }
         };
         // Without a change the row is renewed all the same.
-        let _ = tokio::time::timeout(BEAT, changed).await;
+        let _ = tokio::time::timeout(RENEWAL_INTERVAL, changed).await;
     }
 }
 
 /// When this router read the table, by the store's clock.
 #[derive(Debug, Default)]
-pub struct Reads {
+pub struct TableReads {
     latest: Option<StoreMs>,
     count: u32,
     /// The longest time without an answer of late, ms, and when it was over.
     gap: Option<(u64, StoreMs)>,
 }
 
-impl Reads {
+impl TableReads {
     /// Notes a reading.
-    pub fn note(&mut self, now: StoreMs) {
+    pub fn record_read(&mut self, now: StoreMs) {
         let gap = self.latest.map_or(0, |l| now.0.saturating_sub(l.0));
         if gap > STALE_MS / 2 {
             self.gap = Some((gap, now));
@@ -158,16 +158,17 @@
 
     /// Whether this process has read the table so seldom that others may not have renewed their
     /// rows since it started.
-    pub fn are_few(&self) -> bool {
-        self.count <= FEW_READS
+    pub fn are_too_few(&self) -> bool {
+        self.count <= MIN_READS
     }
 
     /// The age from which on callers are not sent to a row's router: `limit`, and for a while more
     /// after a time without answers.
-    pub fn unnamed_ms(&self, now: StoreMs, limit: Duration) -> u64 {
+    pub fn max_advertised_age_ms(&self, now: StoreMs, limit: Duration) -> u64 {
         let limit = u64::try_from(limit.as_millis()).unwrap_or(u64::MAX);
-        let renewed = u64::try_from(BEAT.as_millis()).unwrap_or(u64::MAX) + RENEWAL_MS;
-        let gap = self.gap.filter(|(_, over)| now.0.saturating_sub(over.0) < renewed);
+        let renewal_ms =
+            u64::try_from(RENEWAL_INTERVAL.as_millis()).unwrap_or(u64::MAX) + MAX_RENEWAL_MS;
+        let gap = self.gap.filter(|(_, ended_at)| now.0.saturating_sub(ended_at.0) < renewal_ms);
         limit.saturating_add(gap.map_or(0, |(gap, _)| gap))
     }
 
@@ -176,12 +177,12 @@
     /// cut of all is over, names only itself to callers, and the callers spread over the whole
     /// fleet: 60 routers then race for each budget's row instead of ten.
     pub fn stale_ms(&self, now: StoreMs) -> u64 {
-        let gap = self.gap.filter(|(_, over)| now.0.saturating_sub(over.0) < STALE_MS);
+        let gap = self.gap.filter(|(_, ended_at)| now.0.saturating_sub(ended_at.0) < STALE_MS);
         STALE_MS + gap.map_or(0, |(gap, _)| gap)
     }
 }
 
-async fn renew<P: Platform>(gw: &Gateway<P>, seen: StoreMs) {
+async fn renew<P: Platform>(gw: &Gateway<P>, store_time: StoreMs) {
     let s = &gw.settings;
     let leaving = *gw.phase.borrow() != Phase::Up;
     let entry = Entry {
@@ -191,8 +192,8 @@
         leaving,
         rate: gw.rate.get(),
         capacity: s.capacity,
-        beat: seen,
-        report: gw.crashes.report(seen),
+        beat: store_time,
+        report: gw.crashes.report(store_time),
     };
     let at = RowKey::new(TABLE, &s.instance);
     let tx = Tx { write: vec![(at, entry.encode())], ..Tx::default() };
@@ -202,11 +203,11 @@
     }
 }
 
-fn take<P: Platform>(gw: &Gateway<P>, page: &Page, reads: &Reads) {
-    let readable = |row: &Row| match Entry::decode(row) {
+fn apply_rows<P: Platform>(gw: &Gateway<P>, page: &Page, reads: &TableReads) {
+    let decode_row = |row: &Row| match Entry::decode(row) {
         Ok(entry) => {
             let age_ms = page.now.0.saturating_sub(entry.beat.0);
-            Some(Other { instance: row.at.key.clone(), entry, age_ms })
+            Some(PeerRow { instance: row.at.key.clone(), entry, age_ms })
         }
         Err(e) => {
             // The others are known all the same; callers are not sent to this one.
@@ -215,39 +216,43 @@
             None
         }
     };
-    let (own, others): (Vec<Other>, Vec<Other>) =
-        page.rows.iter().filter_map(readable).partition(|row| row.instance == gw.settings.instance);
+    let (own, others): (Vec<PeerRow>, Vec<PeerRow>) = page
+        .rows
+        .iter()
+        .filter_map(decode_row)
+        .partition(|row| row.instance == gw.settings.instance);
     // At any reading this router's row may be its predecessor's, whose last write can take effect
     // late. What that one reported would be gone with the next renewal.
-    let former = own.iter().map(|o| (&o.entry.report, Source::Own));
+    let predecessor_reports = own.iter().map(|o| (&o.entry.report, Source::Own));
     // Also of routers that are long dead: what they saw still holds.
-    let told = others.iter().map(|o| (&o.entry.report, Source::Other));
-    gw.crashes.merge_reports(former.chain(told), page.now);
+    let peer_reports = others.iter().map(|o| (&o.entry.report, Source::Other));
+    gw.crashes.merge_reports(predecessor_reports.chain(peer_reports), page.now);
     let stale_ms = reads.stale_ms(page.now);
-    let live: Vec<&Other> = others.iter().filter(|o| o.age_ms < stale_ms).collect();
+    let live: Vec<&PeerRow> = others.iter().filter(|o| o.age_ms < stale_ms).collect();
     let zone = &gw.settings.zone;
-    let (near, far): (Vec<&Other>, Vec<&Other>) = live.iter().partition(|o| o.entry.zone == *zone);
-    let addresses = |of: &[&Other]| of.iter().map(|o| o.entry.peer).collect();
+    let (near, far): (Vec<&PeerRow>, Vec<&PeerRow>) =
+        live.iter().partition(|o| o.entry.zone == *zone);
+    let addresses = |of: &[&PeerRow]| of.iter().map(|o| o.entry.peer).collect();
     gw.crashes.set_peers(addresses(&live));
     gw.zones.set_peers(addresses(&live));
     gw.hints.set_peers(addresses(&near), addresses(&far));
     gw.set_peers(others.iter().map(|o| o.entry.peer.ip()).collect());
-    let counted = 1 + others.iter().filter(|o| o.age_ms < FORGOTTEN_MS).count();
-    gw.retries.borrow_mut().set_routers(u32::try_from(counted).unwrap_or(u32::MAX));
+    let retrying = 1 + others.iter().filter(|o| o.age_ms < RETRYING_ROUTER_MAX_AGE_MS).count();
+    gw.retries.borrow_mut().set_routers(u32::try_from(retrying).unwrap_or(u32::MAX));
     set_lenders(gw, &live);
     // A process that knows the table since a moment ago counts every row: after a long outage of
     // the store those of living routers are old as well, and each would own all targets.
-    let all: Vec<&Other> = others.iter().collect();
-    set_owners(gw, if reads.are_few() { &all } else { &live }, !own.is_empty());
-    let unnamed_ms = reads.unnamed_ms(page.now, gw.settings.unnamed_after);
-    let named = live.iter().filter(|o| o.age_ms < unnamed_ms);
-    let named: Vec<RouterEntry> = named.map(|o| o.entry.as_router()).collect();
-    publish(gw, &named);
+    let all: Vec<&PeerRow> = others.iter().collect();
+    set_owners(gw, if reads.are_too_few() { &all } else { &live }, !own.is_empty());
+    let max_advertised_age_ms = reads.max_advertised_age_ms(page.now, gw.settings.unnamed_after);
+    let advertised = live.iter().filter(|o| o.age_ms < max_advertised_age_ms);
+    let advertised: Vec<RouterEntry> = advertised.map(|o| o.entry.as_router()).collect();
+    publish(gw, &advertised);
 }
 
-/// Those that stay may own cold targets; this one once its row was seen, so that of two that start
+/// Those that stay may own cold targets; this one once its row was store_time, so that of two that start
 /// at least one knows of the other.
-fn set_owners<P: Platform>(gw: &Gateway<P>, known: &[&Other], listed: bool) {
+fn set_owners<P: Platform>(gw: &Gateway<P>, known: &[&PeerRow], listed: bool) {
     let s = &gw.settings;
     let staying = known.iter().filter(|o| !o.entry.leaving);
     let mut owners: Vec<OwnerCandidate> = staying.map(|o| o.as_owner()).collect();
@@ -263,7 +268,7 @@
 }
 
 /// Those that stay may lend.
-fn set_lenders<P: Platform>(gw: &Gateway<P>, live: &[&Other]) {
+fn set_lenders<P: Platform>(gw: &Gateway<P>, live: &[&PeerRow]) {
     let s = &gw.settings;
     let me = Lender {
         name: s.instance.clone(),
@@ -313,7 +318,7 @@
 }
 
 /// Drops this router from its own entry answers at once.
-pub fn leave<P: Platform>(gw: &Gateway<P>) {
+pub fn mark_leaving<P: Platform>(gw: &Gateway<P>) {
     gw.entry.send_modify(|view| {
         view.ready = false;
         for r in view.routers.iter_mut().filter(|r| r.front == gw.settings.front) {
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -7,7 +7,7 @@
 use tokio::net::UdpSocket;
 
 use super::cold::AdmissionLimit;
-use super::datagram::{MAX_DATAGRAM, Topic};
+use super::datagram::{MAX_DATAGRAM_BYTES, Topic};
 use super::hints;
 use super::request::Part;
 use super::state::{Gateway, Platform};
@@ -27,7 +27,7 @@
 
 /// Listens to the others, for ever.
 pub async fn listen<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (n, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -13,7 +13,7 @@
 use super::cold::{AdmissionLimit, ColdRateLimit};
 use super::crashes::CrashTracker;
 use super::entry::EntryView;
-use super::feed::{Confirmation, Feed, Reader};
+use super::feed::{Confirmation, Feed, StoreReader};
 use super::hints::Hints;
 use super::place::Weights;
 use super::reach::ZoneRegions;
@@ -130,7 +130,7 @@
     /// Shares of the retry budget.
     pub retries: RefCell<RetryShares>,
     /// Reads tables that are followed.
-    pub reader: Reader<P>,
+    pub reader: StoreReader<P>,
     /// How far the configuration was read.
     pub config_feed: Feed,
     /// The latest confirmation of the configuration; locked while there is one.
@@ -165,7 +165,7 @@
             crashes: CrashTracker::new(log.clone(), stats.clone()),
             zones: Zones::new(log.clone(), stats.clone()),
             cold: Admissions::new(settings.instance.clone(), log.clone(), stats.clone()),
-            reader: Reader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
+            reader: StoreReader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
             keeper,
             retries: RefCell::new(RetryShares::new(settings.retries)),
             platform,
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -16,11 +16,11 @@
 /// write again within about 2 s of it.
 const LAPSE_GRACE: Duration = Duration::from_millis(2_600);
 /// A configuration confirmed so lately need not be confirmed again to be sure of a refusal.
-const CONFIRMED_FOR: Duration = Duration::from_millis(100);
+const CONFIRMATION_TTL: Duration = Duration::from_millis(100);
 
 /// Whether entries that are missing now may be back in a moment.
-fn may_return<P: Platform>(gw: &Gateway<P>) -> bool {
-    gw.reader.link().back.is_some_and(|t| t.elapsed() < LAPSE_GRACE)
+fn entries_may_return<P: Platform>(gw: &Gateway<P>) -> bool {
+    gw.reader.store_status().recovered_at.is_some_and(|t| t.elapsed() < LAPSE_GRACE)
 }
 
 fn apply_config<P: Platform>(gw: &Gateway<P>, row: &Row) {
@@ -38,10 +38,10 @@
     if current.as_ref().is_some_and(|c| c.version >= next.version) {
         return;
     }
-    put_in_force(gw, next, row.ver);
+    activate_config(gw, next, row.ver);
 }
 
-fn put_in_force<P: Platform>(gw: &Gateway<P>, next: Catalog, ver: Ver) {
+fn activate_config<P: Platform>(gw: &Gateway<P>, next: Catalog, ver: Ver) {
     let from = gw.config().map_or(0, |c| c.version);
     gw.log.note(
         "config",
@@ -53,7 +53,7 @@
     );
     gw.stats.config_version.set(i64::try_from(next.version).unwrap_or(i64::MAX));
     gw.keeper.set_prepaid(next.prepaid());
-    note_homeless(gw, &next);
+    log_unservable_routes(gw, &next);
     let host_homes = next.host_homes();
     *gw.catalog.borrow_mut() = Some(Rc::new(next));
     gw.entry.send_modify(|e| {
@@ -64,10 +64,10 @@
 
 /// Says which routes are bound to regions in which there is no zone: their requests are all
 /// refused.
-fn note_homeless<P: Platform>(gw: &Gateway<P>, catalog: &Catalog) {
+fn log_unservable_routes<P: Platform>(gw: &Gateway<P>, catalog: &Catalog) {
     let regions = &gw.settings.regions;
-    let homeless = |r: &&Route| !r.homes.is_empty() && !regions.has_any(&r.homes);
-    for r in catalog.routes().iter().filter(homeless) {
+    let unservable = |r: &&Route| !r.homes.is_empty() && !regions.has_any(&r.homes);
+    for r in catalog.routes().iter().filter(unservable) {
         gw.log.note(
             "config",
             format_args!("route={} homes={:?} outcome=no_zone_in_homes", r.name, r.homes),
@@ -81,33 +81,33 @@
 /// Asks for changes only: a configuration of some thousand routes takes a link of 10 Mbit/s for
 /// 0.9 s, and read whole for each refusal it left no room for callers.
 pub async fn confirm_config<P: Platform>(gw: &Gateway<P>) -> bool {
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let mut latest = gw.confirmed.lock().await;
     if let Some(c) = *latest
-        && (c.sent >= asked || c.done && c.sent.elapsed() < CONFIRMED_FOR)
+        && (c.sent >= requested_at || c.store_answered && c.sent.elapsed() < CONFIRMATION_TTL)
     {
-        return c.done;
+        return c.store_answered;
     }
     let sent = Instant::now();
     let (table, _) = gw.platform.config_row();
     let changes = gw.config_feed.catch_up(&gw.reader, table).await;
-    let done = changes.is_some();
+    let store_answered = changes.is_some();
     if let Some(page) = changes.filter(|p| !p.rows.is_empty()) {
-        take_operator(gw, &page, false);
+        apply_operator_rows(gw, &page, false);
         gw.config_feed.advance(page.ver);
     }
-    *latest = Some(Confirmation { sent, done });
-    done
+    *latest = Some(Confirmation { sent, store_answered });
+    store_answered
 }
 
 /// Takes in what the operator wrote; `whole` if the page is the whole table.
-fn take_operator<P: Platform>(gw: &Gateway<P>, page: &Page, whole: bool) {
+fn apply_operator_rows<P: Platform>(gw: &Gateway<P>, page: &Page, is_full_table: bool) {
     let order = |r: &Row| {
         let zone = gw.platform.emptied_zone(&r.at.key)?;
         Some(ZoneOrder { zone, ver: r.ver, emptied: r.value.is_some() })
     };
     let orders: Vec<ZoneOrder> = page.rows.iter().filter_map(order).collect();
-    if whole {
+    if is_full_table {
         gw.zones.take_whole(&orders, page.ver);
     } else {
         gw.zones.take(&orders, "store");
@@ -119,33 +119,37 @@
 /// Follows the configuration for ever.
 pub async fn follow_config<P: Platform>(gw: Rc<Gateway<P>>) {
     let (table, _) = gw.platform.config_row();
-    gw.reader.follow(table, &gw.config_feed, |page, whole| take_operator(&gw, page, whole)).await;
+    gw.reader
+        .follow(table, &gw.config_feed, |page, is_full_table| {
+            apply_operator_rows(&gw, page, is_full_table)
+        })
+        .await;
 }
 
 /// Follows the targets' entries for ever.
 pub async fn follow_targets<P: Platform>(gw: Rc<Gateway<P>>) {
     let table = gw.platform.targets_table();
-    let take = |page: &Page, whole| take_targets(&gw, page, whole);
-    gw.reader.follow(table, &Feed::default(), take).await;
+    let apply_page = |page: &Page, is_full_table| apply_target_rows(&gw, page, is_full_table);
+    gw.reader.follow(table, &Feed::default(), apply_page).await;
 }
 
-fn take_targets<P: Platform>(gw: &Gateway<P>, page: &Page, whole: bool) {
+fn apply_target_rows<P: Platform>(gw: &Gateway<P>, page: &Page, is_full_table: bool) {
     for row in &page.rows {
         match &row.value {
-            Some(value) => take_target(gw, row, value),
-            None => drop_target(gw, &row.at.key, row.ver),
+            Some(value) => apply_target_row(gw, row, value),
+            None => remove_or_lapse_target(gw, &row.at.key, row.ver),
         }
     }
-    if !whole {
+    if !is_full_table {
         return;
     }
     let listed = |id: &str| page.rows.iter().any(|r| r.at.key == id);
     for id in gw.targets.ids().iter().filter(|id| !listed(id)) {
-        drop_target(gw, id, page.ver);
+        remove_or_lapse_target(gw, id, page.ver);
     }
 }
 
-fn take_target<P: Platform>(gw: &Gateway<P>, row: &Row, value: &[u8]) {
+fn apply_target_row<P: Platform>(gw: &Gateway<P>, row: &Row, value: &[u8]) {
     match gw.platform.target(&row.at.key, value) {
         Ok(info) => {
             let line = format!(
@@ -182,8 +186,8 @@
 /// Entries also vanish because the store was away and the targets could not write to it. Such a
 /// target is kept for a while as a last resort: to drop all of them at once would refuse every
 /// request although the targets live.
-fn drop_target<P: Platform>(gw: &Gateway<P>, id: &str, ver: Ver) {
-    if may_return(gw) {
+fn remove_or_lapse_target<P: Platform>(gw: &Gateway<P>, id: &str, ver: Ver) {
+    if entries_may_return(gw) {
         gw.targets.lapse(id);
         return gw.log.note("target", format_args!("target={id} state=lapsed ver={ver}"));
     }
@@ -200,8 +204,8 @@
         gw.stats.targets_cold.set(count(gw.targets.count_cold()));
         gw.stats.targets_leaving.set(count(gw.targets.count_leaving()));
         gw.stats.targets_resting.set(count(gw.targets.count_resting()));
-        let link = gw.reader.link();
-        if link.away || may_return(&gw) {
+        let store = gw.reader.store_status();
+        if store.unavailable || entries_may_return(&gw) {
             continue;
         }
         for id in gw.targets.sweep() {
--- a/tests/test_gateway_decisions.rs
+++ b/tests/test_gateway_decisions.rs
@@ -4,7 +4,7 @@
 
 use kingcupwall::gateway::catalog::{Catalog, RouteKind, Share};
 use kingcupwall::gateway::entry::{EntryView, RouterEntry, how_many};
-use kingcupwall::gateway::members::Reads;
+use kingcupwall::gateway::members::TableReads;
 use kingcupwall::gateway::outcome::{Ended, Final, Made, Next, next};
 use kingcupwall::gateway::place::{Candidate, Demand, Placement, Weights, place};
 use kingcupwall::gateway::reach::ZoneRegions;
@@ -291,16 +291,16 @@
 fn reads_unnamed_soon_after_end() {
     // Guards against callers that are sent to routers which ended in a cut, seconds after it.
     const LIMIT: Duration = Duration::from_millis(3_500);
-    let mut reads = Reads::default();
+    let mut reads = TableReads::default();
     for ms in [1_000, 3_000, 5_000, 13_400] {
-        reads.note(StoreMs(ms));
+        reads.record_read(StoreMs(ms));
     }
     // Living routers could not renew their rows: they are named until they have had the time.
-    assert!(reads.unnamed_ms(StoreMs(13_400), LIMIT) > 13_400 - 4_900);
-    assert!(reads.unnamed_ms(StoreMs(15_400), LIMIT) > 15_400 - 4_900);
-    reads.note(StoreMs(15_400));
-    reads.note(StoreMs(17_400));
-    assert_eq!(reads.unnamed_ms(StoreMs(16_000), LIMIT), 3_500);
+    assert!(reads.max_advertised_age_ms(StoreMs(13_400), LIMIT) > 13_400 - 4_900);
+    assert!(reads.max_advertised_age_ms(StoreMs(15_400), LIMIT) > 15_400 - 4_900);
+    reads.record_read(StoreMs(15_400));
+    reads.record_read(StoreMs(17_400));
+    assert_eq!(reads.max_advertised_age_ms(StoreMs(16_000), LIMIT), 3_500);
     assert!(reads.stale_ms(StoreMs(16_000)) > 6_500);
 }
 
@@ -331,18 +331,18 @@
 /// others for gone would name only itself to callers, and each of sixty routers would do so.
 #[test]
 fn reads_stale_after_cut_of_all() {
-    let mut reads = Reads::default();
+    let mut reads = TableReads::default();
     let usual = reads.stale_ms(StoreMs(1_000));
     for ms in [1_000, 3_000, 5_000] {
-        reads.note(StoreMs(ms));
+        reads.record_read(StoreMs(ms));
         assert_eq!(reads.stale_ms(StoreMs(ms)), usual);
     }
-    reads.note(StoreMs(13_400));
+    reads.record_read(StoreMs(13_400));
     let last_beat = 4_900;
     assert!(reads.stale_ms(StoreMs(13_400)) > 13_400 - last_beat);
     // Whoever has not written by then is gone.
     for ms in (15_400..25_000).step_by(2_000) {
-        reads.note(StoreMs(ms));
+        reads.record_read(StoreMs(ms));
     }
     assert_eq!(reads.stale_ms(StoreMs(24_000)), usual);
 }
