--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -1,10 +1,11 @@
-//! How many requests a cold target gets from all routers together. No I/O.
+//! Rate limit for requests to cold targets, enforced across all routers. No I/O.
 //!
-//! A target that has just started bears a few requests a second and ends under many more. Each
-//! router alone would send it all it has: it looks idle to everyone. So one router, its owner,
-//! admits the requests of all of them. The owner follows from the list of routers by rendezvous,
-//! without a coordinator; two routers that disagree on the list may both admit, and each keeps to
-//! half of the bound.
+//! A target that has just started can handle a few requests per second and crashes under many more.
+//! To each router it looks idle, so that every router on its own would send it all its requests.
+//! Therefore one router, the target's owner, admits requests to it for the whole fleet. The owner
+//! is chosen from the list of routers by rendezvous hashing, without a coordinator. Two routers
+//! whose lists differ may both act as owner, so each one limits itself to half of the configured
+//! rate limit.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -16,55 +17,57 @@
 
 use crate::ids::Digest;
 
-/// How long an admission holds. The request must leave within this time, or ask again.
+/// How long an admission is valid. A request that has not been sent by then must be admitted again.
 pub const ADMISSION_TTL: Duration = Duration::from_millis(10);
-/// The span over which the bound counts requests.
+/// The period over which the rate limit counts requests.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
-/// Routers that may admit requests to one target at the same time while their lists differ.
+/// Number of routers that may admit requests to one target at the same time while their lists of
+/// routers differ.
 const MAX_CONCURRENT_OWNERS: f64 = 2.0;
 
-/// How targets of a service warm up.
+/// How the targets of a service warm up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
     /// How long a target stays cold after its start.
     pub cold_duration: Duration,
-    /// Requests a second that a cold target bears.
+    /// Requests per second that a cold target can handle.
     pub requests_per_s: f64,
 }
 
-/// What the operator tolerates in one second at a cold target.
+/// The operator's limit for requests to a cold target within one second: `requests_per_s *
+/// rate_factor + slack`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRateLimit {
-    /// Times the rate that it bears.
+    /// Factor on the rate that a cold target can handle.
     pub rate_factor: f64,
-    /// Requests on top.
+    /// Requests allowed in addition.
     pub slack: f64,
 }
 
 impl Default for ColdRateLimit {
-    /// The bare rate, where nothing else is stated.
+    /// The rate that the target can handle, without any excess.
     fn default() -> ColdRateLimit {
         ColdRateLimit { rate_factor: 1.0, slack: 0.0 }
     }
 }
 
-/// What one owner admits to one target.
+/// How many requests one owner admits to one target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AdmissionLimit {
-    /// Requests.
+    /// Maximum number of requests within any `window`.
     pub requests: usize,
-    /// In any span of this length.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
 impl AdmissionLimit {
-    /// The limit for targets that warm up like this: what they bear, and no more than an owner's
-    /// part of the bound.
+    /// The limit for a target with this warm-up: the rate that the target can handle, but no more
+    /// than one owner's part of the operator's limit.
     pub fn for_warm_up(warm_up: WarmUp, bound: ColdRateLimit) -> AdmissionLimit {
         let bound = warm_up.requests_per_s * bound.rate_factor + bound.slack;
         let rate = warm_up.requests_per_s.min(bound / MAX_CONCURRENT_OWNERS);
         if rate >= 1.0 {
-            // An admitted request leaves up to the admission's life later.
+            // An admitted request may leave up to ADMISSION_TTL after its admission.
             return AdmissionLimit { requests: rate as usize, window: RATE_WINDOW + ADMISSION_TTL };
         }
         let window = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(Duration::MAX);
@@ -72,17 +75,17 @@
     }
 }
 
-/// Requests that an owner admitted to one target of late.
+/// Sliding window of the requests that an owner has admitted to one target.
 #[derive(Debug, Default)]
 pub struct AdmissionWindow {
     admitted: VecDeque<Instant>,
 }
 
 impl AdmissionWindow {
-    /// Admits a request.
+    /// Admits a request if the limit allows it.
     ///
     /// # Errors
-    /// The time until there is room.
+    /// The time until the next request can be admitted.
     pub fn admit(&mut self, now: Instant, limit: AdmissionLimit) -> Result<(), Duration> {
         while self.admitted.front().is_some_and(|t| *t + limit.window <= now) {
             self.admitted.pop_front();
@@ -94,35 +97,36 @@
         Err(self.admitted.front().map_or(limit.window, |t| *t + limit.window - now))
     }
 
-    /// Whether nothing was admitted within `window`.
+    /// Whether no request was admitted within the last `window`.
     pub fn is_idle(&self, now: Instant, window: Duration) -> bool {
         self.admitted.back().is_none_or(|t| *t + window <= now)
     }
 }
 
-/// How long a process does not admit after its start: its predecessor may have, a moment ago.
+/// How long a process admits no requests after its start. Its predecessor may have admitted some
+/// immediately before.
 pub const STARTUP_DELAY: Duration = Duration::from_millis(1_100);
-/// Meters of targets that had no request for so long are dropped.
+/// Windows of targets without requests for this long are dropped.
 const IDLE_WINDOW_TTL: Duration = Duration::from_secs(10);
 
-/// What one process admits to the targets that it owns.
+/// Admits requests to the targets that this process owns.
 #[derive(Debug)]
 pub struct Admitter {
     ready_at: Instant,
-    /// By digest of the target's id.
+    /// Sorted by the digest of the target's id.
     windows: Vec<(u64, AdmissionWindow)>,
 }
 
 impl Admitter {
-    /// For a process that started then.
+    /// An admitter for a process that started at `started`.
     pub fn new(started: Instant) -> Admitter {
         Admitter { ready_at: started + STARTUP_DELAY, windows: Vec::new() }
     }
 
-    /// Admits a request to a target.
+    /// Admits a request to a target if the limit allows it.
     ///
     /// # Errors
-    /// The time until there is room.
+    /// The time until the next request can be admitted.
     pub fn admit(
         &mut self,
         target: u64,
@@ -145,18 +149,19 @@
 /// A router that may own targets.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OwnerCandidate {
-    /// Its name.
+    /// Name of the instance.
     pub instance: CompactString,
-    /// Its availability zone.
+    /// Availability zone of the router.
     pub zone: CompactString,
-    /// Where other routers reach it.
+    /// Address for datagrams from other routers.
     pub addr: SocketAddr,
-    /// Requests a second that it can take. The largest get most of the callers, so that most
-    /// requests need no word from another router.
+    /// Requests per second that the router can take. Large routers are preferred as owners because
+    /// they receive most of the requests, and can admit these without asking another router.
     pub capacity: u32,
 }
 
-/// The owner of a target: one of the largest routers of its zone, or of all if its zone has none.
+/// The owner of a target: one of the largest routers in the target's zone, or in the whole fleet if
+/// the zone has none. `None` if there are no routers.
 pub fn pick_owner<'a>(
     routers: &'a [OwnerCandidate],
     target: &str,
--- a/src/gateway/crash_attribution.rs
+++ b/src/gateway/crash_attribution.rs
@@ -1,4 +1,5 @@
-//! A request's part in the end of targets: refused if it is held back, noted if its target ended.
+//! Links requests to crashes of targets: refuses quarantined requests, and records a crash for each
+//! request that was running on a target that ended.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,20 +16,20 @@
 use super::state::{Gateway, Platform};
 use crate::rows::StoreMs;
 
-/// How long after its caller left a request still counts as one that its target had: the target
-/// hears of it late, and may have begun to run it.
+/// How long a request still counts as running on its target after its caller has disconnected. The
+/// target learns of the disconnection late and may have started the request.
 const DISCONNECTED_RUN_GRACE: Duration = Duration::from_millis(500);
 
 impl<P: Platform> Job<'_, P> {
-    /// What makes this request the same as others.
+    /// The fingerprint by which identical requests are recognised.
     pub fn fingerprint(&self) -> Fingerprint {
         *self
             .fingerprint
             .get_or_init(|| Fingerprint::of(self.org.as_deref(), self.head, &self.body))
     }
 
-    /// Refuses a request that has ended targets: each further send ends one more, and with it
-    /// dozens of others' answers.
+    /// Refuses a quarantined request. Each further attempt would crash another target, and break
+    /// off dozens of other requests' answers.
     pub(super) fn check_quarantine(&self) -> Result<(), Own> {
         let known = &self.gw.crashes;
         if known.is_empty() {
@@ -51,8 +52,9 @@
         }
     }
 
-    /// An answer of `backend` to this request broke off: finds out whether the target has ended,
-    /// also when the caller leaves meanwhile. One that was to leave was not ended by a request.
+    /// An answer of `backend` to this request broke off: checks in a separate task whether the
+    /// target has ended, so that the check continues if the caller disconnects meanwhile. Targets
+    /// that were expected to stop are not checked, because no request caused their end.
     pub(super) fn spawn_crash_check(&self, backend: &Rc<Backend>) -> Option<JoinHandle<()>> {
         if !backend.is_expected_to_stay() {
             return None;
@@ -65,8 +67,8 @@
         }))
     }
 
-    /// The caller left while a target had the request. The target may end under it all the same,
-    /// which then shows to the next one that connects.
+    /// The caller disconnected while a target was running the request. The target may still crash
+    /// because of it, which shows only when the next request fails to connect.
     pub(super) fn caller_disconnected(&self) {
         let may_be_running = |b: &&Rc<Backend>| self.may_have_run.get() && b.is_expected_to_stay();
         let Some(backend) = self.at.as_ref().filter(may_be_running) else { return };
@@ -88,17 +90,18 @@
         }
     }
 
-    /// The request was answered whole: if targets ended under it, it was not the cause.
+    /// Records a complete answer: if targets ended while running this request, it was not the
+    /// cause.
     pub fn record_completion(&self) {
         if self.gw.crashes.is_empty() {
             return;
         }
-        let well = Completion { request: self.fingerprint(), at: self.gw.keeper.store_now() };
-        self.gw.crashes.record_completion(well);
+        let completed = Completion { request: self.fingerprint(), at: self.gw.keeper.store_now() };
+        self.gw.crashes.record_completion(completed);
     }
 }
 
-/// A request whose answer broke off, or that was given up.
+/// A request whose answer broke off, or whose caller disconnected.
 struct InterruptedRequest {
     id: CompactString,
     org: Option<CompactString>,
@@ -107,7 +110,7 @@
 }
 
 impl InterruptedRequest {
-    /// Notes that its target has ended.
+    /// Records that the request's target has ended.
     fn record_crash<P: Platform>(&self, gw: &Gateway<P>, backend: &Backend) {
         gw.stats.targets_ended.inc();
         let at = gw.keeper.store_now();
--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -1,8 +1,9 @@
-//! Targets that ended while they had a request, as this router and the others saw it.
+//! Shares crashes of targets, and the requests that were running at the time, among the routers.
 //!
-//! Each router tells the others twice: at once by datagram, which may be lost, and in its row of
-//! the table of routers, which outlives it. So a request that has ended targets is known to each
-//! router within a second or two, wherever it ran, and to one that starts.
+//! Each router publishes its crashes twice: immediately by datagram, which may be lost, and in its
+//! row of the table of routers, which is durable. A request that crashes targets is therefore known
+//! within a second or two to every router, whichever router handled it, and also to a router that
+//! starts later.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,16 +20,16 @@
 use crate::rows::StoreMs;
 use crate::stats::Stats;
 
-/// Crashes and good ends of so long go into one datagram: all requests of a target break off
-/// together.
+/// How long crashes and completions are collected for one datagram. All requests on a target fail
+/// at the same time.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
-/// Least pause between two writings of this router's row because of crashes.
+/// Minimum interval between two writes of this router's row because of crashes.
 const MIN_ROW_WRITE_INTERVAL: Duration = Duration::from_millis(500);
-/// Crashes, and good ends, in one datagram, at most; 70 bytes for one of each keep it under a usual
-/// packet.
+/// Maximum number of crashes, and of completions, in one datagram. A crash and a completion take 70
+/// bytes together, so that the datagram fits into a usual packet.
 const MAX_EVENTS_PER_DATAGRAM: usize = 20;
 
-/// What this router knows of crashes, and what it has not told yet.
+/// The crashes known to this router, and those not yet sent to the others.
 #[derive(Debug)]
 pub struct CrashTracker {
     log: Log,
@@ -37,12 +38,12 @@
     unsent: RefCell<CrashReport>,
     unsent_added: Notify,
     row_outdated: Notify,
-    /// All routers that are known to live: the request may come to any of them.
+    /// All live routers. A retry of the request may reach any of them.
     peers: RefCell<Vec<SocketAddr>>,
 }
 
 impl CrashTracker {
-    /// Nothing known yet.
+    /// A tracker without any crashes.
     pub fn new(log: Log, stats: Stats) -> CrashTracker {
         CrashTracker {
             log,
@@ -55,22 +56,22 @@
         }
     }
 
-    /// Sets whom to tell.
+    /// Sets the routers to which crashes are sent.
     pub fn set_peers(&self, peers: Vec<SocketAddr>) {
         *self.peers.borrow_mut() = peers;
     }
 
-    /// Targets that ended under a request, as far as is known.
+    /// Number of targets known to have ended while running a request.
     pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.known.borrow().crash_count(request)
     }
 
-    /// What this router's row says.
+    /// The report for this router's row.
     pub fn report(&self, now: StoreMs) -> CrashReport {
         self.known.borrow().report(now)
     }
 
-    /// Takes in what rows say: of this router's predecessor, or of others.
+    /// Merges reports from rows: those of this router's predecessor and those of other routers.
     pub fn merge_reports<'a>(
         &self,
         reports: impl Iterator<Item = (&'a CrashReport, Source)>,
@@ -90,18 +91,19 @@
         self.known.borrow().is_empty()
     }
 
-    /// Until when a request is held back, if it is.
+    /// The store time at which the quarantine of a request ends, or `None` if it is not
+    /// quarantined.
     pub fn quarantined_until(&self, request: Fingerprint, now: StoreMs) -> Option<StoreMs> {
         self.known.borrow().quarantined_until(request, now)
     }
 
-    /// Waits until the row should be written because of crashes.
+    /// Waits until this router's row should be written because of new crashes.
     pub async fn row_write_due(&self) {
         self.row_outdated.notified().await;
         sleep(MIN_ROW_WRITE_INTERVAL).await;
     }
 
-    /// A target ended under a request of this router.
+    /// Records that a target ended while running a request of this router.
     pub fn record_crash(&self, crash: Crash) {
         if self.known.borrow_mut().record_crash(crash, Source::Own) {
             self.unsent.borrow_mut().crashes.push(crash);
@@ -111,24 +113,24 @@
         self.update_quarantine_gauge();
     }
 
-    /// A request of this router was answered whole.
-    pub fn record_completion(&self, well: Completion) {
-        if self.known.borrow_mut().record_completion(well, Source::Own) {
-            self.unsent.borrow_mut().ended_well.push(well);
+    /// Records that a request of this router was answered completely.
+    pub fn record_completion(&self, completed: Completion) {
+        if self.known.borrow_mut().record_completion(completed, Source::Own) {
+            self.unsent.borrow_mut().ended_well.push(completed);
             self.unsent_added.notify_one();
         }
     }
 
     fn take_unsent(&self) -> CrashReport {
         let mut unsent = self.unsent.borrow_mut();
-        let (crashes, well) = (unsent.crashes.len(), unsent.ended_well.len());
+        let (crashes, completed) = (unsent.crashes.len(), unsent.ended_well.len());
         CrashReport {
             crashes: unsent.crashes.drain(..crashes.min(MAX_EVENTS_PER_DATAGRAM)).collect(),
-            ended_well: unsent.ended_well.drain(..well.min(MAX_EVENTS_PER_DATAGRAM)).collect(),
+            ended_well: unsent.ended_well.drain(..completed.min(MAX_EVENTS_PER_DATAGRAM)).collect(),
         }
     }
 
-    /// Tells the others, for ever.
+    /// Sends new crashes and completions to the other routers. Runs until cancelled.
     pub async fn broadcast(&self, socket: &UdpSocket) {
         loop {
             if *self.unsent.borrow() == CrashReport::default() {
@@ -141,7 +143,7 @@
             let datagram = Topic::Crashes.frame(&bytes);
             let peers = self.peers.borrow().clone();
             for peer in peers {
-                // The row says it again.
+                // A lost datagram is not retried: the row carries the same events.
                 if let Err(e) = socket.try_send_to(&datagram, peer) {
                     self.log.routine("peer", format_args!("to={peer} outcome=unsent cause={e}"));
                 }
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Takes in what another router tells.
+    /// Merges a report received from another router.
     pub fn handle_datagram(&self, bytes: &[u8], now: StoreMs) {
         match ciborium::from_reader::<CrashReport, _>(bytes) {
             Ok(report) => self.merge_reports([(&report, Source::Other)].into_iter(), now),
--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -1,25 +1,25 @@
-//! The datagrams that routers send one another: one codec, told apart by topic.
+//! Framing of the datagrams between routers. The first byte identifies the topic.
 
-/// The largest datagram that is read, in bytes.
+/// Size of the receive buffer, and thereby of the largest datagram that is read.
 pub const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// What a datagram is about; its first byte.
+/// The subject of a datagram, sent as its first byte.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Topic {
-    /// Placements at targets.
+    /// Placements of requests at targets.
     Hints = 1,
     /// Parts of budgets.
     Budgets = 2,
-    /// Targets that ended under requests.
+    /// Crashes of targets, and completions of the requests involved.
     Crashes = 3,
     /// Orders of the operator.
     Orders = 4,
-    /// Requests to cold targets.
+    /// Admission of requests to cold targets.
     Cold = 5,
 }
 
 impl Topic {
-    /// A datagram on this topic.
+    /// A datagram on this topic with the given payload.
     pub fn frame(self, payload: &[u8]) -> Vec<u8> {
         let mut out = Vec::with_capacity(1 + payload.len());
         out.push(self as u8);
@@ -27,7 +27,7 @@
         out
     }
 
-    /// The topic of a datagram and what it says; none if it is of no topic.
+    /// Splits a datagram into topic and payload. `None` if it is empty or its topic is unknown.
     pub fn parse(datagram: &[u8]) -> Option<(Topic, &[u8])> {
         let (first, payload) = datagram.split_first()?;
         let topics = [Topic::Hints, Topic::Budgets, Topic::Crashes, Topic::Orders, Topic::Cold];
--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -1,4 +1,5 @@
-//! A planned stop: first callers stop coming, then the work ends, then the budget goes back.
+//! Graceful shutdown: stops new requests, drains those in flight, then returns the remaining
+//! budget.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,12 +9,12 @@
 use super::members;
 use super::state::{Gateway, Phase, Platform};
 
-/// Callers may keep an entry answer this many times its lifetime.
+/// Callers may keep using an entry answer for this many times its TTL.
 const MAX_ENTRY_AGE_TTLS: u32 = 3;
-/// Time for the last transaction and the exit, before the platform ends the process by force.
+/// Time reserved for the last transaction and the exit, before the platform kills the process.
 const FINAL_WRITES_TIME: Duration = Duration::from_millis(600);
 
-/// Stops this router; returns when the process may exit.
+/// Drains this router. Returns when the process may exit.
 pub async fn stop<P: Platform>(gw: &Rc<Gateway<P>>) {
     let requested_at = Instant::now();
     let end = requested_at + gw.settings.grace.saturating_sub(FINAL_WRITES_TIME);
@@ -38,7 +39,7 @@
             requested_at.elapsed().as_millis()
         ),
     );
-    // What is still lent when this router goes counts as spent at the most.
+    // Budget that is still lent to other routers when this one exits is charged at its maximum.
     if timeout_at(end, gw.keeper.loans_over()).await.is_err() {
         gw.log.note("stop", format_args!("outcome=loans_left"));
     }
--- a/src/gateway/feed.rs
+++ b/src/gateway/feed.rs
@@ -1,4 +1,5 @@
-//! Readings of the store: a table whole, then its changes, and what each reading says of the store.
+//! Reads tables from the store, first completely and then by their changes, and tracks whether the
+//! store is available.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,38 +13,38 @@
 use crate::rows::{Arriving, Page, RowStore, StoreError, StoreResult, Ver};
 use crate::stats::{Reason, Stats};
 
-/// How long a feed waits for a change. Short, because a connection that has gone silent shows
-/// only when this is over, and a configuration must be in force 2 s after its acknowledgement.
+/// Timeout of a long poll for changes. It is short because a dead connection is detected only when
+/// it expires, and a configuration must be in force 2 s after its acknowledgement.
 const CHANGE_POLL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Pause after a failed call.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How long a request waits for changes that are arriving. A refusal names the same time to come
-/// back.
+/// How long a request waits for changes that are being received. A refusal states the same time in
+/// its `Retry-After`.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(400);
-/// Readings of at least this many bytes are logged: they take a link of 10 Mbit/s for 50 ms.
+/// Reads of at least this size are logged. They occupy a link of 10 Mbit/s for 50 ms.
 const LARGE_READ_BYTES: usize = 64 * 1024;
 
-/// When the store answered last, and since when it has again.
+/// Availability of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreStatus {
-    /// The newest answer.
+    /// When the latest answer arrived.
     pub last_answer: Option<Instant>,
-    /// The end of the last time without answers.
+    /// When the latest outage ended.
     pub recovered_at: Option<Instant>,
-    /// Whether the last call failed.
+    /// Whether the latest call failed.
     pub unavailable: bool,
 }
 
-/// An attempt to make sure that the configuration in force is the newest.
+/// An attempt to confirm that the configuration in force is the latest one.
 #[derive(Clone, Copy, Debug)]
 pub struct Confirmation {
-    /// When the store was asked.
+    /// When the query was sent to the store.
     pub sent: Instant,
-    /// Whether it last_answer.
+    /// Whether the store answered.
     pub store_answered: bool,
 }
 
-/// Reads tables, and notes what each reading says of the store.
+/// Reads tables and tracks the availability of the store.
 pub struct StoreReader<P: RowStore> {
     rows: P,
     keeper: Rc<Keeper<P>>,
@@ -52,18 +53,18 @@
     store_status: Cell<StoreStatus>,
 }
 
-/// How far a table's changes were read.
+/// Progress in reading the changes of a table.
 #[derive(Debug, Default)]
 pub struct Feed {
-    /// All changes up to this version are known; `None` until the table was read whole.
+    /// All changes up to this version are known. `None` until the whole table was read.
     position: Cell<Option<Ver>>,
-    /// Whether changes are arriving.
+    /// Whether an answer with changes is being received.
     arriving: Arriving,
 }
 
 impl Feed {
-    /// What changed up to now; nothing if the store does not say. Waits for changes that are
-    /// arriving instead of asking for them a second time.
+    /// The changes up to now, or `None` if the store does not answer. If changes are already being
+    /// received, it waits for them instead of requesting them again.
     pub async fn catch_up<P: RowStore>(
         &self,
         reader: &StoreReader<P>,
@@ -71,11 +72,12 @@
     ) -> Option<Page> {
         timeout(CATCH_UP_TIMEOUT, self.arriving.over()).await.ok()?;
         let at = self.position.get()?;
-        // Without its history the table must be read whole, which its follower does.
+        // If the store no longer has the history, the whole table must be read, which is left to
+        // `follow`.
         self.changes(reader, table, at, Duration::ZERO, StoreRead::start("confirm")).await.ok()
     }
 
-    /// All changes up to `ver` are known from now on.
+    /// Records that all changes up to `ver` are known.
     pub fn advance(&self, ver: Ver) {
         self.position.set(self.position.get().max(Some(ver)));
     }
@@ -106,7 +108,7 @@
     }
 }
 
-/// A reading of the store: what for, and when it was asked for.
+/// A read from the store: its purpose, and when it was sent.
 #[derive(Clone, Copy)]
 struct StoreRead {
     cause: &'static str,
@@ -131,13 +133,14 @@
         StoreReader { rows, keeper, log, stats, store_status }
     }
 
-    /// State of the store.
+    /// Availability of the store.
     pub fn store_status(&self) -> StoreStatus {
         self.store_status.get()
     }
 
-    /// Reads a table, then its changes, for ever; all of it again whenever its history is gone.
-    /// `take` gets each page, and whether it is the whole table.
+    /// Reads a table and then its changes; the whole table again whenever the store no longer has
+    /// the history. Calls `apply_page` with each page and whether it holds the whole table. Runs
+    /// until cancelled.
     pub async fn follow(&self, table: &str, feed: &Feed, apply_page: impl Fn(&Page, bool)) {
         loop {
             let at = feed.position.get();
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Notes how a call to the store went.
+    /// Updates the availability of the store from the outcome of a call.
     fn record_outcome(&self, read: StoreRead, outcome: &StoreResult<Page>) {
         let now = Instant::now();
         let before = self.store_status.get();
@@ -184,7 +187,7 @@
                     unavailable: false,
                 });
             }
-            // A history that is gone is an answer all the same.
+            // These are answers too, so they do not count as an outage.
             Err(StoreError::HistoryGone | StoreError::Conflict(_)) => (),
             Err(e) => {
                 if !before.unavailable {
@@ -197,7 +200,8 @@
         }
     }
 
-    /// Counts what a reading brought. Whoever looks for the reason of a full link finds it here.
+    /// Counts the bytes of a read and logs large ones, so that a saturated link can be traced to
+    /// its cause.
     fn record_read(&self, read: StoreRead, page: &Page) {
         let bytes: usize = page.rows.iter().filter_map(|r| r.value.as_ref()).map(Bytes::len).sum();
         let reason = Reason { reason: read.cause };
--- a/src/gateway/liveness.rs
+++ b/src/gateway/liveness.rs
@@ -1,4 +1,4 @@
-//! Whether a target's process has ended, as connections to it tell.
+//! Detects whether a target's process has ended, from the outcome of connection attempts.
 
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -11,23 +11,24 @@
 
 use super::pool::{Pool, dial};
 
-/// How long a request that broke off waits for the answer whether its target has ended, before it
-/// goes to the next one. Connecting takes a few ms; a lost packet is not waited for.
+/// How long a request whose answer broke off waits for the probe of its target before it is sent to
+/// the next one. Connecting takes a few milliseconds; a retransmission after packet loss is not
+/// waited for.
 const PROBE_WAIT: Duration = Duration::from_millis(100);
 
-/// What is known of the life of a target's process.
+/// What is known about the process of a target.
 #[derive(Debug, Default)]
 pub struct Liveness {
     ended: Cell<bool>,
-    /// It could not be reached, and no connection to it was used since.
+    /// A connection attempt failed, and no connection has been used since.
     last_connect_failed: Cell<bool>,
-    /// When the latest attempt to connect began that succeeded; locked while there is one.
+    /// Start of the latest successful connection attempt. Locked while an attempt is in progress.
     last_connect: Mutex<Option<Instant>>,
 }
 
 impl Liveness {
-    /// Notes why connecting failed: where nobody listens any more, the process has ended. A
-    /// connection that is not answered says nothing, the link may be cut.
+    /// Records why connecting failed. A refused connection means that the process has ended. A
+    /// connection attempt without an answer proves nothing, because the network may be partitioned.
     pub fn connect_failed(&self, e: &std::io::Error) {
         self.last_connect_failed.set(true);
         if e.kind() == ErrorKind::ConnectionRefused {
@@ -35,14 +36,14 @@
         }
     }
 
-    /// It took a connection or answered: it lives, whatever it refused a moment ago. Targets also
-    /// refuse connections beyond those that they can keep.
+    /// The target accepted a connection or answered, so its process is alive even if it refused a
+    /// connection shortly before: targets also refuse connections above their own limit.
     pub fn mark_alive(&self) {
         self.ended.set(false);
     }
 
-    /// A connection to it is there. Returns whether it could not be reached before: the process may
-    /// have started anew meanwhile.
+    /// A connection to the target is open. Returns whether the previous attempt had failed, in
+    /// which case the process may have restarted since.
     pub fn connected(&self) -> bool {
         self.mark_alive();
         self.last_connect_failed.replace(false)
@@ -53,9 +54,9 @@
         self.ended.get()
     }
 
-    /// Finds out whether the process has ended, after an answer of it broke off. Answers also
-    /// break off when links are reset or an answer is lost; then the target still takes
-    /// connections. Requests that broke off together share one attempt.
+    /// Determines by a new connection whether the process has ended, after one of its answers broke
+    /// off. Answers also break off when connections are reset or an answer is lost; then the target
+    /// still accepts connections. Requests that broke off together share one attempt.
     pub async fn probe_ended(&self, addr: SocketAddr, pool: &RefCell<Pool>) -> bool {
         let requested_at = Instant::now();
         let mut last_connect = self.last_connect.lock().await;
@@ -78,11 +79,12 @@
     }
 }
 
-/// Waits a moment for what an attempt to find out whether a target has ended brings: the next
-/// target must not get a request that has ended enough of them.
+/// Waits up to [`PROBE_WAIT`] for a probe of a target, so that a request which is now quarantined
+/// is not sent to the next target.
 pub async fn await_probe(probe: Option<JoinHandle<()>>) {
     if let Some(probe) = probe {
-        // Without an answer in time the target counts as living, and is noted later if it has ended.
+        // Without a result in time the target counts as alive. The probe continues and records the
+        // crash later if the process has ended.
         let _ = timeout(PROBE_WAIT, probe).await;
     }
 }
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -1,4 +1,4 @@
-//! Which routers there are: one row each in the store, renewed while they live.
+//! Membership of the fleet: each router has one row in the store and renews it while it is alive.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,19 +19,20 @@
 
 /// The table of routers.
 const TABLE: &str = "routers";
-/// Pause between two renewals. With 470 routers this is 235 writes and as many reads a second.
+/// Interval between two renewals. 470 routers make 235 writes and as many reads per second.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
-/// Age of an entry after which its router counts as gone, ms: three renewals missed.
+/// Age of a row after which its router counts as gone, in milliseconds: three missed renewals.
 const STALE_MS: u64 = 6_500;
-/// Age after which an entry no longer counts as one that may still repeat requests, ms.
+/// Age of a row after which its router no longer counts among those that may still retry requests,
+/// in milliseconds.
 const RETRYING_ROUTER_MAX_AGE_MS: u64 = 60_000;
 
-/// Readings after which all living routers have renewed their rows.
+/// Number of reads after which all live routers have renewed their rows.
 const MIN_READS: u32 = 3;
-/// How long a router takes to read the table and renew its row, at most, ms.
+/// Maximum time a router takes to read the table and renew its row, in milliseconds.
 const MAX_RENEWAL_MS: u64 = 500;
 
-/// A router's row.
+/// The value of a router's row.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 struct Entry {
@@ -39,12 +40,12 @@
     peer: SocketAddr,
     zone: CompactString,
     leaving: bool,
-    /// Requests a second of late, and at most.
+    /// Current rate of requests per second, and the maximum one.
     rate: u32,
     capacity: u32,
-    /// Newest store time that the router knew when it wrote the row.
+    /// Latest store time known to the router when it wrote the row.
     beat: StoreMs,
-    /// Targets that ended under requests.
+    /// Crashes and completions observed by the router.
     #[serde(default)]
     report: CrashReport,
 }
@@ -73,7 +74,7 @@
     }
 }
 
-/// Another router, and how old what it says is.
+/// The row of another router, and the age of its content.
 struct PeerRow {
     instance: CompactString,
     entry: Entry,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Renews this router's row and reads all others, for ever.
+/// Renews this router's row and reads all others. Runs until cancelled.
 pub async fn run<P: Platform>(gw: Rc<Gateway<P>>) {
     let mut phase = gw.phase.subscribe();
     let mut reads = TableReads::default();
@@ -114,7 +115,8 @@
         }
         gw.stats.active.set(i64::try_from(gw.active.get()).unwrap_or(i64::MAX));
         gw.stats.log_dropped.set(i64::try_from(gw.log.lines_dropped()).unwrap_or(i64::MAX));
-        // Read first: a row written without knowing the store's time would count as stale.
+        // The table is read first: a row written without knowing the store's time would count as
+        // stale.
         match gw.platform.scan(TABLE, "").await {
             Ok(page) => {
                 reads.record_read(page.now);
@@ -125,28 +127,31 @@
         }
         let changed = async {
             tokio::select! {
-                // A stop is written at once: callers ask others, which must leave this one out.
+                // The start of a shutdown is written at once: callers ask other routers for
+                // entries, and these must leave this router out.
                 _ = phase.changed() => (),
-                // So is a target's end: the others must know which requests it ended under.
+                // Crashes are written soon, so that other routers learn which requests were
+                // involved.
                 () = gw.crashes.row_write_due() => (),
             }
         };
-        // Without a change the row is renewed all the same.
+        // The row is also renewed if nothing changes.
         let _ = tokio::time::timeout(RENEWAL_INTERVAL, changed).await;
     }
 }
 
-/// When this router read the table, by the store's clock.
+/// Times at which this router read the table, by the store's clock.
 #[derive(Debug, Default)]
 pub struct TableReads {
     latest: Option<StoreMs>,
     count: u32,
-    /// The longest time without an answer of late, ms, and when it was over.
+    /// Length of the latest long interval without an answer, in milliseconds, and the store time at
+    /// which it ended.
     gap: Option<(u64, StoreMs)>,
 }
 
 impl TableReads {
-    /// Notes a reading.
+    /// Records a successful read.
     pub fn record_read(&mut self, now: StoreMs) {
         let gap = self.latest.map_or(0, |l| now.0.saturating_sub(l.0));
         if gap > STALE_MS / 2 {
@@ -156,14 +161,14 @@
         self.count = self.count.saturating_add(1);
     }
 
-    /// Whether this process has read the table so seldom that others may not have renewed their
-    /// rows since it started.
+    /// Whether this process has read the table so few times that some live routers may not have
+    /// renewed their rows since it started.
     pub fn are_too_few(&self) -> bool {
         self.count <= MIN_READS
     }
 
-    /// The age from which on callers are not sent to a row's router: `limit`, and for a while more
-    /// after a time without answers.
+    /// The age of a row, in milliseconds, from which its router is no longer advertised to callers:
+    /// `limit`, extended for a while after an interval without answers.
     pub fn max_advertised_age_ms(&self, now: StoreMs, limit: Duration) -> u64 {
         let limit = u64::try_from(limit.as_millis()).unwrap_or(u64::MAX);
         let renewal_ms =
@@ -172,10 +177,11 @@
         limit.saturating_add(gap.map_or(0, |(gap, _)| gap))
     }
 
-    /// The age at which a row counts as stale. While this router could not read, the others
-    /// could perhaps not write. Without this allowance every router believes itself alone once a
-    /// cut of all is over, names only itself to callers, and the callers spread over the whole
-    /// fleet: 60 routers then race for each budget's row instead of ten.
+    /// The age of a row, in milliseconds, from which it counts as stale. It is extended after an
+    /// interval in which this router could not read, because the others may have been unable to
+    /// write. Without the extension every router considers itself alone after a store outage that
+    /// affects all of them, and advertises only itself. Callers then spread over the whole fleet,
+    /// and 60 routers instead of ten compete for each budget's row.
     pub fn stale_ms(&self, now: StoreMs) -> u64 {
         let gap = self.gap.filter(|(_, ended_at)| now.0.saturating_sub(ended_at.0) < STALE_MS);
         STALE_MS + gap.map_or(0, |(gap, _)| gap)
@@ -209,6 +215,7 @@
             let age_ms = page.now.0.saturating_sub(entry.beat.0);
             Some(PeerRow { instance: row.at.key.clone(), entry, age_ms })
         }
+        // The other rows are still applied; callers are not sent to this router.
         Err(e) => {
             // The others are known all the same; callers are not sent to this one.
             let key = &row.at.key;
@@ -221,10 +228,11 @@
         .iter()
         .filter_map(decode_row)
         .partition(|row| row.instance == gw.settings.instance);
-    // At any reading this router's row may be its predecessor's, whose last write can take effect
-    // late. What that one reported would be gone with the next renewal.
+    // The row read under this router's name may be its predecessor's at any time, because the
+    // predecessor's last write can take effect late. Its crashes would be lost with the next
+    // renewal.
     let predecessor_reports = own.iter().map(|o| (&o.entry.report, Source::Own));
-    // Also of routers that are long dead: what they saw still holds.
+    // Includes rows of routers that ended long ago, because their crashes still count.
     let peer_reports = others.iter().map(|o| (&o.entry.report, Source::Other));
     gw.crashes.merge_reports(predecessor_reports.chain(peer_reports), page.now);
     let stale_ms = reads.stale_ms(page.now);
@@ -240,8 +248,8 @@
     let retrying = 1 + others.iter().filter(|o| o.age_ms < RETRYING_ROUTER_MAX_AGE_MS).count();
     gw.retries.borrow_mut().set_routers(u32::try_from(retrying).unwrap_or(u32::MAX));
     set_lenders(gw, &live);
-    // A process that knows the table since a moment ago counts every row: after a long outage of
-    // the store those of living routers are old as well, and each would own all targets.
+    // A process that has just started to read the table counts every row. After a long outage of
+    // the store the rows of live routers are stale as well, and each router would own all targets.
     let all: Vec<&PeerRow> = others.iter().collect();
     set_owners(gw, if reads.are_too_few() { &all } else { &live }, !own.is_empty());
     let max_advertised_age_ms = reads.max_advertised_age_ms(page.now, gw.settings.unnamed_after);
@@ -250,8 +258,8 @@
     publish(gw, &advertised);
 }
 
-/// Those that stay may own cold targets; this one once its row was store_time, so that of two that start
-/// at least one knows of the other.
+/// Routers that are not leaving may own cold targets. This router is included once its own row was
+/// read, so that of two routers that start together at least one knows the other.
 fn set_owners<P: Platform>(gw: &Gateway<P>, known: &[&PeerRow], listed: bool) {
     let s = &gw.settings;
     let staying = known.iter().filter(|o| !o.entry.leaving);
@@ -267,7 +275,7 @@
     gw.cold.set_owners(owners);
 }
 
-/// Those that stay may lend.
+/// Routers that are not leaving may lend budget to others.
 fn set_lenders<P: Platform>(gw: &Gateway<P>, live: &[&PeerRow]) {
     let s = &gw.settings;
     let me = Lender {
@@ -317,7 +325,7 @@
     });
 }
 
-/// Drops this router from its own entry answers at once.
+/// Removes this router from its own entry answers at once.
 pub fn mark_leaving<P: Platform>(gw: &Gateway<P>) {
     gw.entry.send_modify(|view| {
         view.ready = false;
--- a/src/gateway/notice.rs
+++ b/src/gateway/notice.rs
@@ -1,7 +1,8 @@
-//! What a target says of itself in its answers. No I/O.
+//! What a target announces about itself in its answers. No I/O.
 //!
-//! An answer is newer than the target's entry in the store, and comes while the store is away. So
-//! what it says is kept apart from the entry, which does not undo it.
+//! An answer is more recent than the target's entry in the store, and also arrives while the store
+//! is unavailable. Its content is therefore kept apart from the entry, so that an older entry
+//! cannot overwrite it.
 
 use std::cell::Cell;
 use std::time::{Duration, SystemTime};
@@ -11,32 +12,33 @@
 use super::request::Names;
 use crate::http1::{ResponseHead, header};
 
-/// The longest delay that is kept to; a target that states more has most likely a fault.
+/// Longer delays are reduced to this one. A target that states more is most likely faulty.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// What an answer says of the target that gave it, apart from the request.
+/// What an answer says about the target that sent it, apart from the request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Notice {
     /// The target is about to stop.
     pub leaving: bool,
-    /// It turned the request away with 503, and says when it wants the next one. With 429 it still
-    /// runs others: left alone for the time that it states then, a service whose targets all do so
-    /// would take next to nothing.
+    /// The delay stated by a target that refused the request with status 503. A `Retry-After` with
+    /// 429 is ignored, because the target still runs other requests: if all targets of a service
+    /// sent 429 and the router paused them for the stated time, the service would take next to no
+    /// requests.
     pub retry_after: Option<RetryAfter>,
 }
 
-/// What a `Retry-After` says.
+/// The content of a `Retry-After` header.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryAfter {
-    /// No request until so long from now.
+    /// The target wants no request for this long.
     Delay(Duration),
-    /// It cannot be read.
+    /// The value cannot be parsed.
     Unreadable,
 }
 
 impl Notice {
-    /// Reads what a head says. A 421 comes from another target, which has the address now: it says
-    /// nothing of the one that was asked.
+    /// Reads the notice from a response head. A 421 comes from another target that has taken over
+    /// the address, so it says nothing about the intended one.
     pub fn read(names: &Names, head: &ResponseHead) -> Notice {
         let stated = |name: &str| header(&head.headers, name);
         match head.status {
@@ -51,8 +53,8 @@
     }
 }
 
-/// Reads a `Retry-After`: seconds, with or without a fraction, or a date. A date is compared with
-/// the answer's own, which is of the same clock; this instance's clock may differ.
+/// Parses a `Retry-After`: seconds, with or without a fraction, or a date. A date is compared with
+/// the `Date` of the same answer, because this instance's clock may differ from the target's.
 fn retry_after(after: &str, date: Option<&str>) -> RetryAfter {
     let seconds = after.parse().ok().and_then(|s| match s {
         s if s >= 0.0 => Some(Duration::try_from_secs_f64(s).unwrap_or(MAX_RETRY_AFTER)),
@@ -67,7 +69,7 @@
     delay.map_or(RetryAfter::Unreadable, |d| RetryAfter::Delay(d.min(MAX_RETRY_AFTER)))
 }
 
-/// What a target has said of itself since its start.
+/// What a target has announced about itself since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Availability {
     leaving: Cell<bool>,
@@ -75,7 +77,7 @@
 }
 
 impl Availability {
-    /// Takes in what an answer says. Returns whether that is new.
+    /// Applies a notice. Returns whether it changed anything.
     pub fn apply_notice(&self, notice: Notice, now: Instant) -> bool {
         let newly_leaving = notice.leaving && !self.leaving.replace(true);
         let longer_backoff = match notice.retry_after {
@@ -85,8 +87,9 @@
         newly_leaving || longer_backoff
     }
 
-    /// It wants no request for so long. Returns whether that is longer than was known: the latest
-    /// end holds, answers to requests that were sent together may each state one.
+    /// Sends the target no requests for `delay`. Returns whether this extends the current backoff.
+    /// The latest end applies, because several answers to concurrent requests may each state a
+    /// delay.
     pub fn back_off(&self, now: Instant, delay: Duration) -> bool {
         let before = self.backoff_until.get();
         let until = before.max(now.checked_add(delay));
@@ -94,18 +97,18 @@
         until > before
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether the target has announced that it is about to stop.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get()
     }
 
-    /// How long it still wants no request, if it said so.
+    /// The remaining backoff, or `None` if there is none.
     pub fn backoff_left(&self, now: Instant) -> Option<Duration> {
         let until = self.backoff_until.get()?;
         until.checked_duration_since(now).filter(|d| !d.is_zero())
     }
 
-    /// Whether it wants no request now.
+    /// Whether the target is leaving or in backoff, and must get no request now.
     pub fn is_unavailable(&self, now: Instant) -> bool {
         self.is_leaving() || self.backoff_left(now).is_some()
     }
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -1,92 +1,98 @@
-//! Which requests are no longer sent to targets, because targets end under them. No I/O.
+//! Detects requests that crash the targets that run them, and quarantines them. No I/O.
 //!
-//! A target runs dozens of requests, and all of them break off when it ends. The one that is the
-//! cause is told from the others by what they do next: the others end well when they are sent
-//! again, the cause ends the next target. So a request counts as the cause once
-//! [`CRASHES_TO_QUARANTINE`] targets have ended under it, it never ended well in between, and one of
-//! these targets got it only after another had ended. Without the last condition a request that
-//! many callers send alike is convicted when a rack with several of its targets fails.
+//! A target runs dozens of requests at once, and all of them fail when its process ends. The
+//! request that caused the crash differs from the others by what happens on a retry: the others
+//! complete, while the cause crashes the next target. A request is therefore quarantined once
+//! [`CRASHES_TO_QUARANTINE`] targets have ended while running it without a completion in between,
+//! and at least one of these targets received it only after another one had ended. Without the last
+//! condition, a request that many callers send in identical form would be quarantined when a rack
+//! with several of its targets fails.
 
 use serde::{Deserialize, Serialize};
 
 use super::fingerprint::Fingerprint;
 use crate::rows::StoreMs;
 
-/// Targets that must have ended under a request before it is held back.
+/// Number of targets that must have ended while running a request before it is quarantined.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
-/// How many of them must have ended one after the other: each got the request after the one before
-/// it had ended.
+/// Number of these crashes that must be sequential: each target received the request after the
+/// previous target had ended.
 const SEQUENTIAL_CRASHES_TO_QUARANTINE: usize = 2;
-/// How long a request is held back after the last target that ended under it, ms. The defect may
-/// be mended by then; if it is not, the request ends as many targets again.
+/// How long a request stays quarantined after its latest crash, in milliseconds. The defect may be
+/// fixed by then; if it is not, the request can crash as many targets again.
 pub const QUARANTINE_MS: u64 = 3_600_000;
-/// How long fewer crashes are remembered, ms: a cause that nobody sends again within this time
-/// ends hardly more targets than accidents do.
+/// How long the crashes of a request that is not quarantined are kept, in milliseconds. A request
+/// that crashes targets but is retried less often than this ends hardly more targets than unrelated
+/// failures do.
 pub const CRASH_RETENTION_MS: u64 = 300_000;
-/// Requests that are remembered, at most; those with the fewest and oldest crashes go first.
+/// Maximum number of tracked requests. Those with the fewest, and then the oldest, crashes are
+/// evicted first.
 const MAX_TRACKED_REQUESTS: usize = 2_048;
-/// Crashes in a router's report of requests under which several targets ended, at most. All
-/// routers read all reports every few seconds.
+/// Maximum number of crashes in a router's report of requests with several crashes, and of
+/// completions in it. Every router reads all reports every few seconds.
 const MAX_REPORTED_ENTRIES: usize = 24;
-/// How long and how many crashes are reported of requests under which only one target ended. After
-/// a rack has failed these are hundreds, and nearly all of them say nothing: reported for as long
-/// as they are remembered, they make the routers' table several times as large for minutes.
+/// How long the crash of a request with only one crash is reported, and how long a completion is
+/// reported, in milliseconds. A failed rack causes hundreds of single crashes, nearly all without
+/// significance; reporting them for as long as they are kept makes the table of routers several
+/// times as large for minutes.
 const SINGLE_CRASH_REPORT_MS: u64 = 10_000;
+/// Maximum number of crashes in a report that are the only crash of their request.
 const MAX_REPORTED_SINGLE_CRASHES: usize = 8;
 
-/// One start of a target, by a digest of its id and start.
+/// One run of a target's process, identified by a digest of the target's id and start time.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// A target ended while it had a request.
+/// A target's process ended while the target was running a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Crash {
     /// The request.
     #[serde(rename = "r")]
     pub request: Fingerprint,
-    /// The target. Two routers that lost requests with it speak of one crash.
+    /// The incarnation of the target. Reports by several routers with the same request and
+    /// incarnation describe one crash.
     #[serde(rename = "t")]
     pub target: Incarnation,
-    /// When it was sent the request.
+    /// When the request was sent to the target, in store time.
     #[serde(rename = "b")]
     pub began: StoreMs,
-    /// When its end was found out.
+    /// When the end of the process was detected, in store time.
     #[serde(rename = "a")]
     pub at: StoreMs,
 }
 
-/// A request under which targets had ended was answered whole.
+/// A request for which crashes were recorded has received a complete answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Completion {
     /// The request.
     #[serde(rename = "r")]
     pub request: Fingerprint,
-    /// When its answer was whole.
+    /// When the answer was complete, in store time.
     #[serde(rename = "a")]
     pub at: StoreMs,
 }
 
-/// What one router saw.
+/// Crashes and completions observed by one router.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct CrashReport {
-    /// Crashes.
+    /// Observed crashes.
     #[serde(rename = "c")]
     pub crashes: Vec<Crash>,
-    /// Requests that are not the cause.
+    /// Completions of requests for which crashes were recorded.
     #[serde(rename = "w")]
     pub ended_well: Vec<Completion>,
 }
 
-/// Who saw it: this router or an earlier process in its place, which must go on reporting it, or
-/// another one.
+/// Which router observed an event. A router keeps reporting its own events, which include those of
+/// an earlier process of the same instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// This router.
+    /// This router, or an earlier process of the same instance.
     Own,
     /// Another router.
     Other,
@@ -111,7 +117,7 @@
             && self.sequential_crashes() >= SEQUENTIAL_CRASHES_TO_QUARANTINE
     }
 
-    /// The most targets of which each got the request after the one before it had ended.
+    /// The largest number of crashes of which each began after the previous one had been detected.
     fn sequential_crashes(&self) -> usize {
         let mut times: Vec<_> =
             self.crashes.iter().map(|c| (c.observed.at, c.observed.began)).collect();
@@ -124,11 +130,11 @@
 
     fn latest_event_at(&self) -> StoreMs {
         let crashes = self.crashes.iter().map(|c| c.observed.at);
-        let well = self.completion.iter().map(|w| w.observed.at);
-        crashes.chain(well).max().unwrap_or_default()
+        let completed = self.completion.iter().map(|w| w.observed.at);
+        crashes.chain(completed).max().unwrap_or_default()
     }
 
-    /// The time from which it no longer counts.
+    /// The store time from which the record no longer counts.
     fn expires_at(&self) -> StoreMs {
         let ms = if self.is_quarantined() { QUARANTINE_MS } else { CRASH_RETENTION_MS };
         StoreMs(self.latest_event_at().0.saturating_add(ms))
@@ -139,20 +145,20 @@
         self.crashes.iter().filter(|c| c.source == Source::Own).map(|c| c.observed)
     }
 
-    /// What is given up last has the highest worth.
+    /// The record with the lowest rank is evicted first.
     fn retention_rank(&self) -> (usize, StoreMs) {
         (self.crashes.len(), self.latest_event_at())
     }
 
-    fn record_completion(&mut self, well: Completion, source: Source) {
-        if self.completion.is_none_or(|w| w.observed.at < well.at) {
-            self.completion = Some(Observation { observed: well, source });
-            self.crashes.retain(|c| c.observed.at > well.at);
+    fn record_completion(&mut self, completed: Completion, source: Source) {
+        if self.completion.is_none_or(|w| w.observed.at < completed.at) {
+            self.completion = Some(Observation { observed: completed, source });
+            self.crashes.retain(|c| c.observed.at > completed.at);
         }
     }
 }
 
-/// Requests under which targets ended.
+/// Crashes and completions of requests, and the quarantine that follows from them.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     /// Sorted by request.
@@ -160,12 +166,12 @@
 }
 
 impl Quarantine {
-    /// Whether nothing is known, so that requests need not be looked up.
+    /// Whether nothing is tracked, so that requests need not be looked up.
     pub fn is_empty(&self) -> bool {
         self.tracked.is_empty()
     }
 
-    /// Notes a crash. Returns whether it is new.
+    /// Records a crash. Returns whether it was not known before.
     pub fn record_crash(&mut self, crash: Crash, source: Source) -> bool {
         let record = self.track(crash.request);
         if record.completion.is_some_and(|w| w.observed.at >= crash.at) {
@@ -182,18 +188,18 @@
         true
     }
 
-    /// Notes that a request ended well. Returns whether it was suspected.
-    pub fn record_completion(&mut self, well: Completion, source: Source) -> bool {
-        let Ok(i) = self.find(well.request) else { return false };
+    /// Records that a request was answered completely. Returns whether crashes of it were recorded.
+    pub fn record_completion(&mut self, completed: Completion, source: Source) -> bool {
+        let Ok(i) = self.find(completed.request) else { return false };
         let suspected = !self.tracked[i].crashes.is_empty();
-        self.tracked[i].record_completion(well, source);
+        self.tracked[i].record_completion(completed, source);
         suspected
     }
 
-    /// Takes in a report.
+    /// Merges the events of a report.
     pub fn merge_report(&mut self, report: &CrashReport, source: Source) {
-        for well in &report.ended_well {
-            self.track(well.request).record_completion(*well, source);
+        for completed in &report.ended_well {
+            self.track(completed.request).record_completion(*completed, source);
         }
         for crash in &report.crashes {
             self.record_crash(*crash, source);
@@ -201,29 +207,30 @@
         self.evict_excess();
     }
 
-    /// Targets that ended under a request.
+    /// Number of recorded crashes of a request.
     pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.find(request).map_or(0, |i| self.tracked[i].crashes.len())
     }
 
-    /// Until when a request is held back, if it is.
+    /// The store time at which the quarantine of a request ends, or `None` if it is not
+    /// quarantined.
     pub fn quarantined_until(&self, request: Fingerprint, now: StoreMs) -> Option<StoreMs> {
         let record = &self.tracked[self.find(request).ok()?];
         (record.is_quarantined() && record.expires_at() > now).then(|| record.expires_at())
     }
 
-    /// How many requests are held back.
+    /// Number of quarantined requests.
     pub fn quarantined_count(&self) -> usize {
         self.tracked.iter().filter(|r| r.is_quarantined()).count()
     }
 
-    /// Forgets what no longer counts.
+    /// Removes the records that have expired by `now`.
     pub fn expire(&mut self, now: StoreMs) {
         self.tracked.retain(|r| r.expires_at() > now);
     }
 
-    /// What this router has to report at `now`: the crashes of requests with the most of them
-    /// first.
+    /// The events that this router has to report at `now`, with the requests that have the most
+    /// crashes first.
     pub fn report(&self, now: StoreMs) -> CrashReport {
         let mut records: Vec<&Record> = self.tracked.iter().collect();
         records.sort_by_key(|r| std::cmp::Reverse(r.retention_rank()));
@@ -234,15 +241,16 @@
         let is_new = |c: &Crash| now.0.saturating_sub(c.at.0) < SINGLE_CRASH_REPORT_MS;
         let mut singles: Vec<Crash> =
             single.iter().flat_map(|r| r.own_crashes()).filter(is_new).collect();
-        // The cause ends its target soon; what ran for long had ended others before.
+        // The request at fault crashes its target soon after it is sent; one that ran for long
+        // would already have crashed other targets.
         singles.sort_by_key(|c| c.at.0.saturating_sub(c.began.0));
         crashes.extend(singles.iter().take(MAX_REPORTED_SINGLE_CRASHES));
-        let well = self.tracked.iter().filter_map(|r| r.completion);
-        let well = well.filter(|w| w.source == Source::Own).map(|w| w.observed);
+        let completed = self.tracked.iter().filter_map(|r| r.completion);
+        let completed = completed.filter(|w| w.source == Source::Own).map(|w| w.observed);
         let is_new = |w: &Completion| now.0.saturating_sub(w.at.0) < SINGLE_CRASH_REPORT_MS;
         CrashReport {
             crashes,
-            ended_well: well.filter(is_new).take(MAX_REPORTED_ENTRIES).collect(),
+            ended_well: completed.filter(is_new).take(MAX_REPORTED_ENTRIES).collect(),
         }
     }
 
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -1,4 +1,4 @@
-//! Follows the store: the operator's configuration and the targets' entries.
+//! Applies changes in the store: the operator's configuration and the targets' entries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use super::targets::Change;
 use crate::rows::{Page, Row, Ver};
 
-/// How long after the store's return entries that lapsed meanwhile may come back: the targets
-/// write again within about 2 s of it.
+/// How long after the store has recovered from an outage entries that lapsed during it may
+/// reappear. Targets renew their entries within about 2 s of the recovery.
 const LAPSE_GRACE: Duration = Duration::from_millis(2_600);
-/// A configuration confirmed so lately need not be confirmed again to be sure of a refusal.
+/// A refusal may rely on a confirmation of the configuration that is at most this old.
 const CONFIRMATION_TTL: Duration = Duration::from_millis(100);
 
-/// Whether entries that are missing now may be back in a moment.
+/// Whether entries that are missing now may still reappear after an outage of the store.
 fn entries_may_return<P: Platform>(gw: &Gateway<P>) -> bool {
     gw.reader.store_status().recovered_at.is_some_and(|t| t.elapsed() < LAPSE_GRACE)
 }
@@ -62,7 +62,7 @@
     });
 }
 
-/// Says which routes are bound to regions in which there is no zone: their requests are all
+/// Logs routes that are restricted to regions without any availability zone. All their requests are
 /// refused.
 fn log_unservable_routes<P: Platform>(gw: &Gateway<P>, catalog: &Catalog) {
     let regions = &gw.settings.regions;
@@ -75,11 +75,11 @@
     }
 }
 
-/// Makes sure that the configuration in force is the newest, so that a refusal which rests on it is
-/// right at this moment. Returns whether it is.
+/// Confirms that the configuration in force is the latest one, so that a refusal based on it is
+/// correct at this moment. Returns whether it is confirmed.
 ///
-/// Asks for changes only: a configuration of some thousand routes takes a link of 10 Mbit/s for
-/// 0.9 s, and read whole for each refusal it left no room for callers.
+/// Only changes are read. A configuration with some thousand routes occupies a link of 10 Mbit/s
+/// for 0.9 s; reading it completely for each refusal left no bandwidth for callers.
 pub async fn confirm_config<P: Platform>(gw: &Gateway<P>) -> bool {
     let requested_at = Instant::now();
     let mut latest = gw.confirmed.lock().await;
@@ -100,7 +100,8 @@
     store_answered
 }
 
-/// Takes in what the operator wrote; `whole` if the page is the whole table.
+/// Applies what the operator wrote. `is_full_table` tells whether the page holds the whole table or
+/// only changes.
 fn apply_operator_rows<P: Platform>(gw: &Gateway<P>, page: &Page, is_full_table: bool) {
     let order = |r: &Row| {
         let zone = gw.platform.emptied_zone(&r.at.key)?;
@@ -116,7 +117,7 @@
     page.rows.iter().filter(|r| r.at.key == key).for_each(|r| apply_config(gw, r));
 }
 
-/// Follows the configuration for ever.
+/// Applies changes of the configuration. Runs until cancelled.
 pub async fn follow_config<P: Platform>(gw: Rc<Gateway<P>>) {
     let (table, _) = gw.platform.config_row();
     gw.reader
@@ -126,7 +127,7 @@
         .await;
 }
 
-/// Follows the targets' entries for ever.
+/// Applies changes of the targets' entries. Runs until cancelled.
 pub async fn follow_targets<P: Platform>(gw: Rc<Gateway<P>>) {
     let table = gw.platform.targets_table();
     let apply_page = |page: &Page, is_full_table| apply_target_rows(&gw, page, is_full_table);
@@ -170,8 +171,9 @@
                 }
             }
         }
-        // Something else wrote this entry, or its target is not what it was: sent to the address
-        // that was known before, requests could run at another service. The others hold.
+        // Either another program wrote this entry, or the target has changed. Requests sent to the
+        // previous address could reach a different service, so the target is removed. All other
+        // entries stay valid.
         Err(e) => {
             gw.stats.entries_rejected.inc();
             let known = gw.targets.remove(&row.at.key);
@@ -183,9 +185,9 @@
     }
 }
 
-/// Entries also vanish because the store was away and the targets could not write to it. Such a
-/// target is kept for a while as a last resort: to drop all of them at once would refuse every
-/// request although the targets live.
+/// Handles a target whose entry has disappeared. Entries also disappear if targets could not write
+/// to the store during an outage. Such a target is kept for a while as a last resort, because
+/// removing all of them at once would refuse every request although the targets are alive.
 fn remove_or_lapse_target<P: Platform>(gw: &Gateway<P>, id: &str, ver: Ver) {
     if entries_may_return(gw) {
         gw.targets.lapse(id);
@@ -196,7 +198,7 @@
     }
 }
 
-/// Removes lapsed targets once their time is over.
+/// Removes lapsed targets once their grace period is over. Runs until cancelled.
 pub async fn sweep_targets<P: Platform>(gw: Rc<Gateway<P>>) {
     loop {
         sleep(LAPSE_GRACE / 4).await;
--- a/src/gateway/warmup.rs
+++ b/src/gateway/warmup.rs
@@ -1,5 +1,5 @@
-//! Requests to cold targets: admitted here if this router owns the target, else by its owner, who
-//! is asked by datagram.
+//! Admission of requests to cold targets. The router that owns a target admits requests locally;
+//! every other router queries the owner by datagram.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::net::SocketAddr;
@@ -18,32 +18,33 @@
 use crate::oplog::Log;
 use crate::stats::{Reason, Stats};
 
-/// How long a target is left alone whose owner does not answer, or is not known.
+/// How long a cold target is not tried again if its owner does not answer or is unknown.
 const OWNER_SILENT_BACKOFF: Duration = Duration::from_millis(200);
-/// How long it is left alone when an admission came too late to be used.
+/// How long a cold target is not tried again after an admission arrived too late to be used.
 const LATE_ADMISSION_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A word between a router that has a request and the owner of a cold target.
+/// A message between a router that has a request and the owner of a cold target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum AdmissionMessage {
-    /// May one request go to the target of this digest?
+    /// Asks for the admission of one request to a target.
     Ask {
-        /// Number of the question.
+        /// Number of the query.
         number: u64,
         /// Digest of the target's id.
         target: u64,
     },
-    /// It may; or there is room in so many ms.
+    /// Admits the request, or states when the next one can be admitted.
     Answer {
-        /// Number of the question.
+        /// Number of the query.
         number: u64,
-        /// Absent: the request may go now.
+        /// Absent if the request may be sent now, otherwise the time until the next one can be
+        /// admitted, in milliseconds.
         room_in_ms: Option<u32>,
     },
 }
 
-/// Admission of requests to cold targets.
+/// Admits requests to cold targets, locally or by a query to the owner.
 #[derive(Debug)]
 pub struct Admissions {
     local_instance: CompactString,
@@ -57,7 +58,7 @@
 }
 
 impl Admissions {
-    /// For the router `me`, which knows no others yet.
+    /// Admissions of the router `local_instance`, without any known owners.
     pub fn new(local_instance: CompactString, log: Log, stats: Stats) -> Admissions {
         Admissions {
             local_instance,
@@ -71,27 +72,27 @@
         }
     }
 
-    /// Sets the socket for questions and answers.
+    /// Sets the socket for queries and answers.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
-        // A router starts its tasks once.
+        // Tasks are started only once, so the cell is still empty.
         drop(self.socket.set(socket));
     }
 
-    /// Sets the routers that may own targets; this one is among them if it may.
+    /// Sets the routers that may own targets. This router is included if it may own targets itself.
     pub fn set_owners(&self, owners: Vec<OwnerCandidate>) {
         *self.owners.borrow_mut() = owners;
     }
 
-    /// The router that admits requests to a target while it is cold.
+    /// Name of the router that admits requests to a target while it is cold.
     pub fn owner_of(&self, target: &str, zone: &str) -> Option<CompactString> {
         pick_owner(&self.owners.borrow(), target, zone).map(|o| o.instance.clone())
     }
 
-    /// Admits one request of this router to a cold target. It must leave within
+    /// Admits one request of this router to a cold target. The request must be sent within
     /// [`ADMISSION_TTL`].
     ///
     /// # Errors
-    /// The time until it makes sense to ask again.
+    /// The time after which to ask again.
     pub async fn admit(
         &self,
         target: &str,
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Takes in a word of another router. `target_of` names the target of a digest that this
-    /// router knows, its zone and limit.
+    /// Handles a message from another router. `target_of` maps the digest of a target that this
+    /// router knows to its id, zone and admission limit.
     pub fn handle_datagram(
         &self,
         from: SocketAddr,
@@ -160,17 +161,18 @@
             }
             Ok(AdmissionMessage::Answer { number, room_in_ms }) => {
                 let mut open_queries = self.open_queries.borrow_mut();
-                // One that is not known any more came too late.
+                // The query has timed out if it is no longer open.
                 let Some(i) = open_queries.iter().position(|(n, _)| *n == number) else { return };
                 let room_in = room_in_ms.map(|ms| Duration::from_millis(u64::from(ms)));
-                // Its request may have been given up.
+                // The receiver is gone if the request was cancelled.
                 let _ = open_queries.swap_remove(i).1.send(room_in);
             }
             Err(e) => self.log.note("peer", format_args!("topic=cold error={e}")),
         }
     }
 
-    /// Admits only to targets that this router owns by its own list: who asks may have another.
+    /// Admits a request to a target only if this router owns it by its own list of routers. The
+    /// list of the querying router may differ.
     fn answer_query(
         &self,
         target_digest: u64,
--- a/tests/test_gateway_quarantine.rs
+++ b/tests/test_gateway_quarantine.rs
@@ -73,8 +73,8 @@
 #[test]
 fn ended_well_clears() {
     let mut q = ended_in_turn(INNOCENT, CRASHES_TO_QUARANTINE - 1);
-    let well = Completion { request: INNOCENT, at: StoreMs(300) };
-    assert!(q.record_completion(well, Source::Other));
+    let completed = Completion { request: INNOCENT, at: StoreMs(300) };
+    assert!(q.record_completion(completed, Source::Other));
     // The rows of those who saw the crashes still name them.
     note_all(&mut q, (0..2).map(|t| crash(INNOCENT, t, 100 * t, 100 * t + 90)), Source::Other);
     q.record_crash(crash(INNOCENT, 5, 400, 450), Source::Own);
