--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -1,4 +1,4 @@
-//! Cold targets: what they get from all routers together.
+//! Rate limiting of requests to cold targets across all routers.
 
 use std::time::Duration;
 
@@ -29,19 +29,19 @@
 #[case::slow(2.0, BOUND)]
 #[case::very_slow(0.3, BOUND)]
 #[case::no_slack(8.0, ColdRateLimit { rate_factor: 1.0, slack: 0.0 })]
-#[case::nothing_on_top(0.8, ColdRateLimit { rate_factor: 1.0, slack: 0.0 })]
+#[case::below_one_per_s(0.8, ColdRateLimit { rate_factor: 1.0, slack: 0.0 })]
 #[case::fast(400.0, BOUND)]
-fn pace_two_owners_within_bound(#[case] requests_per_s: f64, #[case] bound: ColdRateLimit) {
+fn for_warm_up_two_owners_within_limit(#[case] requests_per_s: f64, #[case] bound: ColdRateLimit) {
     let limit = AdmissionLimit::for_warm_up(warm_up(requests_per_s), bound);
     let spans = 1.0_f64.max(limit.window.as_secs_f64());
-    let most = 2.0 * limit.requests as f64 / spans;
-    assert!(most <= requests_per_s * bound.rate_factor + bound.slack, "{limit:?}");
+    let max_per_s = 2.0 * limit.requests as f64 / spans;
+    assert!(max_per_s <= requests_per_s * bound.rate_factor + bound.slack, "{limit:?}");
     assert!(limit.requests >= 1 && limit.requests as f64 / spans <= requests_per_s, "{limit:?}");
 }
 
 proptest! {
     #[test]
-    fn meter_any_second(gaps in proptest::collection::vec(0_u64..300, 1..200)) {
+    fn admit_any_second_within_limit(gaps in proptest::collection::vec(0_u64..300, 1..200)) {
         let limit = AdmissionLimit::for_warm_up(warm_up(11.0), BOUND);
         let mut admission_window = AdmissionWindow::default();
         let mut now = Instant::now();
@@ -52,7 +52,7 @@
                 Ok(()) => admitted.push(now),
                 Err(room_in) => {
                     prop_assert!(!room_in.is_zero());
-                    // There is room when it says so, and not before.
+                    // The next admission is possible within one window.
                     prop_assert!(room_in <= limit.window);
                 }
             }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn owner_largest_of_the_zone() {
+fn pick_owner_largest_in_zone() {
     let mut routers = vec![
         router("a", "z1", 50),
         router("b", "z1", 200),
@@ -83,13 +83,13 @@
     let owners: Vec<_> = (0..20).map(|n| of(&routers, &format!("t{n}"))).collect();
     assert!(owners.iter().all(|o| o == "b" || o == "c"));
     assert!(owners.iter().any(|o| o == "b") && owners.iter().any(|o| o == "c"));
-    // Only the targets of a router that goes change their owner, in whatever order others stand.
+    // Removing a router changes the owner of its own targets only, whatever the order of the list.
     routers.retain(|r| r.instance != "c");
     routers.reverse();
     for (n, before) in owners.iter().enumerate().filter(|(_, o)| *o == "b") {
         assert_eq!(of(&routers, &format!("t{n}")), *before);
     }
-    // A zone without routers is seen to by the others.
+    // Targets in a zone without routers are owned by routers of other zones.
     assert_eq!(pick_owner(&routers, "t1", "z3").unwrap().instance, "d");
     assert_eq!(pick_owner(&[], "t1", "z1"), None);
 }
@@ -97,14 +97,14 @@
 #[rstest]
 #[case::room(&[Some(0), None], 0)]
 #[case::no_room(&[Some(30), None], 1)]
-fn place_cold_with_room(#[case] room_in_ms: &[Option<u64>], #[case] expected: usize) {
+fn place_cold_target_with_capacity(#[case] room_in_ms: &[Option<u64>], #[case] expected: usize) {
     let sent = place(&candidates(room_in_ms), &DEMAND, &Weights::default());
     assert!(matches!(sent, Placement::Send { index, .. } if index == expected), "{sent:?}");
 }
 
 #[test]
-fn place_all_cold_without_room() {
-    // Guards against callers that are sent away without the time at which there is room.
+fn place_all_targets_cold() {
+    // Guards against refusals that don't state when the next request can be admitted.
     let placement = place(&candidates(&[Some(70), Some(30)]), &DEMAND, &Weights::default());
     assert_eq!(placement, Placement::Cold { room_in: Duration::from_millis(30) });
 }
@@ -112,7 +112,7 @@
 const DEMAND: Demand =
     Demand { aim: Duration::from_millis(300), left: Duration::from_secs(5), engine: true };
 
-/// One candidate each, the first ones cheaper.
+/// One candidate per element of `room_in_ms`, in order of increasing cost.
 fn candidates(room_in_ms: &[Option<u64>]) -> Vec<Candidate> {
     let candidate = |(i, ms): (usize, &Option<u64>)| Candidate {
         near: true,
@@ -131,18 +131,19 @@
     room_in_ms.iter().enumerate().map(candidate).collect()
 }
 
-/// Requests within any second that a cold target bears here.
-const BEARS: usize = 12;
-/// The operator's bound for it: 4 a second, times 1.5, and 6 more.
-const PER_S: f64 = 4.0;
+/// Number of requests within any second that a cold target can handle in these tests.
+const COLD_CAPACITY: usize = 12;
+/// The warm-up rate of the service. With the factor 1.5 and the slack of 5 that the test routers
+/// use, the operator's limit is 11 requests per second.
+const COLD_REQUESTS_PER_S: f64 = 4.0;
 
-fn warming_parts() -> CatalogParts {
+fn warm_up_parts() -> CatalogParts {
     let mut p = parts(1, 1_000_000);
-    p.services[0].warm_up = Some(warm_up(PER_S));
+    p.services[0].warm_up = Some(warm_up(COLD_REQUESTS_PER_S));
     p
 }
 
-/// Routers before targets of which the first ones are cold.
+/// Routers and their targets, of which the first ones are cold.
 struct Fleet {
     platform: LocalPlatform,
     targets: Vec<StandinTarget>,
@@ -152,7 +153,7 @@
 impl Fleet {
     async fn start(routers: usize, cold: usize, warm: usize) -> Fleet {
         let platform = LocalPlatform::new();
-        platform.configure(warming_parts());
+        platform.configure(warm_up_parts());
         let mut targets = Vec::new();
         for n in 1..=warm + cold {
             let target = StandinTarget::start(&format!("t{n}"), "model", "zone-1").await.unwrap();
@@ -165,26 +166,30 @@
             hosts.push(GatewayHost::start(&platform, &name, "zone-1", 1).await.unwrap());
         }
         for r in &hosts {
-            eventually("the others are known", || r.gw.peers.borrow().len() + 1 >= routers).await;
-            eventually("targets are known", || r.gw.targets.count().0 == warm + cold).await;
+            eventually("discovery of the other routers", || {
+                r.gw.peers.borrow().len() + 1 >= routers
+            })
+            .await;
+            eventually("discovery of the targets", || r.gw.targets.count().0 == warm + cold).await;
         }
-        // Until each knows its own row, and has ready_at.
+        // By then every router has read its own row, and its startup delay is over.
         sleep(Duration::from_millis(2_300)).await;
         let fleet = Fleet { platform, targets, routers: hosts };
         for target in &fleet.targets[..cold] {
-            target.set_cold(Some(BEARS));
+            target.set_cold(Some(COLD_CAPACITY));
             fleet.platform.register_cold(target, "ready", Duration::from_secs(3));
         }
         for r in &fleet.routers {
-            eventually("targets are cold", || r.gw.targets.count_cold() == cold).await;
+            eventually("the warm-up of the targets", || r.gw.targets.count_cold() == cold).await;
         }
         fleet
     }
 
-    /// Many requests at each router, all at once. Returns how many were answered.
-    async fn burst(&self, at_each: usize) -> usize {
+    /// Sends requests to each router, all at the same time. Returns the number of answered
+    /// requests.
+    async fn burst(&self, per_router: usize) -> usize {
         let mut calls = Vec::new();
-        for (r, n) in self.routers.iter().flat_map(|r| (0..at_each).map(move |n| (r, n))) {
+        for (r, n) in self.routers.iter().flat_map(|r| (0..per_router).map(move |n| (r, n))) {
             let front = r.front;
             let call = Call::get("/once/a").id(&format!("{front}-{n}")).body("order");
             calls.push(spawn_local(async move { call.send(front).await.status() }));
@@ -200,21 +205,21 @@
 }
 
 #[test]
-fn cold_target_before_many_routers() {
-    // Guards against a target that has just come back and ends under what all routers send it at
-    // once, each of them a little.
+fn cold_target_with_many_routers() {
+    // Guards against a restarted target that crashes because every router sends it a few requests
+    // at the same time.
     local(async {
         let fleet = Fleet::start(5, 1, 0).await;
         let answered = fleet.burst(12).await;
         let cold = &fleet.targets[0];
-        assert!(!cold.has_ended(), "{} within a second", cold.most_while_cold());
-        assert!(answered >= PER_S as usize, "{answered} answered");
+        assert!(!cold.has_ended(), "{} requests within a second", cold.most_while_cold());
+        assert!(answered >= COLD_REQUESTS_PER_S as usize, "{answered} answered");
     });
 }
 
 #[test]
-fn cold_target_beside_warm_ones() {
-    // Guards against callers that are refused because one of the targets is cold.
+fn cold_target_with_warm_targets() {
+    // Guards against refusals because one of several targets is cold.
     local(async {
         let fleet = Fleet::start(3, 1, 2).await;
         assert_eq!(fleet.burst(10).await, 30);
@@ -224,8 +229,8 @@
 }
 
 #[test]
-fn cold_refusal_says_when() {
-    // Guards against callers that are refused at a cold target without a time to come back.
+fn cold_refusal_has_retry_after() {
+    // Guards against refusals at a cold target without a `Retry-After`.
     local(async {
         let fleet = Fleet::start(1, 1, 0).await;
         let front = fleet.routers[0].front;
@@ -234,7 +239,7 @@
             let got = Call::get("/once/a").id(&format!("q{n}")).body("order").send(front).await;
             refused = refused.or((got.status() == 503).then_some(got));
         }
-        let refused = refused.expect("more than it bears");
+        let refused = refused.expect("no request was refused");
         assert_eq!(refused.body, r#"{"error":"cold"}"#);
         let after: f64 = refused.header("Retry-After").unwrap().parse().unwrap();
         assert!((0.1..=3.0).contains(&after), "{after}");
@@ -242,19 +247,19 @@
 }
 
 #[test]
-fn cold_after_zone_is_taken_back() {
-    // Guards against targets that became cold while their zone was emptied and get all requests at
-    // once, because their entries do not say so yet.
+fn cold_target_after_zone_is_restored() {
+    // Guards against sending all requests at once to targets that became cold while their zone was
+    // emptied. Their entries do not show this yet.
     local(async {
         let fleet = Fleet::start(2, 0, 1).await;
         fleet.platform.empty_zone("zone-1");
         for r in &fleet.routers {
-            eventually("it is emptied", || r.gw.zones.is_emptied("zone-1")).await;
+            eventually("emptying the zone", || r.gw.zones.is_emptied("zone-1")).await;
         }
-        fleet.targets[0].set_cold(Some(BEARS));
+        fleet.targets[0].set_cold(Some(COLD_CAPACITY));
         fleet.platform.take_zone_back("zone-1");
         for r in &fleet.routers {
-            eventually("it is back", || !r.gw.zones.is_emptied("zone-1")).await;
+            eventually("restoring the zone", || !r.gw.zones.is_emptied("zone-1")).await;
         }
         fleet.burst(20).await;
         assert!(!fleet.targets[0].has_ended());
@@ -262,36 +267,36 @@
 }
 
 #[test]
-fn cold_in_zone_taken_back_before_target_is_known() {
-    // Guards against a target that gets all requests at once because its zone was taken back
-    // before this router knew of it, or of the configuration.
+fn cold_target_unknown_when_zone_is_restored() {
+    // Guards against sending all requests at once to a target whose zone was restored before this
+    // router knew the target or the configuration.
     local(async {
         let mut fleet = Fleet::start(1, 0, 1).await;
         fleet.platform.empty_zone("zone-1");
         let gw = fleet.routers[0].gw.clone();
-        eventually("it is emptied", || gw.zones.is_emptied("zone-1")).await;
+        eventually("emptying the zone", || gw.zones.is_emptied("zone-1")).await;
         fleet.platform.take_zone_back("zone-1");
-        eventually("it is back", || !gw.zones.is_emptied("zone-1")).await;
+        eventually("restoring the zone", || !gw.zones.is_emptied("zone-1")).await;
         let target = StandinTarget::start("t2", "model", "zone-1").await.unwrap();
-        target.set_cold(Some(BEARS));
+        target.set_cold(Some(COLD_CAPACITY));
         fleet.platform.register(&target, "ready");
-        eventually("it is known", || gw.targets.count().0 == 2).await;
+        eventually("registering the second target", || gw.targets.count().0 == 2).await;
         fleet.targets.push(target);
         fleet.burst(30).await;
         let target = &fleet.targets[1];
-        assert!(!target.has_ended(), "{} within a second", target.most_while_cold());
+        assert!(!target.has_ended(), "{} requests within a second", target.most_while_cold());
     });
 }
 
 #[test]
-fn cold_after_it_could_not_be_reached() {
-    // Guards against a target that started anew and gets all requests at once, because the store
-    // is away and its entry says nothing of that.
+fn cold_target_after_refused_connection() {
+    // Guards against sending all requests at once to a restarted target whose entry does not show
+    // the restart because the store is unavailable.
     local(async {
         let fleet = Fleet::start(1, 0, 1).await;
         let backend = fleet.routers[0].gw.targets.all().remove(0);
         backend.life.connect_failed(&std::io::ErrorKind::ConnectionRefused.into());
-        fleet.targets[0].set_cold(Some(BEARS));
+        fleet.targets[0].set_cold(Some(COLD_CAPACITY));
         fleet.burst(30).await;
         assert!(!fleet.targets[0].has_ended());
         assert!(backend.is_cold(Instant::now()));
@@ -299,8 +304,9 @@
 }
 
 #[test]
-fn cold_owner_is_silent() {
-    // Guards against routers that send on their own when the one that admits does not answer.
+fn cold_target_with_unresponsive_owner() {
+    // Guards against routers that send requests without an admission when the owner does not
+    // answer.
     local(async {
         let mut fleet = Fleet::start(2, 1, 0).await;
         let owner_of = |r: &GatewayHost| r.gw.cold.owner_of("t1", "zone-1").unwrap();
@@ -315,7 +321,7 @@
 }
 
 #[test]
-fn admission_is_short() {
-    // An admission that is used later than this counts in another second than it was admitted in.
+fn admission_ttl_is_short() {
+    // A longer TTL would let requests count in a later second than the one they were admitted in.
     assert!(ADMISSION_TTL < Duration::from_millis(50));
 }
--- a/tests/test_gateway_cold_model.rs
+++ b/tests/test_gateway_cold_model.rs
@@ -1,5 +1,5 @@
-//! A model of routers that admit requests to one cold target: random lists of routers, deaths,
-//! restarts, lost and late datagrams. The decisions are the real ones.
+//! Model of routers that admit requests to one cold target, with random lists of routers, crashes,
+//! restarts, and lost or late datagrams. It uses the production code for all decisions.
 
 use std::time::Duration;
 
@@ -12,47 +12,47 @@
 use tokio::time::Instant;
 
 const TARGET: &str = "t1";
-const WORD: u64 = 1;
+const TARGET_DIGEST: u64 = 1;
 const PER_S: f64 = 11.0;
 const BOUND: ColdRateLimit = ColdRateLimit { rate_factor: 1.5, slack: 5.0 };
-const MOST: usize = 21;
-/// Schedules that are tried; a planted mistake must show in one of them.
+const MAX_PER_SECOND: usize = 21;
+/// Number of simulated schedules. An injected bug must show in one of them.
 const SCHEDULES: u64 = 400;
-const PLAY_MS: u64 = 4_000;
+const SIMULATED_MS: u64 = 4_000;
 
-/// A mistake in the rules that routers go by.
+/// A bug that the model can inject into the admission rules.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Mistake {
+enum InjectedBug {
     None,
-    /// An owner admits all that the target bears, and not only its part of the bound.
-    WholeBound,
-    /// A process admits as soon as it has started.
-    NoSettling,
-    /// Requests leave however late their admission arrives.
-    LateUse,
-    /// Who is asked admits whether or not it owns the target.
-    AnyoneAdmits,
+    /// An owner admits the operator's whole limit instead of its part.
+    FullLimitPerOwner,
+    /// A process admits requests immediately after its start.
+    NoStartupDelay,
+    /// Requests are sent although their admission has expired.
+    ExpiredAdmission,
+    /// A queried router admits requests even if it does not own the target.
+    NonOwnerAdmits,
 }
 
 struct Process {
     admitter: Admitter,
-    /// When it changes from the first list to the second.
+    /// When the process switches from the first list of routers to the second, in milliseconds.
     switches_ms: u64,
 }
 
 struct Model {
     rng: Rng,
-    mistake: Mistake,
+    bug: InjectedBug,
     admission_limit: AdmissionLimit,
     start: Instant,
     lists: [Vec<OwnerCandidate>; 2],
     processes: Vec<Process>,
-    /// When requests left for the target, ms.
+    /// When requests were sent to the target, in milliseconds.
     left_ms: Vec<u64>,
 }
 
 impl Model {
-    fn new(seed: u64, mistake: Mistake) -> Model {
+    fn new(seed: u64, bug: InjectedBug) -> Model {
         let mut rng = Rng::with_seed(seed);
         let n = rng.usize(3..9);
         let router = |n: usize, rng: &mut Rng| OwnerCandidate {
@@ -72,17 +72,17 @@
         let ready_at = start - 2 * STARTUP_DELAY;
         let process = |rng: &mut Rng| Process {
             admitter: Admitter::new(ready_at),
-            switches_ms: rng.u64(..PLAY_MS),
+            switches_ms: rng.u64(..SIMULATED_MS),
         };
         let processes = (0..n).map(|_| process(&mut rng)).collect();
         let mut admission_limit = AdmissionLimit::for_warm_up(
             WarmUp { cold_duration: Duration::from_secs(3), requests_per_s: PER_S },
             BOUND,
         );
-        if mistake == Mistake::WholeBound {
-            admission_limit.requests = MOST;
+        if bug == InjectedBug::FullLimitPerOwner {
+            admission_limit.requests = MAX_PER_SECOND;
         }
-        Model { rng, mistake, admission_limit, start, lists, processes, left_ms: Vec::new() }
+        Model { rng, bug, admission_limit, start, lists, processes, left_ms: Vec::new() }
     }
 
     fn owner_by(&self, process: usize, ms: u64) -> usize {
@@ -91,16 +91,16 @@
         name[1..].parse().expect("a number")
     }
 
-    fn play(mut self) -> usize {
-        for ms in 0..PLAY_MS {
-            // The owner by either list may end and start again, at any moment.
+    fn simulate(mut self) -> usize {
+        for ms in 0..SIMULATED_MS {
+            // Any router, including the owner by either list, may crash and restart at any time.
             if self.rng.u32(..1_500) == 0 {
                 let which = self.rng.usize(..self.processes.len());
                 self.restart(which, ms);
             }
             for _ in 0..self.rng.u32(..3) {
-                let who = self.rng.usize(..self.processes.len());
-                self.try_send(who, ms);
+                let sender = self.rng.usize(..self.processes.len());
+                self.try_send(sender, ms);
             }
         }
         self.left_ms.sort_unstable();
@@ -112,48 +112,48 @@
 
     fn restart(&mut self, which: usize, ms: u64) {
         let mut started = self.start + Duration::from_millis(ms);
-        if self.mistake == Mistake::NoSettling {
+        if self.bug == InjectedBug::NoStartupDelay {
             started -= STARTUP_DELAY;
         }
         self.processes[which].admitter = Admitter::new(started);
     }
 
-    fn try_send(&mut self, who: usize, ms: u64) {
-        let mut by = self.owner_by(who, ms);
-        if by != who && self.rng.u8(..20) == 0 {
-            // Whom it asks is what its list said a while ago.
-            by = self.rng.usize(..self.processes.len());
+    fn try_send(&mut self, sender: usize, ms: u64) {
+        let mut owner = self.owner_by(sender, ms);
+        if owner != sender && self.rng.u8(..20) == 0 {
+            // The sender queries the router that its list named some time ago.
+            owner = self.rng.usize(..self.processes.len());
         }
-        let (there, back) = match by == who {
+        let (there, back) = match owner == sender {
             true => (0, 0),
             false => (self.rng.u64(..8), self.rng.u64(..8)),
         };
         let is_late = there + back >= ADMISSION_TTL.as_millis() as u64;
         let back = if is_late && self.rng.bool() { back + self.rng.u64(..900) } else { back };
-        let owns = self.owner_by(by, ms + there) == by;
-        if !owns && self.mistake != Mistake::AnyoneAdmits {
+        let owns = self.owner_by(owner, ms + there) == owner;
+        if !owns && self.bug != InjectedBug::NonOwnerAdmits {
             return;
         }
         let now = self.start + Duration::from_millis(ms + there);
-        if self.processes[by].admitter.admit(WORD, now, self.admission_limit).is_err() {
+        if self.processes[owner].admitter.admit(TARGET_DIGEST, now, self.admission_limit).is_err() {
             return;
         }
-        let is_lost = by != who && self.rng.u8(..30) == 0;
-        if !is_lost && (!is_late || self.mistake == Mistake::LateUse) {
+        let is_lost = owner != sender && self.rng.u8(..30) == 0;
+        if !is_lost && (!is_late || self.bug == InjectedBug::ExpiredAdmission) {
             self.left_ms.push(ms + there + back);
         }
     }
 }
 
 #[rstest]
-#[case::as_built(Mistake::None, false)]
-#[case::whole_bound(Mistake::WholeBound, true)]
-#[case::no_settling(Mistake::NoSettling, true)]
-#[case::late_use(Mistake::LateUse, true)]
-#[case::anyone_admits(Mistake::AnyoneAdmits, true)]
-fn cold_bound_any_schedule(#[case] mistake: Mistake, #[case] shows: bool) {
-    // Guards against a cold target that gets more than the bound in some second, while routers go
-    // by one list or by two.
-    let most = (0..SCHEDULES).map(|seed| Model::new(seed, mistake).play()).max();
-    assert_eq!(most > Some(MOST), shows, "{most:?} in one second");
+#[case::no_bug(InjectedBug::None, false)]
+#[case::full_limit_per_owner(InjectedBug::FullLimitPerOwner, true)]
+#[case::no_startup_delay(InjectedBug::NoStartupDelay, true)]
+#[case::expired_admission(InjectedBug::ExpiredAdmission, true)]
+#[case::non_owner_admits(InjectedBug::NonOwnerAdmits, true)]
+fn cold_limit_any_schedule(#[case] bug: InjectedBug, #[case] exceeds_limit: bool) {
+    // Guards against a cold target that gets more than the limit within some second while routers
+    // use one list or two different ones.
+    let max_per_s = (0..SCHEDULES).map(|seed| Model::new(seed, bug).simulate()).max();
+    assert_eq!(max_per_s > Some(MAX_PER_SECOND), exceeds_limit, "{max_per_s:?} in one second");
 }
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -1,4 +1,4 @@
-//! Requests that end each target which runs them.
+//! Requests that crash every target that runs them.
 
 use std::time::Duration;
 
@@ -13,10 +13,11 @@
 
 use crate::gatedir::{Call, Got, eventually, local};
 
-/// Targets that a request may end before it counts as the cause, and sends of it after that.
-const ENDED_AT_MOST: usize = 3 + 3;
+/// Number of crashes that quarantine a request, plus the attempts allowed to reach a target after
+/// that.
+const MAX_ENDED_TARGETS: usize = 3 + 3;
 
-/// Two routers before more targets than one request may end.
+/// Two routers, and more targets than one request may crash.
 struct Fleet {
     platform: LocalPlatform,
     targets: Vec<StandinTarget>,
@@ -28,7 +29,7 @@
         let platform = LocalPlatform::new();
         platform.configure(parts(1, 1_000_000));
         let mut targets = Vec::new();
-        for n in 0..2 * ENDED_AT_MOST {
+        for n in 0..2 * MAX_ENDED_TARGETS {
             let target = StandinTarget::start(&format!("t{n}"), "model", "zone-1").await.unwrap();
             platform.register(&target, "ready");
             targets.push(target);
@@ -45,8 +46,8 @@
         }
         let all = self.targets.len();
         for r in &self.routers {
-            eventually("all targets are known", || r.gw.targets.count().0 == all).await;
-            eventually("the other router is known", || !r.gw.peers.borrow().is_empty()).await;
+            eventually("discovery of all targets", || r.gw.targets.count().0 == all).await;
+            eventually("discovery of the other router", || !r.gw.peers.borrow().is_empty()).await;
         }
     }
 
@@ -67,32 +68,28 @@
         runs.filter(|r| r.body == FATAL_BODY).count()
     }
 
-    /// One more attempt of the same request, at the router whose turn it is.
+    /// Sends the fatal request once more, to the routers in turn.
     async fn send_fatal(&self, n: usize) -> Got {
         let call = Call::get("/safe/fatal").id(&format!("f{n}")).body("fatal");
         let got = call.send(self.routers[n % self.routers.len()].front).await;
-        // Callers come back later than datagrams between routers take.
+        // Callers retry after a longer time than datagrams between routers take.
         tokio::time::sleep(Duration::from_millis(20)).await;
         got
     }
 }
 
 #[test]
-fn fatal_request_comes_again() {
-    // All streams of a target break off at once, again and again, until the service is empty.
-    // A request ends the process of the target that runs it; its caller sends it again under a
-    // new id, to any router. Limits on retries hold for one id and for a service, and failures
-    // were remembered of targets only, so each attempt began at nought with a healthy target. One
-    // fingerprint under twelve ids and at twelve targets settled it:
-    //     event=target_ended id=f0 request=889544e83a467db2 org=norte target=t7
-    //     event=target_ended id=f1 request=889544e83a467db2 org=norte target=t8
+fn fatal_request_retried_under_new_ids() {
+    // Guards against a fatal request that crashes all targets because its caller retries it under
+    // new ids. Limits per id and per service don't apply to these, and failures recorded per target
+    // don't show the cause. Only the fingerprint is the same in all attempts.
     local(async {
         let fleet = Fleet::start().await;
         let mut last = None;
-        for n in 0..2 * ENDED_AT_MOST {
+        for n in 0..2 * MAX_ENDED_TARGETS {
             last = Some(fleet.send_fatal(n).await);
         }
-        assert!(fleet.ended() <= ENDED_AT_MOST, "{} targets ended", fleet.ended());
+        assert!(fleet.ended() <= MAX_ENDED_TARGETS, "{} targets ended", fleet.ended());
         let last = last.unwrap();
         assert_eq!(last.status(), 503);
         assert!(last.header("Retry-After").is_some());
@@ -104,12 +101,12 @@
 }
 
 #[test]
-fn fatal_request_after_death_of_all() {
-    // The same, and in between all routers lose power, twice: their successors knew of no request
-    // that ended a target, and handed it to the targets that were left.
+fn fatal_request_after_restart_of_all_routers() {
+    // Guards against losing the recorded crashes when all routers are killed at the same time,
+    // twice: their successors would send the fatal request to the remaining targets.
     local(async {
         let mut fleet = Fleet::start().await;
-        for n in 0..ENDED_AT_MOST {
+        for n in 0..MAX_ENDED_TARGETS {
             fleet.send_fatal(n).await;
         }
         for incarnation in 2..=3 {
@@ -117,25 +114,25 @@
             tokio::time::sleep(Duration::from_millis(2_500)).await;
             fleet.routers.drain(..).for_each(GatewayHost::kill);
             fleet.start_routers(incarnation).await;
-            for n in 0..ENDED_AT_MOST {
+            for n in 0..MAX_ENDED_TARGETS {
                 fleet.send_fatal(n).await;
             }
         }
-        assert!(fleet.ended() <= ENDED_AT_MOST, "{} targets ended", fleet.ended());
+        assert!(fleet.ended() <= MAX_ENDED_TARGETS, "{} targets ended", fleet.ended());
     });
 }
 
 #[test]
-fn fatal_request_known_to_the_other_router() {
-    // A caller whose request one router no longer takes goes to the next one, which has seen
-    // nothing of it.
+fn fatal_request_at_other_router() {
+    // Guards against a router that accepts a fatal request again after another router has
+    // quarantined it.
     local(async {
         let fleet = Fleet::start().await;
         let [first, second] = &fleet.routers[..] else { panic!("two routers") };
         while Call::get("/safe/fatal").body("fatal").send(first.front).await.status() != 503 {}
         let ended = fleet.ended();
-        assert!(ended <= ENDED_AT_MOST);
-        eventually("the other router hears of it", || second.gw.stats.held_back.get() == 1).await;
+        assert!(ended <= MAX_ENDED_TARGETS);
+        eventually("quarantine at the other router", || second.gw.stats.held_back.get() == 1).await;
         for _ in 0..4 {
             let got = Call::get("/safe/fatal").body("fatal").send(second.front).await;
             assert_eq!((got.status(), fleet.ended()), (503, ended));
@@ -146,9 +143,9 @@
 }
 
 #[test]
-fn fatal_request_beside_streams() {
-    // Everyone whose stream ran beside a request that ends targets is refused from then on.
-    // Their streams broke off each time it came, and they sent them again each time.
+fn fatal_request_with_concurrent_streams() {
+    // Guards against quarantining requests that ran on the same targets as a fatal one. Their
+    // streams break off with each of its crashes, and their callers retry them each time.
     local(async {
         let fleet = Fleet::start().await;
         let front = fleet.routers[0].front;
@@ -167,23 +164,23 @@
             false
         };
         let streams: Vec<_> = (0..30).map(|n| tokio::task::spawn_local(stream(n))).collect();
-        for n in 0..ENDED_AT_MOST {
+        for n in 0..MAX_ENDED_TARGETS {
             fleet.send_fatal(n).await;
         }
         for stream in streams {
             assert!(stream.await.unwrap(), "a stream was never served");
         }
-        assert!(fleet.ended() <= ENDED_AT_MOST, "{} targets ended", fleet.ended());
+        assert!(fleet.ended() <= MAX_ENDED_TARGETS, "{} targets ended", fleet.ended());
         assert_eq!(fleet.routers[0].gw.stats.held_back.get(), 1);
     });
 }
 
 #[test]
-fn targets_live_when_answers_are_lost() {
-    // A request is held back although no target ended: its answers were lost, three times.
+fn lost_answers_are_no_crashes() {
+    // Guards against quarantining a request without a crash, after three of its answers were lost.
     local(async {
         let fleet = Fleet::start().await;
-        for n in 0..ENDED_AT_MOST {
+        for n in 0..MAX_ENDED_TARGETS {
             fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::LosesAnswer]));
             let call = Call::get("/once/a").id(&format!("l{n}"));
             assert_eq!(call.send(fleet.routers[0].front).await.status(), 502);
@@ -193,70 +190,69 @@
 }
 
 #[test]
-fn fatal_request_of_callers_that_leave() {
-    // Targets go on ending although each of them had the same request.
-    // Its callers leave before the target ends; by then the router has closed the connection, and
-    // only the next request finds that nobody listens there any more.
+fn fatal_request_of_disconnected_callers() {
+    // Guards against missing crashes when callers disconnect before their target ends. The router
+    // has closed the connection by then, and only the next request is refused a connection.
     local(async {
         let fleet = Fleet::start().await;
         let front = fleet.routers[0].front;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(30)));
-        for n in 0..2 * ENDED_AT_MOST {
+        for n in 0..2 * MAX_ENDED_TARGETS {
             let (ended, ran) = (fleet.ended(), fleet.fatal_runs());
             let mut conn = Conn::dial(front, Duration::from_secs(5)).await.unwrap();
             let call = Call::get("/safe/fatal").id(&format!("f{n}")).body("fatal");
             conn.write(&call.bytes()).await.unwrap();
             tokio::select! {
-                () = eventually("it runs", || fleet.fatal_runs() > ran) => (),
-                // One that is held back is answered at once.
+                () = eventually("the start of the run", || fleet.fatal_runs() > ran) => (),
+                // A quarantined request is answered at once.
                 _ = conn.has_more() => (),
             }
             drop(conn);
             if fleet.fatal_runs() == ran {
                 break;
             }
-            eventually("the target ends", || fleet.ended() > ended).await;
-            // Others meet the target that has ended.
-            for m in 0..2 * ENDED_AT_MOST {
+            eventually("the end of the target", || fleet.ended() > ended).await;
+            // Other requests try to connect to the crashed target.
+            for m in 0..2 * MAX_ENDED_TARGETS {
                 let other = Call::get("/safe/a").body(&format!("other {m}"));
                 assert_eq!(other.send(front).await.status(), 200);
             }
             tokio::time::sleep(Duration::from_millis(700)).await;
         }
-        assert!(fleet.ended() <= ENDED_AT_MOST, "{} targets ended", fleet.ended());
+        assert!(fleet.ended() <= MAX_ENDED_TARGETS, "{} targets ended", fleet.ended());
     });
 }
 
 #[test]
-fn targets_end_under_request_that_ends_well() {
-    // A request that callers send alike all day is held back because targets ended under it now
-    // and then, although it was answered whole each time, by the next target.
+fn crashes_during_completed_requests() {
+    // Guards against quarantining a frequent request because targets end now and then while running
+    // it, although each time the next target answers it completely.
     local(async {
         let fleet = Fleet::start().await;
         fleet.earn_retries().await;
         let front = fleet.routers[0].front;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(10)));
-        for n in 0..ENDED_AT_MOST {
+        for n in 0..MAX_ENDED_TARGETS {
             let call = Call::get("/resumable/a").id(&format!("s{n}")).tokens(10, 20).body("same");
             let got = tokio::task::spawn_local(async move { call.send(front).await });
             let has_it = |t: &&StandinTarget| t.runs().iter().any(|r| r.id == format!("s{n}"));
-            eventually("it runs", || fleet.targets.iter().any(|t| has_it(&t))).await;
+            eventually("the start of the run", || fleet.targets.iter().any(|t| has_it(&t))).await;
             fleet.targets.iter().find(has_it).unwrap().end();
             let got = got.await.unwrap();
             assert_eq!((got.status(), got.whole), (200, true));
         }
-        assert!(fleet.routers[0].gw.stats.targets_ended.get() >= ENDED_AT_MOST as u64);
+        assert!(fleet.routers[0].gw.stats.targets_ended.get() >= MAX_ENDED_TARGETS as u64);
     });
 }
 
 #[test]
-fn fatal_request_not_retried_once_held_back() {
-    // A request that has ended three targets is sent to a fourth within the same attempt.
-    // The router's own retry follows the third end at once, before it is known that it was one.
+fn fatal_request_not_retried_in_quarantine() {
+    // Guards against retrying a request at a fourth target within the same attempt. The router's
+    // own retry follows the third crash at once, before it is known to be a crash.
     local(async {
         let fleet = Fleet::start().await;
         fleet.earn_retries().await;
-        for n in 0..2 * ENDED_AT_MOST {
+        for n in 0..2 * MAX_ENDED_TARGETS {
             let call = Call::get("/safe/fatal").id(&format!("f{n}")).body("fatal");
             let status = call.send(fleet.routers[0].front).await.status();
             assert!([502, 503].contains(&status));
@@ -268,9 +264,9 @@
 #[rstest]
 #[case::announced("draining", 0)]
 #[case::entry_lost("ready", 1)]
-fn target_ends_while_store_says(#[case] state: &str, #[case] counted: u64) {
-    // A long answer breaks off because its target leaves as announced: nobody's request is the
-    // cause. An entry that lapsed in an outage of the store announces nothing.
+fn target_end_by_entry_state(#[case] state: &str, #[case] counted: u64) {
+    // Guards against recording a crash when a target stops as announced and a long answer breaks
+    // off. An entry that lapsed during a store outage is no announcement.
     local(async {
         let fleet = Fleet::start().await;
         let gw = &fleet.routers[0].gw;
@@ -279,29 +275,29 @@
         let call = Call::get("/stream/a").tokens(10, 1_000);
         let got = tokio::task::spawn_local(async move { call.send(front).await });
         let has_it = |t: &&StandinTarget| !t.runs().is_empty();
-        eventually("it runs", || fleet.targets.iter().any(|t| has_it(&t))).await;
+        eventually("the start of the run", || fleet.targets.iter().any(|t| has_it(&t))).await;
         let target = fleet.targets.iter().find(has_it).unwrap();
         let ready = gw.targets.count().1;
         match state {
             "ready" => gw.targets.lapse(&target.id),
             _ => {
                 fleet.platform.register(target, state);
-                eventually("it leaves", || gw.targets.count().1 < ready).await;
+                eventually("the state change to leaving", || gw.targets.count().1 < ready).await;
             }
         }
         target.end();
         let got = got.await.unwrap();
         assert!(got.status() == 502 || !got.whole);
-        // Nothing listens there any more: the answer comes at once.
+        // Connections are refused by now, so the probe ends at once.
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(gw.stats.targets_ended.get(), counted);
     });
 }
 
 #[test]
-fn target_refuses_connections_and_lives() {
-    // Requests are held back as if targets had ended under them: targets that had all the
-    // connections they can keep refused one, and long after that answers were lost.
+fn refused_connection_is_no_crash() {
+    // Guards against quarantining requests because of a refused connection: targets at their
+    // connection limit refuse one, and answers are lost long after that.
     local(async {
         let fleet = Fleet::start().await;
         let front = fleet.routers[0].front;
@@ -311,7 +307,7 @@
             target.life.connect_failed(&refused);
             assert!(target.life.has_ended());
         }
-        for n in 0..ENDED_AT_MOST {
+        for n in 0..MAX_ENDED_TARGETS {
             fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::LosesAnswer]));
             let call = Call::get("/once/a").id(&format!("l{n}"));
             assert_eq!(call.send(front).await.status(), 502);
@@ -321,41 +317,41 @@
 }
 
 #[test]
-fn target_ends_mid_stream() {
-    // A request that ends its target only after some events goes on ending targets: its stream
-    // breaks off where answers are relayed, not where they are awaited.
+fn crash_mid_stream() {
+    // Guards against missing a crash that happens after some events of a stream. The failure then
+    // shows while the answer is relayed, not while it is awaited.
     local(async {
         let fleet = Fleet::start().await;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(10)));
         let mut conn = Conn::dial(fleet.routers[0].front, Duration::from_secs(5)).await.unwrap();
         let call = Call::get("/stream/a").tokens(10, 1_000);
         conn.write(&call.bytes()).await.unwrap();
-        // The answer has begun: events of it are here.
+        // The answer has begun, and its first events have arrived.
         assert!(conn.has_more().await.unwrap());
         fleet.targets.iter().find(|t| !t.runs().is_empty()).unwrap().end();
         assert!(!Got::read(&mut conn).await.whole);
         let stats = &fleet.routers[0].gw.stats;
-        eventually("it counts", || stats.targets_ended.get() == 1).await;
+        eventually("recording the end of the target", || stats.targets_ended.get() == 1).await;
     });
 }
 
 #[test]
-fn fatal_request_while_the_store_is_away() {
-    // During an outage of the store each router lets the request end three targets of its own:
-    // rows cannot be written, and what one router saw reaches the other by datagram only.
+fn fatal_request_during_store_outage() {
+    // Guards against each router letting a fatal request crash three targets during a store outage.
+    // Rows cannot be written then, so crashes reach the other routers by datagram only.
     local(async {
         let fleet = Fleet::start().await;
         let [first, second] = &fleet.routers[..] else { panic!("two routers") };
         fleet.routers.iter().for_each(|r| r.platform.rows.set_fault(Fault::Reject(503)));
         while Call::get("/safe/fatal").body("fatal").send(first.front).await.status() != 503 {}
-        eventually("the other router hears of it", || second.gw.stats.held_back.get() == 1).await;
+        eventually("quarantine at the other router", || second.gw.stats.held_back.get() == 1).await;
     });
 }
 
 #[test]
 fn crash_reported_by_late_write() {
-    // Guards against a crash that is forgotten because a dead router's last write of its row takes
-    // effect only after its successor has read the row.
+    // Guards against losing a crash because the last write of a killed router's row takes effect
+    // only after its successor has read the row.
     local(async {
         let late = Duration::from_millis(1_500);
         let mut fleet = Fleet::start().await;
@@ -363,24 +359,25 @@
         fleet.send_fatal(0).await;
         let reported =
             |r: &GatewayHost| r.gw.crashes.report(r.gw.keeper.store_now()).crashes.len() == 1;
-        eventually("the crash is known", || reported(&fleet.routers[0])).await;
-        // Until the row is on its way.
+        eventually("recording the crash", || reported(&fleet.routers[0])).await;
+        // By then the write of the row has been sent.
         tokio::time::sleep(Duration::from_millis(700)).await;
         fleet.routers.drain(..).for_each(GatewayHost::kill);
         fleet.start_routers(2).await;
         assert!(!fleet.routers.iter().any(reported));
         tokio::time::sleep(late).await;
-        eventually("the successor reports the crash", || reported(&fleet.routers[0])).await;
-        // Its own row says so from the next renewal on.
+        eventually("the crash report of the successor", || reported(&fleet.routers[0])).await;
+        // The successor's own row contains the crash from the next renewal on.
         tokio::time::sleep(Duration::from_millis(2_200)).await;
         fleet.routers.drain(..).for_each(GatewayHost::kill);
         fleet.start_routers(3).await;
-        eventually("the crash is still known", || reported(&fleet.routers[0])).await;
+        eventually("the crash report after the second restart", || reported(&fleet.routers[0]))
+            .await;
     });
 }
 
 #[test]
-fn unreached_says_ended_only_if_refused() {
+fn connect_failed_ended_only_if_refused() {
     let life = Liveness::default();
     life.connect_failed(&std::io::ErrorKind::TimedOut.into());
     life.connect_failed(&std::io::ErrorKind::HostUnreachable.into());
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -1,5 +1,4 @@
-//! What targets say of themselves in their answers: that they leave, and when they want the next
-//! request.
+//! Notices in the answers of targets: that they are leaving, and when they accept the next request.
 
 use std::time::Duration;
 
@@ -85,34 +84,35 @@
 }
 
 #[test]
-fn log_tells_what_targets_say() {
+fn log_has_notices() {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].fail(&[TargetFault::FullUntil("0.1")]);
         Call::get("/once/a").send(fleet.router.front).await;
-        sleep(FULL).await;
+        sleep(REFUSAL_BACKOFF).await;
         fleet.targets[0].set_says_leaving(true);
         Call::get("/once/a").id("q2").send(fleet.router.front).await;
         let log = fleet.router.log.take();
-        let said =
+        let expected =
             "event=notice target=t1 id=q1 status=503 leaving=false retry_after=Some(Delay(100ms))";
-        assert!(log.contains(said), "{log}");
-        let said = "event=notice target=t1 id=q2 status=200 leaving=true retry_after=None";
-        assert!(log.contains(said), "{log}");
+        assert!(log.contains(expected), "{log}");
+        let expected = "event=notice target=t1 id=q2 status=200 leaving=true retry_after=None";
+        assert!(log.contains(expected), "{log}");
         let page = fleet.router.gw.stats.page();
         assert!(page.contains(r#"kingcupwall_target_notices_total{reason="leaving"} 1"#), "{page}");
     });
 }
 
-/// Pause between two requests of a row.
-const PAUSE: Duration = Duration::from_millis(5);
-/// Requests that follow what a target said: enough to reach every target that takes some.
-const FOLLOWING: usize = 24;
-/// How long a target is left alone that turned a request away without a time.
-const FULL: Duration = Duration::from_millis(120);
+/// Interval between batches of requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of requests sent after a notice, enough to reach every available target.
+const FURTHER_REQUESTS: usize = 24;
+/// How long a target gets no requests after it refused one without a `Retry-After`.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(120);
 
-/// A fleet whose only target has said something in its answer to `call`, and then gets company.
-async fn told(call: Call, faults: &[TargetFault], says_leaving: bool) -> Fleet {
+/// A fleet whose only target has sent a notice in its answer to `call`, and which then gets a
+/// second target.
+async fn start_after_notice(call: Call, faults: &[TargetFault], says_leaving: bool) -> Fleet {
     let mut fleet = Fleet::start(1, 1_000_000).await;
     fleet.earn_retries().await;
     fleet.targets[0].set_says_leaving(says_leaving);
@@ -122,59 +122,61 @@
     fleet.platform.register(&other, "ready");
     fleet.targets.push(other);
     let gw = fleet.router.gw.clone();
-    eventually("a second target", move || gw.targets.count().0 == 2).await;
+    eventually("discovery of the second target", move || gw.targets.count().0 == 2).await;
     fleet
 }
 
-async fn send_following(fleet: &Fleet) {
-    sleep(FULL).await;
-    for n in 0..FOLLOWING {
+async fn send_further_requests(fleet: &Fleet) {
+    sleep(REFUSAL_BACKOFF).await;
+    for n in 0..FURTHER_REQUESTS {
         let got = Call::get("/once/a").id(&format!("n{n}")).send(fleet.router.front).await;
         assert_eq!(got.header("Seal"), Some(&*format!("t2.n{n}")));
     }
 }
 
-/// Guards against requests to a target that leaves while its entry in the store still says that it
-/// is ready.
+/// Guards against requests to a leaving target whose entry in the store still shows it as ready.
 #[rstest]
 #[case::in_an_answer("/once/q", &[])]
 #[case::in_a_stream("/stream/q", &[])]
 #[case::in_a_failure("/once/q", &[TargetFault::Fails])]
 #[case::in_a_refusal("/once/q", &[TargetFault::Full])]
 #[case::in_an_answer_that_breaks_off("/once/q", &[TargetFault::CutsBody])]
-fn leaving_target_gets_no_more(#[case] path: &'static str, #[case] faults: &'static [TargetFault]) {
+fn leaving_target_gets_no_requests(
+    #[case] path: &'static str,
+    #[case] faults: &'static [TargetFault],
+) {
     local(async {
-        let fleet = told(Call::get(path).tokens(10, 10), faults, true).await;
+        let fleet = start_after_notice(Call::get(path).tokens(10, 10), faults, true).await;
         let before = fleet.targets[0].arrivals().len();
-        send_following(&fleet).await;
+        send_further_requests(&fleet).await;
         assert_eq!(fleet.targets[0].arrivals().len(), before);
     });
 }
 
-/// Guards against an old entry that undoes a target's own word that it leaves.
+/// Guards against an outdated entry that overwrites the target's own notice that it is leaving.
 #[rstest]
 #[case::renewed(false)]
 #[case::gone_and_back(true)]
-fn leaving_target_gets_no_more_after_entry(#[case] gone: bool) {
+fn leaving_target_gets_no_requests_after_entry(#[case] gone: bool) {
     local(async {
-        let fleet = told(Call::get("/once/q"), &[], true).await;
+        let fleet = start_after_notice(Call::get("/once/q"), &[], true).await;
         let (gw, target) = (fleet.router.gw.clone(), &fleet.targets[0]);
         if gone {
             fleet.platform.rows.remove("targets", "t1");
             let seen = gw.clone();
-            eventually("its entry gone", move || seen.targets.count().0 == 1).await;
+            eventually("removal of the entry", move || seen.targets.count().0 == 1).await;
         }
         fleet.platform.register_cold(target, "ready", Duration::from_millis(1));
-        eventually("its entry read", move || gw.targets.count().0 == 2).await;
+        eventually("reading the renewed entry", move || gw.targets.count().0 == 2).await;
         let before = target.arrivals().len();
-        send_following(&fleet).await;
+        send_further_requests(&fleet).await;
         assert_eq!(target.arrivals().len(), before);
     });
 }
 
-/// Guards against callers that wait while all targets that are left leave.
+/// Guards against callers that wait although all remaining targets are leaving.
 #[test]
-fn leaving_target_gets_no_more_refused_at_once() {
+fn refused_at_once_when_all_targets_leave() {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].set_says_leaving(true);
@@ -185,26 +187,29 @@
     });
 }
 
-/// Guards against requests to a target within the time for which it has asked for none.
+/// Guards against requests to a target before the end of the `Retry-After` that it has sent.
 #[rstest]
 #[case::once(&["0.6"], 0.6)]
 #[case::shorter_afterwards(&["0.6", "0.2"], 0.6)]
 #[case::none_afterwards(&["0.6", "0"], 0.6)]
-fn resting_target_gets_no_more(#[case] after: &'static [&'static str], #[case] rest_s: f64) {
+fn backed_off_target_gets_no_requests(
+    #[case] after: &'static [&'static str],
+    #[case] backoff_s: f64,
+) {
     local(async {
         let faults: Vec<_> = after.iter().map(|s| TargetFault::FullUntil(s)).collect();
         let fleet = Fleet::start(2, 1_000_000).await;
         fleet.earn_retries().await;
         let before = fleet.targets[0].arrivals().len();
         fleet.targets[0].fail(&faults);
-        let rest = Duration::from_secs_f64(rest_s);
-        // Requests that the same answers are for are on their way when the first one comes.
+        let backoff = Duration::from_secs_f64(backoff_s);
+        // Requests of one batch may all be in flight when the first of the refusals arrives.
         let mut sent = 0;
         let arrivals = || {
             let all = fleet.targets[0].arrivals();
             all[before..].iter().map(|a| a.at).collect::<Vec<_>>()
         };
-        while arrivals().last().is_none_or(|last| *last < arrivals()[0] + rest) {
+        while arrivals().last().is_none_or(|last| *last < arrivals()[0] + backoff) {
             let send = |n| {
                 let call = Call::get("/once/a").id(&format!("r{n}"));
                 async move { call.send(fleet.router.front).await.status() }
@@ -212,17 +217,17 @@
             let got = join_all((sent..sent + after.len()).map(send)).await;
             assert!(got.iter().all(|status| [200, 503].contains(status)), "{got:?}");
             sent += after.len();
-            sleep(PAUSE).await;
+            sleep(REQUEST_INTERVAL).await;
         }
         let first = arrivals()[0];
-        let within = arrivals().iter().filter(|at| **at < first + rest).count();
-        assert!(within <= after.len(), "{within} of {sent} within {rest_s} s");
+        let within = arrivals().iter().filter(|at| **at < first + backoff).count();
+        assert!(within <= after.len(), "{within} of {sent} within {backoff_s} s");
     });
 }
 
-/// Guards against callers that are told to come back while no target takes a request.
+/// Guards against callers that are told to retry while no target accepts requests.
 #[test]
-fn resting_target_gets_no_more_refused_with_its_time() {
+fn refusal_has_retry_after_of_target() {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].fail(&[TargetFault::FullUntil("3")]);
@@ -236,23 +241,23 @@
     });
 }
 
-/// Guards against a request on a connection whose end the target has announced in a refusal.
+/// Guards against reuse of a connection that the target closes with its refusal.
 #[test]
-fn refusal_that_closes_is_the_last() {
+fn connection_not_reused_after_closing_refusal() {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].fail(&[TargetFault::FullAndCloses]);
         let got = Call::get("/once/a").send(fleet.router.front).await;
         assert_eq!(got.status(), 503);
-        sleep(FULL).await;
+        sleep(REFUSAL_BACKOFF).await;
         let got = Call::get("/once/a").id("q2").send(fleet.router.front).await;
         assert_eq!(got.status(), 200);
     });
 }
 
-/// Guards against an answer of one stream after the other that says again what is known.
+/// Guards against a log line for each answer that repeats a known notice.
 #[test]
-fn log_tells_once_that_a_target_leaves() {
+fn log_has_leaving_notice_once() {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].set_says_leaving(true);
@@ -262,9 +267,10 @@
     });
 }
 
-/// Guards against the quarantine of a request under which a target stopped as it had said.
+/// Guards against recording a crash for a request that was running when its target stopped as
+/// announced.
 #[test]
-fn target_that_said_it_leaves_was_not_ended() {
+fn leaving_target_end_is_no_crash() {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let target = &fleet.targets[0];
@@ -282,12 +288,12 @@
     });
 }
 
-/// Guards against a request that leaves for a target which has asked for no more since the request
-/// chose it.
+/// Guards against sending a request to a target that became unavailable after the request had
+/// selected it.
 #[rstest]
-#[case::it_leaves(Notice { leaving: true, retry_after: None })]
-#[case::it_rests(Notice { leaving: false, retry_after: delay(3_000) })]
-fn request_held_off_after_choice(#[case] notice: Notice) {
+#[case::announces_leaving(Notice { leaving: true, retry_after: None })]
+#[case::announces_backoff(Notice { leaving: false, retry_after: delay(3_000) })]
+fn request_not_sent_after_notice(#[case] notice: Notice) {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let (gw, target) = (&fleet.router.gw, &fleet.targets[0]);
@@ -296,8 +302,11 @@
         warming.services[0].warm_up = Some(warm_up);
         fleet.platform.configure(warming);
         fleet.platform.register_cold(target, "ready", warm_up.cold_duration);
-        eventually("a cold target", || gw.targets.count_cold() == 1 && fleet.version() == 2).await;
-        // Another router admits requests to it: until that one answers, the request waits.
+        eventually("the warm-up of the target", || {
+            gw.targets.count_cold() == 1 && fleet.version() == 2
+        })
+        .await;
+        // Another router owns the target, and the request waits for its admission.
         let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let addr = other.local_addr().unwrap();
         gw.set_peers(vec![addr.ip()]);
@@ -307,7 +316,7 @@
             addr,
             capacity: 1,
         }]);
-        let admits = async {
+        let admission = async {
             let mut buf = [0; 256];
             let (n, from) = other.recv_from(&mut buf).await.unwrap();
             let (_, word) = Topic::parse(&buf[..n]).unwrap();
@@ -321,7 +330,7 @@
             other.send_to(&Topic::Cold.frame(&word), from).await.unwrap();
         };
         let call = Call::get("/once/a");
-        let (got, ()) = tokio::join!(call.send(fleet.router.front), admits);
+        let (got, ()) = tokio::join!(call.send(fleet.router.front), admission);
         assert_eq!((got.status(), target.arrivals().len()), (503, 0));
     });
 }
