--- a/src/gateway/liveness.rs
+++ b/src/gateway/liveness.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// Waits up to [`PROBE_WAIT`] for a probe of a target, so that a request which is now quarantined
+/// Waits up to `PROBE_WAIT` for a probe of a target, so that a request which is now quarantined
 /// is not sent to the next target.
 pub async fn await_probe(probe: Option<JoinHandle<()>>) {
     if let Some(probe) = probe {
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -217,7 +217,6 @@
         }
         // The other rows are still applied; callers are not sent to this router.
         Err(e) => {
-            // The others are known all the same; callers are not sent to this one.
             let key = &row.at.key;
             gw.log.routine("members", format_args!("instance={key} outcome=unreadable error={e}"));
             None
--- a/src/gateway/notice.rs
+++ b/src/gateway/notice.rs
@@ -12,7 +12,8 @@
 use super::request::Names;
 use crate::http1::{ResponseHead, header};
 
-/// Longer delays are reduced to this one. A target that states more is most likely faulty.
+/// Maximum accepted delay. Longer ones are reduced to it, because a target that states more is most
+/// likely faulty.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// What an answer says about the target that sent it, apart from the request.
@@ -30,7 +31,7 @@
 /// The content of a `Retry-After` header.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryAfter {
-    /// The target wants no request for this long.
+    /// The target asks for no requests during this time.
     Delay(Duration),
     /// The value cannot be parsed.
     Unreadable,
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -100,8 +100,8 @@
     store_answered
 }
 
-/// Applies what the operator wrote. `is_full_table` tells whether the page holds the whole table or
-/// only changes.
+/// Applies what the operator wrote. `is_full_table` is true if the page holds the whole table, and
+/// false if it holds only changes.
 fn apply_operator_rows<P: Platform>(gw: &Gateway<P>, page: &Page, is_full_table: bool) {
     let order = |r: &Row| {
         let zone = gw.platform.emptied_zone(&r.at.key)?;
--- a/tests/test_gateway_quarantine.rs
+++ b/tests/test_gateway_quarantine.rs
@@ -139,12 +139,10 @@
 
 #[test]
 fn report_has_cause_among_many() {
-    // The first target ends with twenty streams and the cause, which had just been sent there.
-    // The report has no room for all of them; by rows alone the others never hear of the cause.
-    let mut q = Quarantine::default();
     // Guards against a report that omits the cause: the first target crashes with twenty streams
     // and the cause, which was sent to it just before. The report has no room for all of them, and
     // routers that rely on rows would never learn of the cause.
+    let mut q = Quarantine::default();
     for n in 100..120 {
         q.record_crash(crash(Fingerprint(n), 1, 20 * n, 5_000), Source::Own);
     }
