--- /dev/null
+++ b/src/gateway/crash_attribution.rs
@@ -0,0 +1,131 @@
+//! Links requests to crashes of targets: refuses quarantined requests, and records a crash for each
+//! request that was running on a target that ended.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use compact_str::CompactString;
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::{Instant, sleep};
+
+use super::backend::Backend;
+use super::fingerprint::Fingerprint;
+use super::forward::Job;
+use super::quarantine::{Completion, Crash};
+use super::refusal::RouterResponse;
+use super::state::{Gateway, Platform};
+use crate::rows::StoreMs;
+
+/// How long a request still counts as running on its target after its caller has disconnected. The
+/// target learns of the disconnection late and may have started the request.
+const DISCONNECTED_RUN_GRACE: Duration = Duration::from_millis(500);
+
+impl<P: Platform> Job<'_, P> {
+    /// The fingerprint by which identical requests are recognised.
+    pub fn fingerprint(&self) -> Fingerprint {
+        *self
+            .fingerprint
+            .get_or_init(|| Fingerprint::of(self.org.as_deref(), self.head, &self.body))
+    }
+
+    /// Refuses a quarantined request. Each further attempt would crash another target, and break
+    /// off dozens of other requests' answers.
+    pub(super) fn check_quarantine(&self) -> Result<(), RouterResponse> {
+        let known = &self.gw.crashes;
+        if known.is_empty() {
+            return Ok(());
+        }
+        let now = self.gw.keeper.store_now();
+        match known.quarantined_until(self.fingerprint(), now) {
+            None => Ok(()),
+            Some(until) => {
+                let (id, request) = (&self.facts.id, self.fingerprint());
+                let org = self.org.as_deref().unwrap_or("-");
+                let ended = known.crash_count(request);
+                self.gw.log.note(
+                    "held_back",
+                    format_args!("id={id} request={request} org={org} ended={ended}"),
+                );
+                let after = Duration::from_millis(until.0 - now.0);
+                Err(RouterResponse::refusal("ends_targets", after))
+            }
+        }
+    }
+
+    /// An answer of `backend` to this request broke off: checks in a separate task whether the
+    /// target has ended, so that the check continues if the caller disconnects meanwhile. Targets
+    /// that were expected to stop are not checked, because no request caused their end.
+    pub(super) fn spawn_crash_check(&self, backend: &Rc<Backend>) -> Option<JoinHandle<()>> {
+        if !backend.is_expected_to_stay() {
+            return None;
+        }
+        let (interrupted, gw, backend) = (self.interrupted(), self.gw.clone(), backend.clone());
+        Some(spawn_local(async move {
+            if backend.find_ended().await {
+                interrupted.record_crash(&gw, &backend);
+            }
+        }))
+    }
+
+    /// The caller disconnected while a target was running the request. The target may still crash
+    /// because of it, which shows only when the next request fails to connect.
+    pub(super) fn caller_disconnected(&self) {
+        let may_be_running = |b: &&Rc<Backend>| self.may_have_run.get() && b.is_expected_to_stay();
+        let Some(backend) = self.at.as_ref().filter(may_be_running) else { return };
+        let (interrupted, gw, backend) = (self.interrupted(), self.gw.clone(), backend.clone());
+        spawn_local(async move {
+            sleep(DISCONNECTED_RUN_GRACE).await;
+            if backend.life.has_ended() {
+                interrupted.record_crash(&gw, &backend);
+            }
+        });
+    }
+
+    fn interrupted(&self) -> InterruptedRequest {
+        InterruptedRequest {
+            id: self.facts.id.clone(),
+            org: self.org.clone(),
+            request: self.fingerprint(),
+            sent: self.sent,
+        }
+    }
+
+    /// Records a complete answer: if targets ended while running this request, it was not the
+    /// cause.
+    pub fn record_completion(&self) {
+        if self.gw.crashes.is_empty() {
+            return;
+        }
+        let completed = Completion { request: self.fingerprint(), at: self.gw.keeper.store_now() };
+        self.gw.crashes.record_completion(completed);
+    }
+}
+
+/// A request whose answer broke off, or whose caller disconnected.
+struct InterruptedRequest {
+    id: CompactString,
+    org: Option<CompactString>,
+    request: Fingerprint,
+    sent: Instant,
+}
+
+impl InterruptedRequest {
+    /// Records that the request's target has ended.
+    fn record_crash<P: Platform>(&self, gw: &Gateway<P>, backend: &Backend) {
+        gw.stats.targets_ended.inc();
+        let at = gw.keeper.store_now();
+        let ran_ms = u64::try_from(self.sent.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let began = StoreMs(at.0.saturating_sub(ran_ms));
+        let target = backend.incarnation();
+        gw.crashes.record_crash(Crash { request: self.request, target, began, at });
+        let (id, org) = (&self.id, self.org.as_deref().unwrap_or("-"));
+        let (request, ended) = (self.request, gw.crashes.crash_count(self.request));
+        gw.log.note(
+            "target_ended",
+            format_args!(
+                "id={id} request={request} org={org} target={} ran_ms={ran_ms} ended={ended}",
+                backend.id()
+            ),
+        );
+    }
+}
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -6,8 +6,8 @@
 use compact_str::CompactString;
 use tokio::net::UdpSocket;
 
-use super::cold::Pace;
-use super::datagram::{MAX_DATAGRAM, Topic};
+use super::cold::AdmissionLimit;
+use super::datagram::{MAX_DATAGRAM_BYTES, Topic};
 use super::hints;
 use super::request::Part;
 use super::state::{Gateway, Platform};
@@ -27,7 +27,7 @@
 
 /// Receives datagrams from other routers. Never returns.
 pub async fn receive_datagrams<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (n, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
@@ -43,11 +43,15 @@
         match topic {
             Some((Topic::Hints, payload)) => apply_hints(&gw, payload),
             Some((Topic::Budgets, payload)) => gw.keeper.receive(from, payload),
-            Some((Topic::Crashes, payload)) => gw.crashes.heard(payload, gw.keeper.store_now()),
+            Some((Topic::Crashes, payload)) => {
+                gw.crashes.handle_datagram(payload, gw.keeper.store_now())
+            }
             Some((Topic::Orders, payload)) => {
                 gw.zones.merge_newer(&gw.zones.parse(payload), "peer")
             }
-            Some((Topic::Cold, payload)) => gw.cold.heard(from, payload, |w| cold_target(&gw, w)),
+            Some((Topic::Cold, payload)) => {
+                gw.cold.handle_datagram(from, payload, |w| cold_target(&gw, w))
+            }
             None => gw.log.note("peer", format_args!("from={from} bytes={n} error=unknown_topic")),
         }
     }
@@ -65,7 +69,7 @@
 fn cold_target<P: Platform>(
     gw: &Gateway<P>,
     word: u64,
-) -> Option<(CompactString, CompactString, Pace)> {
+) -> Option<(CompactString, CompactString, AdmissionLimit)> {
     let backend = gw.targets.by_digest(word)?;
     let info = backend.info.borrow();
     Some((info.id.clone(), info.zone.clone(), gw.cold_pace(&info.service)?))
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -28,7 +28,7 @@
         spawn_local(gw.keeper.clone().run()),
         spawn_local(gw.keeper.clone().report_loans()),
         spawn_local(async move { hints.hints.run_sender(&hints_socket).await }),
-        spawn_local(async move { crashes.crashes.tell(&crashes_socket).await }),
+        spawn_local(async move { crashes.crashes.broadcast(&crashes_socket).await }),
         spawn_local(async move { zones.zones.run_sender(&zones_socket).await }),
         spawn_local(peers::send_budget_messages(gw.clone(), socket.clone())),
         spawn_local(peers::receive_datagrams(gw.clone(), socket)),
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -10,10 +10,10 @@
 
 use super::backend::TargetInfo;
 use super::catalog::{Catalog, Limits};
-use super::cold::{ColdBound, Pace};
-use super::crashes::Crashes;
+use super::cold::{AdmissionLimit, ColdRateLimit};
+use super::crashes::CrashTracker;
 use super::entry::EntryView;
-use super::feed::{Confirmation, Feed, Reader};
+use super::feed::{Confirmation, Feed, StoreReader};
 use super::hints::PlacementHints;
 use super::place::PlacementWeights;
 use super::request::Names;
@@ -65,7 +65,7 @@
     /// The region of each availability zone.
     pub regions: ZoneRegions,
     /// What a cold target may get in one second.
-    pub cold: ColdBound,
+    pub cold: ColdRateLimit,
     /// Age of a router's row from which on callers are not sent there.
     pub unnamed_after: Duration,
     /// Where callers connect.
@@ -120,7 +120,7 @@
     /// What routers tell one another.
     pub hints: PlacementHints,
     /// Requests under which targets ended.
-    pub crashes: Crashes,
+    pub crashes: CrashTracker,
     /// Zones that the operator has emptied.
     pub zones: ZoneGossip,
     /// Requests to cold targets.
@@ -130,7 +130,7 @@
     /// Shares of the retry budget.
     pub retries: RefCell<ServiceRetryBudgets>,
     /// Reads tables that are followed.
-    pub reader: Reader<P>,
+    pub reader: StoreReader<P>,
     /// How far the configuration was read.
     pub config_feed: Feed,
     /// The latest confirmation of the configuration; locked while there is one.
@@ -163,10 +163,10 @@
         let keeper = Rc::new(keeper);
         let stats = Stats::new();
         Rc::new(Gateway {
-            crashes: Crashes::new(log.clone(), stats.clone()),
+            crashes: CrashTracker::new(log.clone(), stats.clone()),
             zones: ZoneGossip::new(log.clone(), stats.clone()),
             cold: Admissions::new(settings.instance.clone(), log.clone(), stats.clone()),
-            reader: Reader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
+            reader: StoreReader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
             keeper,
             retries: RefCell::new(ServiceRetryBudgets::new(settings.retries)),
             platform,
@@ -208,9 +208,9 @@
     }
 
     /// The pace for cold targets of a service; none if they bear any number of requests.
-    pub fn cold_pace(&self, service: &str) -> Option<Pace> {
+    pub fn cold_pace(&self, service: &str) -> Option<AdmissionLimit> {
         let warm_up = self.catalog.borrow().as_ref().and_then(|c| c.warm_up(service))?;
-        Some(Pace::of(warm_up, self.settings.cold))
+        Some(AdmissionLimit::for_warm_up(warm_up, self.settings.cold))
     }
 
     /// Whether callers should be sent here.
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::backend::{Backend, StartedMs, TargetInfo, TargetState, millis};
-use super::notice::Standing;
+use super::notice::Availability;
 use super::place::Candidate;
 use super::request::Part;
 use super::timing::{FirstTokenModel, PrefillWork};
@@ -41,7 +41,7 @@
 struct RemovedTarget {
     id: CompactString,
     born: Option<StartedMs>,
-    standing: Standing,
+    standing: Availability,
 }
 
 /// All targets, sorted by id.
@@ -105,7 +105,8 @@
         if restarted || known.service != info.service || known.addr != info.addr {
             // Another service or address alone does not discard the notices that the target has
             // sent.
-            let standing = if restarted { Standing::default() } else { all[i].standing.clone() };
+            let standing =
+                if restarted { Availability::default() } else { all[i].standing.clone() };
             all[i] = self.backend(info, standing);
             return Change::Restarted;
         }
@@ -117,14 +118,14 @@
         if changed { Change::State } else { Change::Same }
     }
 
-    fn backend(&self, info: TargetInfo, standing: Standing) -> Rc<Backend> {
+    fn backend(&self, info: TargetInfo, standing: Availability) -> Rc<Backend> {
         let first_token_model = self.first_token_model(&info.service);
         Rc::new(Backend::new(info, standing, first_token_model))
     }
 
     /// Keeps the notices of a target whose entry was removed, while they still apply.
     fn remember_standing(&self, b: &Backend) {
-        if !b.standing.holds_off(Instant::now()) {
+        if !b.standing.is_unavailable(Instant::now()) {
             return;
         }
         let mut removed_targets = self.removed_targets.borrow_mut();
@@ -136,7 +137,7 @@
     }
 
     /// The notices that a target sent before its entry was removed.
-    fn recall_standing(&self, info: &TargetInfo) -> Standing {
+    fn recall_standing(&self, info: &TargetInfo) -> Availability {
         let mut removed_targets = self.removed_targets.borrow_mut();
         let found = removed_targets.iter().rposition(|p| p.id == info.id);
         let known = found.and_then(|i| removed_targets.remove(i));
@@ -213,7 +214,7 @@
     /// Number of targets that accept no requests for a while, after they rejected one.
     pub fn count_backing_off(&self) -> usize {
         let now = Instant::now();
-        self.all.borrow().iter().filter(|b| b.standing.rests_for(now).is_some()).count()
+        self.all.borrow().iter().filter(|b| b.standing.backoff_left(now).is_some()).count()
     }
 
     /// Number of targets that are cold.
@@ -300,7 +301,7 @@
         slots: info.slots,
         rank,
         unhealthy: b.lapsed.get() || load.unhealthy_until.is_some_and(|t| t > now),
-        backoff: b.standing.rests_for(now),
+        backoff: b.standing.backoff_left(now),
         tried: req.tried.contains(&info.id),
         room_in: b.is_cold(now).then(|| {
             b.no_room_until.get().map_or(Duration::ZERO, |t| t.saturating_duration_since(now))
--- a/tests/test_gateway_decisions.rs
+++ b/tests/test_gateway_decisions.rs
@@ -4,7 +4,7 @@
 
 use kingcupwall::gateway::catalog::{Catalog, RouteKind, Share};
 use kingcupwall::gateway::entry::{EntryView, RouterEntry, routers_needed};
-use kingcupwall::gateway::members::Reads;
+use kingcupwall::gateway::members::TableReads;
 use kingcupwall::gateway::outcome::{FinalAnswer, NextStep, SendCounts, SendOutcome, next_step};
 use kingcupwall::gateway::place::{Candidate, Placement, PlacementGoal, PlacementWeights, place};
 use kingcupwall::gateway::refusal::backoff_refusal;
@@ -317,17 +317,17 @@
     // Guards against naming routers that terminated during a store outage for several seconds after
     // it.
     const LIMIT: Duration = Duration::from_millis(3_500);
-    let mut reads = Reads::default();
+    let mut reads = TableReads::default();
     for ms in [1_000, 3_000, 5_000, 13_400] {
-        reads.note(StoreMs(ms));
+        reads.record_read(StoreMs(ms));
     }
     // Live routers could not renew their rows, so they stay named until they have had time to do
     // so.
-    assert!(reads.unnamed_ms(StoreMs(13_400), LIMIT) > 13_400 - 4_900);
-    assert!(reads.unnamed_ms(StoreMs(15_400), LIMIT) > 15_400 - 4_900);
-    reads.note(StoreMs(15_400));
-    reads.note(StoreMs(17_400));
-    assert_eq!(reads.unnamed_ms(StoreMs(16_000), LIMIT), 3_500);
+    assert!(reads.max_advertised_age_ms(StoreMs(13_400), LIMIT) > 13_400 - 4_900);
+    assert!(reads.max_advertised_age_ms(StoreMs(15_400), LIMIT) > 15_400 - 4_900);
+    reads.record_read(StoreMs(15_400));
+    reads.record_read(StoreMs(17_400));
+    assert_eq!(reads.max_advertised_age_ms(StoreMs(16_000), LIMIT), 3_500);
     assert!(reads.stale_ms(StoreMs(16_000)) > 6_500);
 }
 
@@ -358,18 +358,18 @@
 /// router that reads the table again.
 #[test]
 fn reads_stale_after_store_outage() {
-    let mut reads = Reads::default();
+    let mut reads = TableReads::default();
     let usual = reads.stale_ms(StoreMs(1_000));
     for ms in [1_000, 3_000, 5_000] {
-        reads.note(StoreMs(ms));
+        reads.record_read(StoreMs(ms));
         assert_eq!(reads.stale_ms(StoreMs(ms)), usual);
     }
-    reads.note(StoreMs(13_400));
+    reads.record_read(StoreMs(13_400));
     let last_beat = 4_900;
     assert!(reads.stale_ms(StoreMs(13_400)) > 13_400 - last_beat);
     // Routers that have not renewed their row by now are gone.
     for ms in (15_400..25_000).step_by(2_000) {
-        reads.note(StoreMs(ms));
+        reads.record_read(StoreMs(ms));
     }
     assert_eq!(reads.stale_ms(StoreMs(24_000)), usual);
 }
