--- a/src/gateway/backend.rs
+++ b/src/gateway/backend.rs
@@ -14,7 +14,7 @@
 use super::notice::Standing;
 use super::pool::Pool;
 use super::quarantine::Incarnation;
-use super::request::Part;
+use super::request::PromptPart;
 use super::timing::{FirstToken, Reading};
 use crate::ids::Digest;
 
@@ -224,7 +224,7 @@
     }
 
     /// The request leaves: its target will have the parts of its prompt cached.
-    pub fn leaves(&self, parts: &[Part]) {
+    pub fn leaves(&self, parts: &[PromptPart]) {
         if self.plan.engine {
             let mut load = self.backend.load.borrow_mut();
             load.cache.read(parts, Instant::now(), self.plan.cache_tokens);
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -17,7 +17,7 @@
 use super::reach::{Barred, Reach};
 use super::refusal::{COME_BACK, MOST_COME_BACK, Own, Unadmitted, cold_refusal, resting_refusal};
 use super::reply::Reply;
-use super::request::{Facts, Names, host, path};
+use super::request::{HeaderNames, RequestMeta, host, path};
 use super::state::{Gateway, Platform};
 use super::stats::sent;
 use super::sync::confirm_config;
@@ -55,7 +55,7 @@
     /// Its body.
     pub body: Bytes,
     /// What it says of itself.
-    pub facts: Facts,
+    pub meta: RequestMeta,
     /// When its first byte was read.
     pub started: Instant,
     /// When the caller or the operator wants an answer at the latest.
@@ -92,13 +92,13 @@
 async fn resolve<P: Platform>(
     gw: &Gateway<P>,
     head: &RequestHead,
-    facts: &Facts,
+    meta: &RequestMeta,
 ) -> Result<(Rc<Catalog>, Route, Option<CompactString>), Own> {
     let look = || -> Result<_, Own> {
         let catalog = gw.config().ok_or(Own::refusal("no_configuration", COME_BACK))?;
         let route = catalog.route(host(head), path(head)).ok_or(Own::new(404, "no_route"))?;
         let route = route.clone();
-        let org = owner(&catalog, &route, facts)?;
+        let org = owner(&catalog, &route, meta)?;
         Ok((catalog, route, org))
     };
     match look() {
@@ -112,11 +112,15 @@
     }
 }
 
-fn owner(catalog: &Catalog, route: &Route, facts: &Facts) -> Result<Option<CompactString>, Own> {
+fn owner(
+    catalog: &Catalog,
+    route: &Route,
+    meta: &RequestMeta,
+) -> Result<Option<CompactString>, Own> {
     if !catalog.needs_keys() || route.public {
         return Ok(None);
     }
-    let key = facts.key.as_deref().ok_or(Own::new(401, "no_key"))?;
+    let key = meta.key.as_deref().ok_or(Own::new(401, "no_key"))?;
     let org = catalog.organisation(key).ok_or(Own::new(401, "unknown_key"))?;
     Ok(Some(org.name.clone()))
 }
@@ -130,14 +134,14 @@
         gw: &'a Rc<Gateway<P>>,
         head: &'a RequestHead,
         body: Bytes,
-        facts: Facts,
+        meta: RequestMeta,
         started: Instant,
     ) -> Result<Job<'a, P>, Unadmitted> {
         let unknown = |own| Unadmitted { own, route: None, org: None };
-        let (catalog, route, org) = resolve(gw, head, &facts).await.map_err(unknown)?;
+        let (catalog, route, org) = resolve(gw, head, &meta).await.map_err(unknown)?;
         let known = (route.name.clone(), org.clone());
         let refused = |own| Unadmitted { own, route: Some(known.0.clone()), org: known.1.clone() };
-        let wait = facts.time_left.map_or(route.timeout, |t| t.min(route.timeout));
+        let wait = meta.time_left.map_or(route.timeout, |t| t.min(route.timeout));
         let until = started + wait;
         let draw = fastrand::f64();
         let service = route.service(draw).cloned();
@@ -147,7 +151,7 @@
             gw,
             head,
             body,
-            facts,
+            meta,
             started,
             until,
             catalog,
@@ -170,17 +174,17 @@
 
     /// Takes the most that the request can cost out of its organisation's budget.
     async fn take_budget(&mut self) -> Result<(), Own> {
-        let most = Tokens(self.facts.most());
-        let Some(org) = self.org.as_deref().filter(|_| most.0 > 0) else { return Ok(()) };
-        let prepaid = self.catalog.organisation(self.facts.key.as_deref().unwrap_or_default());
+        let max_cost = Tokens(self.meta.max_cost());
+        let Some(org) = self.org.as_deref().filter(|_| max_cost.0 > 0) else { return Ok(()) };
+        let prepaid = self.catalog.organisation(self.meta.key.as_deref().unwrap_or_default());
         if prepaid.and_then(|o| o.prepaid).is_none() {
             return Ok(());
         }
         let keeper = &self.gw.keeper;
-        let mut taken = keeper.hold_by(org, most, self.until).await;
+        let mut taken = keeper.hold_by(org, max_cost, self.until).await;
         // The amount may have been raised a moment ago.
         if matches!(taken, Err(Refusal::Spent)) && confirm_config(self.gw).await {
-            taken = keeper.hold_by(org, most, self.until).await;
+            taken = keeper.hold_by(org, max_cost, self.until).await;
             if matches!(taken, Err(Refusal::Spent)) {
                 let own = Own::new(402, "budget_spent");
                 return Err(self.no_budget(org, Asked::default(), own));
@@ -205,18 +209,18 @@
 
     fn no_budget(&self, org: &str, asked: Asked, own: Own) -> Own {
         let state = self.gw.keeper.describe(org);
-        let (id, most) = (&self.facts.id, self.facts.most());
+        let (id, max_cost) = (&self.meta.id, self.meta.max_cost());
         self.gw.log.note(
             "budget",
             format_args!(
-                "id={id} route={} org={org} most={most} short={} silent={} {state} config={} outcome={}",
+                "id={id} route={} org={org} most={max_cost} short={} silent={} {state} config={} outcome={}",
                 self.route.name, asked.short, asked.silent, self.catalog.version, own.reason
             ),
         );
         own
     }
 
-    pub(super) fn names(&self) -> &Names {
+    pub(super) fn names(&self) -> &HeaderNames {
         self.gw.platform.names()
     }
 
@@ -228,14 +232,14 @@
     fn tokens_of(&self, events: u64) -> u64 {
         let engine = self.catalog.service(&self.service).and_then(|s| s.engine);
         match engine.map_or(0, |e| e.tokens_per_event) {
-            0 if events > 0 => self.facts.most_output,
-            n => (events * n).min(self.facts.most_output),
+            0 if events > 0 => self.meta.max_output,
+            n => (events * n).min(self.meta.max_output),
         }
     }
 
     /// Notes what the request has cost once `events` events were handed to the caller.
     pub fn charge(&mut self, events: u64) {
-        let cost = self.facts.prompt + self.tokens_of(events);
+        let cost = self.meta.prompt + self.tokens_of(events);
         if let Some(hold) = &mut self.hold {
             hold.cost(Tokens(cost));
             if events > 0 {
@@ -352,8 +356,8 @@
         let req = PlaceRequest {
             service: &self.service,
             zone: &self.gw.settings.zone,
-            parts: &self.facts.parts,
-            prompt: self.facts.prompt,
+            parts: &self.meta.parts,
+            prompt: self.meta.prompt,
             engine,
             tried: &self.tried,
             reach: Reach {
@@ -363,19 +367,19 @@
             },
         };
         let Found { candidates: found, barred } = self.gw.targets.candidates(&req);
-        let facts: Vec<_> = found.iter().map(|(_, c)| *c).collect();
+        let inputs: Vec<_> = found.iter().map(|(_, c)| *c).collect();
         let now = Instant::now();
         let demand = Demand {
             aim: self.route.aim.saturating_sub(now - self.started),
             left: self.until.saturating_duration_since(now),
             engine,
         };
-        match place(&facts, &demand, &self.gw.settings.weights) {
+        match place(&inputs, &demand, &self.gw.settings.weights) {
             Placement::Send { index, predicted_ms } => {
-                let chosen = &facts[index];
+                let chosen = &inputs[index];
                 let plan = Planned {
                     engine,
-                    prompt: self.facts.prompt,
+                    prompt: self.meta.prompt,
                     uncached: chosen.uncached,
                     wait_ms: chosen.wait_ms,
                     prefill_ms: chosen.prefill_ms,
@@ -407,7 +411,7 @@
             Ended::Failed | Ended::HeldOff => (),
         }
         sent(&self.gw.stats, ended);
-        let (id, target) = (&self.facts.id, backend.id());
+        let (id, target) = (&self.meta.id, backend.id());
         let ms = self.started.elapsed().as_millis();
         self.gw.log.note(
             "send",
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -11,7 +11,7 @@
 use super::forward::{Job, label};
 use super::refusal::{Own, Unadmitted};
 use super::relay::{Relayed, relay, write_own};
-use super::request::Facts;
+use super::request::RequestMeta;
 use super::state::{Gateway, Phase, Platform};
 use super::stats::ended;
 use crate::http1::{Conn, HeadError, RequestHead};
@@ -139,7 +139,7 @@
     gw: &Gateway<P>,
     conn: &mut Conn,
     head: &RequestHead,
-    facts: &Facts,
+    meta: &RequestMeta,
 ) -> Result<Bytes, Option<Own>> {
     if head.body.is_done() {
         return Ok(Bytes::new());
@@ -156,7 +156,7 @@
     if head.expects_continue && conn.is_drained() {
         conn.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(|_| None)?;
     }
-    let time = facts.time_left.unwrap_or(BODY_TIME);
+    let time = meta.time_left.unwrap_or(BODY_TIME);
     match timeout(time, conn.read_body(head.body, max)).await {
         Ok(Ok(Some(body))) => Ok(body),
         Ok(Ok(None)) => Err(Some(Own::new(413, "body_too_long"))),
@@ -175,14 +175,14 @@
     head: &RequestHead,
     started: Instant,
 ) -> bool {
-    let facts = Facts::read(gw.platform.names(), &head.headers);
-    let body = match read_body(gw, conn, head, &facts).await {
+    let meta = RequestMeta::read(gw.platform.names(), &head.headers);
+    let body = match read_body(gw, conn, head, &meta).await {
         Ok(body) => body,
         Err(own) => {
             if let Some(own) = own {
                 gw.log.note(
                     "refused",
-                    format_args!("id={} status={} reason={}", facts.id, own.status, own.reason),
+                    format_args!("id={} status={} reason={}", meta.id, own.status, own.reason),
                 );
                 // The rest of the body is still on its way: the connection is closed.
                 let _ = write_own(conn, &own, false).await;
@@ -191,10 +191,10 @@
         }
     };
     let _counted = Counted::request(gw, body.len() as u64);
-    let id = facts.id.clone();
+    let id = meta.id.clone();
     let admitted = tokio::select! {
         biased;
-        admitted = Job::admit(gw, head, body, facts, started) => admitted,
+        admitted = Job::admit(gw, head, body, meta, started) => admitted,
         () = conn.closed() => {
             note_left(gw, &id, started, false);
             return false;
@@ -284,7 +284,7 @@
     gw.stats.tokens.inc_by(cost);
     let fields = format_args!(
         "id={} route={} org={} target={target} status={status} outcome={outcome} config={} runs={} sends={} tokens={cost} ms={}",
-        job.facts.id,
+        job.meta.id,
         job.route.name,
         job.org.as_deref().unwrap_or("-"),
         job.catalog.version,
--- a/src/gateway/hints.rs
+++ b/src/gateway/hints.rs
@@ -16,7 +16,7 @@
 
 use super::backend::{Planned, target_word};
 use super::datagram::Topic;
-use super::request::Part;
+use super::request::PromptPart;
 
 /// Placements of so long go into one datagram: a wake-up costs more than the bytes.
 const GATHER: Duration = Duration::from_millis(10);
@@ -45,8 +45,8 @@
 
 impl Hint {
     /// The parts of the prompt.
-    pub fn parts(&self) -> impl Iterator<Item = Part> {
-        self.parts.iter().map(|(id, tokens)| Part { id: *id, tokens: u64::from(*tokens) })
+    pub fn parts(&self) -> impl Iterator<Item = PromptPart> {
+        self.parts.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: u64::from(*tokens) })
     }
 }
 
@@ -68,7 +68,7 @@
 
 impl Hints {
     /// Notes a placement of this router.
-    pub fn placed(&self, target: &str, plan: &Planned, parts: &[Part]) {
+    pub fn placed(&self, target: &str, plan: &Planned, parts: &[PromptPart]) {
         let mut waiting = self.waiting.borrow_mut();
         if self.peers.borrow().is_empty() || waiting.len() >= 4 * MAX_PLACEMENTS {
             return;
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use super::request::Part;
+use super::request::PromptPart;
 use super::timing::Pace;
 
 /// A prompt that should have been read so long ago is no longer counted on: its router may have
@@ -34,11 +34,11 @@
     }
 
     /// Tokens of the leading parts that are cached; a part counts only if all before it do.
-    pub(super) fn cached(&self, parts: &[Part]) -> u64 {
+    pub(super) fn cached(&self, parts: &[PromptPart]) -> u64 {
         parts.iter().take_while(|p| self.has(p.id)).map(|p| p.tokens).sum()
     }
 
-    pub(super) fn read(&mut self, parts: &[Part], now: Instant, capacity: u64) {
+    pub(super) fn read(&mut self, parts: &[PromptPart], now: Instant, capacity: u64) {
         for p in parts {
             match self.parts.binary_search_by_key(&p.id, |c| c.id) {
                 Ok(i) => self.parts[i].used = now,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -49,6 +49,6 @@
 pub use backend::{StartedMs, TargetInfo, TargetState};
 pub use catalog::{Catalog, CatalogParts, Limits, Organisation, Route, RouteKind, Service};
 pub use entry::EntryView;
-pub use request::Names;
+pub use request::HeaderNames;
 pub use start::start;
 pub use state::{Gateway, Platform, Settings};
--- a/src/gateway/notice.rs
+++ b/src/gateway/notice.rs
@@ -8,7 +8,7 @@
 
 use tokio::time::Instant;
 
-use super::request::Names;
+use super::request::HeaderNames;
 use crate::http1::{ResponseHead, header};
 
 /// The longest delay that is kept to; a target that states more has most likely a fault.
@@ -37,7 +37,7 @@
 impl Notice {
     /// Reads what a head says. A 421 comes from another target, which has the address now: it says
     /// nothing of the one that was asked.
-    pub fn read(names: &Names, head: &ResponseHead) -> Notice {
+    pub fn read(names: &HeaderNames, head: &ResponseHead) -> Notice {
         let stated = |name: &str| header(&head.headers, name);
         match head.status {
             421 => Notice::default(),
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -9,7 +9,7 @@
 use super::cold::Pace;
 use super::datagram::{MAX_DATAGRAM, Topic};
 use super::hints;
-use super::request::Part;
+use super::request::PromptPart;
 use super::state::{Gateway, Platform};
 use super::timing::Reading;
 
@@ -74,7 +74,7 @@
     let config = gw.config();
     let kept = |service: &str| config.as_ref().map_or(0, |c| c.cache_tokens(service));
     for hint in hints::parse(bytes) {
-        let parts: Vec<Part> = hint.parts().collect();
+        let parts: Vec<PromptPart> = hint.parts().collect();
         let reading = Reading::of(u64::from(hint.prompt), u64::from(hint.uncached));
         gw.targets.hinted(hint.target, reading, &parts, kept);
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -11,7 +11,7 @@
 use super::liveness::await_evidence;
 use super::refusal::Own;
 use super::reply::{Reply, Rest};
-use super::request::{is_hop_by_hop, line};
+use super::request::{is_hop_by_hop, write_header_line};
 use super::state::{Phase, Platform};
 use crate::http1::{Conn, ResponseHead};
 
@@ -93,7 +93,7 @@
     let passes =
         |name: &str| frame == Frame::AsSent || !name.eq_ignore_ascii_case("content-length");
     for h in head.headers.iter().filter(|h| !is_hop_by_hop(h) && passes(&h.name)) {
-        line(&mut out, &h.name, &h.value);
+        write_header_line(&mut out, &h.name, &h.value);
     }
     match frame {
         Frame::Length(n) => drop(write!(out, "Content-Length: {n}\r\n")),
@@ -235,7 +235,7 @@
             && last.is_some()
             && job.made.runs < job.route.max_attempts
             && job.gw.retries.borrow_mut().take(&job.service);
-        let (id, from) = (job.facts.id.clone(), self.flight.backend().id());
+        let (id, from) = (job.meta.id.clone(), self.flight.backend().id());
         job.gw.log.note(
             "stream_broken",
             format_args!("id={id} target={from} events={events} last={last:?} resumes={may}"),
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -21,7 +21,7 @@
 
 /// The platform's names of the headers that this library reads and sets.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct HeaderNames {
     /// Id of one request of a caller; targets echo it.
     pub request_id: CompactString,
     /// Milliseconds that the sender will wait.
@@ -48,7 +48,7 @@
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Part {
+pub struct PromptPart {
     /// Its id.
     pub id: u64,
     /// Its length.
@@ -57,7 +57,7 @@
 
 /// A request's facts.
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
+pub struct RequestMeta {
     /// The caller's id of this request.
     pub id: CompactString,
     /// How long the caller waits.
@@ -65,54 +65,54 @@
     /// Prompt tokens; 0 for requests that use no model.
     pub prompt: u64,
     /// Most output tokens.
-    pub most_output: u64,
+    pub max_output: u64,
     /// Expected output tokens, if the caller knows.
     pub estimate: Option<u64>,
     /// Parts of the prompt; the last one is the request's own or its session's.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
     /// The API key.
     pub key: Option<CompactString>,
     /// The last event that the caller already has.
     pub last_event: Option<CompactString>,
 }
 
-impl Facts {
+impl RequestMeta {
     /// Reads the facts out of a head. Values that cannot be read count as absent: the target
     /// judges them, and gets them as they were sent.
-    pub fn read(names: &Names, headers: &[Header]) -> Facts {
+    pub fn read(names: &HeaderNames, headers: &[Header]) -> RequestMeta {
         let text = |name: &str| header(headers, name);
-        let (prompt, most_output) = text(&names.token_counts)
+        let (prompt, max_output) = text(&names.token_counts)
             .and_then(|v| v.split_once(','))
             .and_then(|(p, o)| Some((p.trim().parse().ok()?, o.trim().parse().ok()?)))
             .unwrap_or((0, 0));
         let key = text("authorization").and_then(|v| v.split_once(' '));
         let key = key.filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer"));
-        Facts {
+        RequestMeta {
             id: text(&names.request_id).unwrap_or_default().into(),
             time_left: text(&names.time_left)
                 .and_then(|v| v.parse().ok())
                 .map(Duration::from_millis),
             prompt,
-            most_output,
+            max_output,
             estimate: text(&names.output_estimate).and_then(|v| v.parse().ok()),
-            parts: text(&names.prompt_parts).map(parts).unwrap_or_default(),
+            parts: text(&names.prompt_parts).map(parse_prompt_parts).unwrap_or_default(),
             key: key.map(|(_, k)| k.trim().into()),
             last_event: text(&names.last_event_id).map(CompactString::from),
         }
     }
 
     /// The most that the request can cost, in tokens.
-    pub fn most(&self) -> u64 {
-        self.prompt + self.most_output
+    pub fn max_cost(&self) -> u64 {
+        self.prompt + self.max_output
     }
 }
 
-fn parts(list: &str) -> Vec<Part> {
-    let part = |entry: &str| {
+fn parse_prompt_parts(list: &str) -> Vec<PromptPart> {
+    let parse_part = |entry: &str| {
         let (id, tokens) = entry.trim().split_once(':')?;
-        Some(Part { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
+        Some(PromptPart { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
     };
-    list.split(',').map_while(part).collect()
+    list.split(',').map_while(parse_part).collect()
 }
 
 /// The host without its port.
@@ -127,7 +127,7 @@
 }
 
 /// Whether a request header may reach a target as the caller sent it.
-fn is_forwarded(names: &Names, listed: &[&str], h: &Header) -> bool {
+fn is_forwarded(names: &HeaderNames, listed: &[&str], h: &Header) -> bool {
     let dropped = HOP_BY_HOP.iter().any(|n| h.is(n))
         || listed.iter().any(|n| h.is(n))
         || names.reserved.iter().any(|n| h.is(n))
@@ -140,7 +140,7 @@
 
 /// What is added to a request for a target.
 #[derive(Clone, Debug)]
-pub struct Additions<'a> {
+pub struct AddedHeaders<'a> {
     /// The target that must run it.
     pub target: &'a str,
     /// The organisation, if the request has a key.
@@ -152,7 +152,12 @@
 }
 
 /// The request as a target gets it: head and body in one piece.
-pub fn encode(names: &Names, head: &RequestHead, body: &[u8], add: &Additions<'_>) -> Vec<u8> {
+pub fn encode_request(
+    names: &HeaderNames,
+    head: &RequestHead,
+    body: &[u8],
+    add: &AddedHeaders<'_>,
+) -> Vec<u8> {
     use std::io::Write;
     let listed: Vec<&str> = tokens(&head.headers, "connection").collect();
     let mut out = Vec::with_capacity(512 + 64 * head.headers.len() + body.len());
@@ -162,19 +167,19 @@
         if add.resume_after.is_some() && h.is(&names.last_event_id) {
             continue;
         }
-        line(&mut out, &h.name, &h.value);
+        write_header_line(&mut out, &h.name, &h.value);
     }
     let has_body = !body.is_empty() || head.headers.iter().any(|h| h.is("content-length"));
     if has_body || head.headers.iter().any(|h| h.is("transfer-encoding")) {
         let _ = write!(out, "Content-Length: {}\r\n", body.len());
     }
     let _ = write!(out, "{}: {}\r\n", names.time_left, add.time_left.as_millis());
-    line(&mut out, &names.expect_target, add.target.as_bytes());
+    write_header_line(&mut out, &names.expect_target, add.target.as_bytes());
     if let Some(org) = add.organisation {
-        line(&mut out, &names.organisation, org.as_bytes());
+        write_header_line(&mut out, &names.organisation, org.as_bytes());
     }
     if let Some(event) = add.resume_after {
-        line(&mut out, &names.last_event_id, event.as_bytes());
+        write_header_line(&mut out, &names.last_event_id, event.as_bytes());
     }
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(body);
@@ -182,7 +187,7 @@
 }
 
 /// Writes one header line.
-pub fn line(out: &mut Vec<u8>, name: &str, value: &[u8]) {
+pub fn write_header_line(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
     out.extend_from_slice(value);
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -13,7 +13,7 @@
 use super::outcome::Ended;
 use super::pool::{Link, dial};
 use super::reply::{Reply, Rest, StreamState};
-use super::request::{Additions, Names, encode};
+use super::request::{AddedHeaders, HeaderNames, encode_request};
 use super::state::Platform;
 use super::stats::noticed;
 use crate::http1::{Conn, Decoder, HeadError, ResponseHead, header};
@@ -60,15 +60,15 @@
             link.put_back(&mut backend.pool.borrow_mut());
             return Err(held_off);
         }
-        flight.leaves(&self.facts.parts);
+        flight.leaves(&self.meta.parts);
         let target = backend.id();
-        let add = Additions {
+        let add = AddedHeaders {
             target: &target,
             organisation: self.org.as_deref(),
             time_left: self.until.saturating_duration_since(Instant::now()),
             resume_after,
         };
-        let bytes = encode(self.names(), self.head, &self.body, &add);
+        let bytes = encode_request(self.names(), self.head, &self.body, &add);
         self.made.sends += 1;
         self.made.runs += 1;
         let ran_before = self.may_have_run.replace(true);
@@ -76,7 +76,7 @@
             self.charge(0);
         }
         if plan.engine {
-            self.gw.hints.placed(&target, plan, &self.facts.parts);
+            self.gw.hints.placed(&target, plan, &self.meta.parts);
         }
         let outcome = self.answer(&mut link, &bytes, plan).await;
         match outcome {
@@ -167,7 +167,7 @@
         let names = self.names();
         for _ in 0..=MAX_STRAY {
             let head = link.conn.read_response(MAX_RESPONSE_HEAD).await.map_err(|e| {
-                let id = &self.facts.id;
+                let id = &self.meta.id;
                 let used = link.used;
                 let cause = match e {
                     HeadError::Closed => "closed",
@@ -183,7 +183,7 @@
             })?;
             self.hear(&head);
             let echoed = header(&head.headers, &names.request_id);
-            let is_ours = echoed == Some(self.facts.id.as_str());
+            let is_ours = echoed == Some(self.meta.id.as_str());
             let fresh = !link.used && echoed.is_none();
             if is_ours || fresh {
                 if let Some(ended) = not_run(names, &head) {
@@ -192,7 +192,7 @@
                 }
                 return if is_ours { Ok(head) } else { Err(Ended::NoAnswer) };
             }
-            let id = &self.facts.id;
+            let id = &self.meta.id;
             self.gw.log.note(
                 "answer",
                 format_args!("id={id} outcome=stray_answer_skipped stray_id={echoed:?}"),
@@ -217,7 +217,7 @@
         if !is_new && notice.retry_after != Some(RetryAfter::Unreadable) {
             return;
         }
-        let (id, target, status) = (&self.facts.id, backend.id(), head.status);
+        let (id, target, status) = (&self.meta.id, backend.id(), head.status);
         let Notice { leaving, retry_after } = notice;
         self.gw.log.note(
             "notice",
@@ -264,7 +264,7 @@
             if let Some(events) = stream.push(&piece)? {
                 let took = flight.first_event();
                 self.gw.stats.first_event.observe((Instant::now() - self.started).as_secs_f64());
-                let (id, backend) = (&self.facts.id, flight.backend());
+                let (id, backend) = (&self.meta.id, flight.backend());
                 self.gw.log.routine(
                     "placed",
                     format_args!(
@@ -275,9 +275,9 @@
                         flight.plan().predicted_ms,
                         took.as_millis(),
                         flight.plan().uncached,
-                        self.facts.prompt,
-                        self.facts.most_output,
-                        self.facts.estimate,
+                        self.meta.prompt,
+                        self.meta.max_output,
+                        self.meta.estimate,
                     ),
                 );
                 return Ok(events);
@@ -303,7 +303,7 @@
 }
 
 /// Whether a response proves that its target did not run the request.
-fn not_run(names: &Names, head: &ResponseHead) -> Option<Ended> {
+fn not_run(names: &HeaderNames, head: &ResponseHead) -> Option<Ended> {
     if head.status == 421 {
         return Some(Ended::OtherTarget);
     }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -17,7 +17,7 @@
 use super::hints::Hints;
 use super::place::Weights;
 use super::reach::ZoneRegions;
-use super::request::Names;
+use super::request::HeaderNames;
 use super::retries::{RetryAllowance, RetryShares};
 use super::targets::Targets;
 use super::warmup::Admissions;
@@ -31,7 +31,7 @@
 /// The platform beside its row store: its names, and how it writes its rows.
 pub trait Platform: RowStore {
     /// Names of headers.
-    fn names(&self) -> &Names;
+    fn names(&self) -> &HeaderNames;
 
     /// Table and key of the operator's configuration.
     fn config_row(&self) -> (&'static str, &'static str);
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -38,7 +38,7 @@
         match known.held_back_until(self.fingerprint(), now) {
             None => Ok(()),
             Some(until) => {
-                let (id, request) = (&self.facts.id, self.fingerprint());
+                let (id, request) = (&self.meta.id, self.fingerprint());
                 let org = self.org.as_deref().unwrap_or("-");
                 let ended = known.count(request);
                 self.gw.log.note(
@@ -81,7 +81,7 @@
 
     fn broken(&self) -> Broken {
         Broken {
-            id: self.facts.id.clone(),
+            id: self.meta.id.clone(),
             org: self.org.clone(),
             request: self.fingerprint(),
             sent: self.sent,
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -12,7 +12,7 @@
 use super::notice::Standing;
 use super::place::Candidate;
 use super::reach::{Barred, Reach};
-use super::request::Part;
+use super::request::PromptPart;
 use super::timing::{FirstToken, Reading};
 use crate::ids::Digest;
 
@@ -60,7 +60,7 @@
     /// This router's zone.
     pub zone: &'a str,
     /// The parts of its prompt.
-    pub parts: &'a [Part],
+    pub parts: &'a [PromptPart],
     /// Its prompt tokens.
     pub prompt: u64,
     /// Whether it uses a model engine.
@@ -190,7 +190,7 @@
         &self,
         word: u64,
         reading: Reading,
-        parts: &[Part],
+        parts: &[PromptPart],
         cache_tokens: impl Fn(&str) -> u64,
     ) {
         let all = self.all.borrow();
@@ -302,12 +302,12 @@
 }
 
 /// The parts that other requests may share: all but the last, which is the request's own.
-fn shared_parts(parts: &[Part]) -> &[Part] {
+fn shared_parts(parts: &[PromptPart]) -> &[PromptPart] {
     parts.split_last().map_or(parts, |(_, shared)| shared)
 }
 
 /// What requests with the same cached prompt have in common: the last part they share.
-fn affinity_key(parts: &[Part]) -> u64 {
+fn affinity_key(parts: &[PromptPart]) -> u64 {
     shared_parts(parts).last().or(parts.last()).map_or_else(|| fastrand::u64(..), |p| p.id)
 }
 
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -15,7 +15,7 @@
 use crate::gateway::reach::ZoneRegions;
 use crate::gateway::retries::RetryAllowance;
 use crate::gateway::{
-    Catalog, CatalogParts, Limits, Names, Organisation, Platform, Route, RouteKind, Service,
+    Catalog, CatalogParts, HeaderNames, Limits, Organisation, Platform, Route, RouteKind, Service,
     StartedMs, TargetInfo, TargetState,
 };
 use crate::ids::Tokens;
@@ -41,8 +41,8 @@
 /// See [`REQUEST_ID`].
 pub const LAST_EVENT: &str = "Last-Event-Id";
 
-pub(super) fn names() -> Names {
-    Names {
+pub(super) fn names() -> HeaderNames {
+    HeaderNames {
         request_id: REQUEST_ID.into(),
         time_left: "Time-Left-Ms".into(),
         prompt_parts: "Prompt-Parts".into(),
@@ -114,7 +114,7 @@
     /// The store; its fault is this handle's own.
     pub rows: MemoryRows,
     configs: Rc<RefCell<Vec<CatalogParts>>>,
-    names: Rc<Names>,
+    names: Rc<HeaderNames>,
 }
 
 impl Default for LocalPlatform {
@@ -199,7 +199,7 @@
 }
 
 impl Platform for LocalPlatform {
-    fn names(&self) -> &Names {
+    fn names(&self) -> &HeaderNames {
         &self.names
     }
 
--- a/src/standin/gateway_target.rs
+++ b/src/standin/gateway_target.rs
@@ -15,7 +15,7 @@
 
 use super::gateway::{SEAL, names};
 use crate::error::Result;
-use crate::gateway::Names;
+use crate::gateway::HeaderNames;
 use crate::http1::{Conn, Header, RequestHead, header};
 
 /// How long a stand-in's bytes may stay unacknowledged.
@@ -138,7 +138,7 @@
 #[derive(Clone, Debug)]
 pub struct TargetNames {
     /// Those it shares with routers.
-    pub headers: Names,
+    pub headers: HeaderNames,
     /// The header that proves whose answer it is.
     pub seal: CompactString,
 }
--- a/tests/test_gateway_targets.rs
+++ b/tests/test_gateway_targets.rs
@@ -7,13 +7,14 @@
 use kingcupwall::gateway::backend::{Backend, Flight, Planned, StartedMs, TargetInfo, TargetState};
 use kingcupwall::gateway::notice::{Notice, RetryAfter, Standing};
 use kingcupwall::gateway::reach::Reach;
-use kingcupwall::gateway::request::Part;
+use kingcupwall::gateway::request::PromptPart;
 use kingcupwall::gateway::targets::{Change, PlaceRequest, Targets};
 use kingcupwall::gateway::timing::Reading;
 use rstest::rstest;
 use tokio::time::Instant;
 
-const PARTS: [Part; 2] = [Part { id: 7, tokens: 5_000 }, Part { id: 8, tokens: 1_000 }];
+const PARTS: [PromptPart; 2] =
+    [PromptPart { id: 7, tokens: 5_000 }, PromptPart { id: 8, tokens: 1_000 }];
 
 fn entry(born: Option<u64>, state: TargetState) -> TargetInfo {
     TargetInfo {
@@ -152,7 +153,7 @@
     let targets = Targets::default();
     targets.set(entry(None, READY));
     let word = target_word("t1");
-    let hint = |parts: &[Part]| {
+    let hint = |parts: &[PromptPart]| {
         let prompt: u64 = parts.iter().map(|p| p.tokens).sum();
         targets.hinted(word, Reading::of(prompt, prompt), parts, |_| KEPT);
     };
@@ -160,10 +161,10 @@
     let uncached = || targets.candidates(&request()).candidates.remove(0).1.uncached;
     assert_eq!(uncached(), 0);
     for id in 100..113 {
-        hint(&[Part { id, tokens: 1_000 }]);
+        hint(&[PromptPart { id, tokens: 1_000 }]);
     }
     assert_eq!(uncached(), 0, "all of it still fits");
-    hint(&[Part { id: 200, tokens: 5_000 }]);
+    hint(&[PromptPart { id: 200, tokens: 5_000 }]);
     assert_eq!(uncached(), 6_000);
 }
 
