--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -218,7 +218,7 @@
             }
         }
         exchange.whole = true;
-        Some(head.keep)
+        Some(head.keep_alive)
     };
     let keep = timeout(TIME_LEFT, answered).await.ok().flatten().unwrap_or(false);
     (exchange, keep)
--- a/soak/src/fatal.rs
+++ b/soak/src/fatal.rs
@@ -33,7 +33,7 @@
             // What becomes of it is seen at the targets.
             let _ = timeout(TIME_LEFT, async {
                 conn.write(&bytes).await?;
-                conn.has_more().await
+                conn.wait_for_data().await
             })
             .await;
         }
--- a/soak/src/zones.rs
+++ b/soak/src/zones.rs
@@ -101,7 +101,7 @@
             // What becomes of it is seen at the targets.
             let _ = timeout(TIME_LEFT, async {
                 conn.write(bytes.as_bytes()).await?;
-                conn.has_more().await
+                conn.wait_for_data().await
             })
             .await;
         }
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -115,7 +115,7 @@
     let limits = gw.limits();
     let more = tokio::select! {
         biased;
-        more = timeout(limits.idle_time, conn.has_more()) => more,
+        more = timeout(limits.idle_time, conn.wait_for_data()) => more,
         _ = phase.wait_for(|p| *p == Phase::Finishing) => return None,
     };
     if !matches!(more, Ok(Ok(true))) {
@@ -153,7 +153,7 @@
         let soon = Duration::from_millis(300);
         return Err(Some(Own::refusal("no_memory_for_body", soon)));
     }
-    if head.expects_continue && conn.is_drained() {
+    if head.expects_continue && conn.is_buffer_empty() {
         conn.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(|_| None)?;
     }
     let time = meta.time_left.unwrap_or(BODY_TIME);
@@ -195,7 +195,7 @@
     let admitted = tokio::select! {
         biased;
         admitted = Job::admit(gw, head, body, meta, started) => admitted,
-        () = conn.closed() => {
+        () = conn.wait_closed() => {
             note_left(gw, &id, started, false);
             return false;
         }
@@ -211,7 +211,7 @@
     let obtained = tokio::select! {
         biased;
         obtained = job.obtain(None) => obtained,
-        () = conn.closed() => {
+        () = conn.wait_closed() => {
             ended(&gw.stats, kind, "caller_left");
             note_left(gw, &id, started, job.may_have_run.get());
             job.left();
@@ -221,9 +221,9 @@
     match obtained {
         Ok(reply) => {
             let (status, target) = (reply.head.status, reply.flight.backend().id());
-            let (relayed, keep) = relay(&mut job, conn, reply).await;
+            let (relayed, keep_alive) = relay(&mut job, conn, reply).await;
             conclude(&job, relayed, status, &target);
-            keep
+            keep_alive
         }
         Err(own) => {
             ended(&gw.stats, kind, own.reason);
@@ -250,7 +250,7 @@
 ) -> bool {
     let Unadmitted { own, route, org } = refused;
     let (route, org) = (route.as_deref().unwrap_or("-"), org.as_deref().unwrap_or("-"));
-    let keep = head.keep && *gw.phase.borrow() == Phase::Up;
+    let keep_alive = head.keep_alive && *gw.phase.borrow() == Phase::Up;
     let ms = started.elapsed().as_millis();
     let after = own.retry_after.map(|d| d.as_millis());
     gw.log.note(
@@ -260,7 +260,7 @@
             own.status, own.reason
         ),
     );
-    write_own(conn, own, keep).await.is_ok() && keep
+    write_own(conn, own, keep_alive).await.is_ok() && keep_alive
 }
 
 fn conclude<P: Platform>(job: &Job<'_, P>, relayed: Relayed, status: u16, target: &str) {
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -59,8 +59,8 @@
 /// Until when a connection may be kept after an answer; none if the answer was its last.
 fn keep_until(answer: &ResponseHead) -> Option<Instant> {
     let stated = keep_alive_seconds(&answer.headers).map(Duration::from_secs);
-    let keep = stated.map_or(KEEP_DEFAULT, |s| s.mul_f64(KEEP_USED).min(KEEP_DEFAULT));
-    answer.keep.then(|| Instant::now() + keep)
+    let keep_alive = stated.map_or(KEEP_DEFAULT, |s| s.mul_f64(KEEP_USED).min(KEEP_DEFAULT));
+    answer.keep_alive.then(|| Instant::now() + keep_alive)
 }
 
 #[derive(Debug)]
@@ -81,7 +81,7 @@
         let now = Instant::now();
         self.idle.retain(|i| i.until > now);
         while let Some(mut idle) = self.idle.pop() {
-            if idle.conn.is_quiet() {
+            if idle.conn.is_reusable() {
                 return Some(Link { conn: idle.conn, used: true, until: Some(idle.until) });
             }
         }
@@ -96,7 +96,7 @@
     }
 
     fn keep(&mut self, mut conn: Conn, until: Instant) {
-        if self.idle.len() < MAX_IDLE && conn.is_quiet() {
+        if self.idle.len() < MAX_IDLE && conn.is_reusable() {
             self.idle.push(Idle { conn, until });
         }
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// `CallerLeft`.
-pub async fn write_own(caller: &mut Conn, own: &Own, keep: bool) -> Result<(), Relayed> {
+pub async fn write_own(caller: &mut Conn, own: &Own, keep_alive: bool) -> Result<(), Relayed> {
     use std::io::Write;
     let body = format!("{{\"error\":\"{}\"}}", own.reason);
     let mut out = Vec::with_capacity(256);
@@ -53,7 +53,7 @@
     if let Some(after) = own.retry_after {
         let _ = write!(out, "Retry-After: {:.3}\r\n", after.as_secs_f64());
     }
-    if !keep {
+    if !keep_alive {
         out.extend_from_slice(b"Connection: close\r\n");
     }
     let _ = write!(out, "Content-Length: {}\r\n\r\n{body}", body.len());
@@ -85,7 +85,7 @@
     AsSent,
 }
 
-fn encode_head(head: &ResponseHead, frame: Frame, keep: bool) -> Vec<u8> {
+fn encode_head(head: &ResponseHead, frame: Frame, keep_alive: bool) -> Vec<u8> {
     use std::io::Write;
     let mut out = Vec::with_capacity(256 + 64 * head.headers.len());
     // Writing into a vector cannot fail.
@@ -100,7 +100,7 @@
         Frame::Chunked => out.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
         Frame::UntilClose | Frame::AsSent => (),
     }
-    if !keep {
+    if !keep_alive {
         out.extend_from_slice(b"Connection: close\r\n");
     }
     out.extend_from_slice(b"\r\n");
@@ -129,7 +129,7 @@
 ) -> (Relayed, bool) {
     let Reply { head, start, rest, flight } = reply;
     let up = *job.gw.phase.borrow() == Phase::Up;
-    let mut keep = job.head.keep && up;
+    let mut keep_alive = job.head.keep_alive && up;
     let bodiless = job.head.method == "HEAD" || head.status == 204 || head.status == 304;
     let frame = match &rest {
         _ if bodiless => Frame::AsSent,
@@ -137,8 +137,8 @@
         Some(_) if job.head.http11 => Frame::Chunked,
         Some(_) => Frame::UntilClose,
     };
-    keep &= frame != Frame::UntilClose;
-    let mut out = encode_head(&head, frame, keep);
+    keep_alive &= frame != Frame::UntilClose;
+    let mut out = encode_head(&head, frame, keep_alive);
     chunk(&mut out, frame, &start);
     if let Some(events) = rest.as_ref().and_then(|r| r.stream.as_ref()).map(|s| s.events) {
         job.charge(events);
@@ -146,13 +146,13 @@
     if let Err(ended) = hand_over(caller, &out).await {
         return (ended, false);
     }
-    let Some(rest) = rest else { return (Relayed::Whole, keep) };
+    let Some(rest) = rest else { return (Relayed::Whole, keep_alive) };
     let mut ongoing = Ongoing { rest, head, flight, frame };
     let ended = ongoing.run(job, caller).await;
     if ended == Relayed::Whole {
         let Ongoing { rest, head, flight, .. } = ongoing;
         flight.backend().pool.borrow_mut().put(rest.conn, &head);
-        return (ended, keep);
+        return (ended, keep_alive);
     }
     (ended, false)
 }
@@ -171,7 +171,7 @@
             let step = tokio::select! {
                 biased;
                 piece = timeout_at(job.until, self.rest.conn.read_piece(&mut self.rest.body)) => piece,
-                () = caller.closed() => return Relayed::CallerLeft,
+                () = caller.wait_closed() => return Relayed::CallerLeft,
             };
             let Ok(piece) = step else { return Relayed::TimedOut };
             let written = match piece {
@@ -248,7 +248,7 @@
         let reply = tokio::select! {
             biased;
             reply = job.obtain(last.clone()) => reply,
-            () = caller.closed() => return Err(Relayed::CallerLeft),
+            () = caller.wait_closed() => return Err(Relayed::CallerLeft),
         };
         let Ok(Reply { head, start, rest: Some(mut rest), flight }) = reply else {
             return Err(Relayed::Broken);
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -6,7 +6,7 @@
 use super::backend::Flight;
 use super::outcome::Ended;
 use super::sse::{Events, Splitter};
-use crate::http1::{Conn, Decoder, ResponseHead};
+use crate::http1::{BodyDecoder, Conn, ResponseHead};
 
 /// A target's answer, as far as it was read.
 pub struct Reply {
@@ -25,7 +25,7 @@
     /// The connection to the target.
     pub conn: Conn,
     /// Framing of the body.
-    pub body: Decoder,
+    pub body: BodyDecoder,
     /// Set for a stream: its events so far.
     pub stream: Option<StreamState>,
 }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -16,7 +16,7 @@
 use super::request::{AddedHeaders, HeaderNames, encode_request};
 use super::state::Platform;
 use super::stats::noticed;
-use crate::http1::{Conn, Decoder, HeadError, ResponseHead, header};
+use crate::http1::{BodyDecoder, Conn, HeadError, ResponseHead, header};
 use crate::ids::Tokens;
 
 /// The longest response head that is accepted, in bytes.
@@ -234,7 +234,7 @@
         mut flight: Flight,
     ) -> Result<Reply, Ended> {
         if self.head.method == "HEAD" {
-            head.body = Decoder::length(0);
+            head.body = BodyDecoder::length(0);
         }
         let is_stream = self.route.kind.is_stream() && (200..300).contains(&head.status);
         let body = head.body;
@@ -294,7 +294,7 @@
             Some(piece) => start.extend_from_slice(&piece),
             None => {
                 // A body that ended with its connection is whole now.
-                rest.body = Decoder::length(0);
+                rest.body = BodyDecoder::length(0);
                 break;
             }
         }
--- a/src/http1/body.rs
+++ b/src/http1/body.rs
@@ -3,9 +3,9 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// The longest chunk-size or trailer line that is accepted, in bytes.
-const MAX_LINE: usize = 512;
+const MAX_LINE_BYTES: usize = 512;
 /// Hexadecimal digits of the largest chunk size that is accepted.
-const MAX_SIZE_DIGITS: usize = 8;
+const MAX_CHUNK_SIZE_DIGITS: usize = 8;
 
 /// Where a decoder stands.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -41,22 +41,22 @@
 
 /// Takes a body's payload out of a connection's bytes.
 #[derive(Clone, Copy, Debug)]
-pub struct Decoder(State);
+pub struct BodyDecoder(State);
 
-impl Decoder {
+impl BodyDecoder {
     /// A body of `n` bytes.
-    pub fn length(n: u64) -> Decoder {
-        Decoder(if n == 0 { State::Done } else { State::Length(n) })
+    pub fn length(n: u64) -> BodyDecoder {
+        BodyDecoder(if n == 0 { State::Done } else { State::Length(n) })
     }
 
     /// A body in chunks.
-    pub fn chunked() -> Decoder {
-        Decoder(State::ChunkSize)
+    pub fn chunked() -> BodyDecoder {
+        BodyDecoder(State::ChunkSize)
     }
 
     /// A body that ends with its connection.
-    pub fn until_close() -> Decoder {
-        Decoder(State::UntilClose)
+    pub fn until_close() -> BodyDecoder {
+        BodyDecoder(State::UntilClose)
     }
 
     /// Whether only the end of the connection ends this body.
@@ -86,12 +86,12 @@
                 _ if buf.is_empty() => return Step::More,
                 State::UntilClose => return Step::Piece(buf.split().freeze()),
                 State::Length(left) => {
-                    let (piece, left) = split(buf, left);
+                    let (piece, left) = take_up_to(buf, left);
                     self.0 = if left == 0 { State::Done } else { State::Length(left) };
                     return Step::Piece(piece);
                 }
                 State::Chunk(left) => {
-                    let (piece, left) = split(buf, left);
+                    let (piece, left) = take_up_to(buf, left);
                     self.0 = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
                     return Step::Piece(piece);
                 }
@@ -101,16 +101,16 @@
                     self.0 = State::ChunkSize;
                 }
                 State::ChunkEnd => return Step::Bad,
-                State::ChunkSize => match line(buf) {
+                State::ChunkSize => match take_line(buf) {
                     Line::More => return Step::More,
                     Line::Bad => return Step::Bad,
-                    Line::Whole(l) => match chunk_size(&l) {
+                    Line::Whole(l) => match parse_chunk_size(&l) {
                         None => return Step::Bad,
                         Some(0) => self.0 = State::Trailer,
                         Some(n) => self.0 = State::Chunk(n),
                     },
                 },
-                State::Trailer => match line(buf) {
+                State::Trailer => match take_line(buf) {
                     Line::More => return Step::More,
                     Line::Bad => return Step::Bad,
                     Line::Whole(l) if l.is_empty() => self.0 = State::Done,
@@ -122,7 +122,7 @@
 }
 
 /// Takes up to `left` bytes; returns them and how many are still missing.
-fn split(buf: &mut BytesMut, left: u64) -> (Bytes, u64) {
+fn take_up_to(buf: &mut BytesMut, left: u64) -> (Bytes, u64) {
     let n = usize::try_from(left).unwrap_or(usize::MAX).min(buf.len());
     (buf.split_to(n).freeze(), left - n as u64)
 }
@@ -134,24 +134,24 @@
 }
 
 /// Takes a line that ends with CR LF; a lone LF is no line end, or readers would differ.
-fn line(buf: &mut BytesMut) -> Line {
+fn take_line(buf: &mut BytesMut) -> Line {
     match buf.iter().position(|b| *b == b'\n') {
         Some(0) => Line::Bad,
-        Some(n) if n > MAX_LINE || buf[n - 1] != b'\r' => Line::Bad,
+        Some(n) if n > MAX_LINE_BYTES || buf[n - 1] != b'\r' => Line::Bad,
         Some(n) => {
             let mut l = buf.split_to(n + 1);
             l.truncate(n - 1);
             Line::Whole(l.freeze())
         }
-        None if buf.len() > MAX_LINE => Line::Bad,
+        None if buf.len() > MAX_LINE_BYTES => Line::Bad,
         None => Line::More,
     }
 }
 
-fn chunk_size(line: &[u8]) -> Option<u64> {
+fn parse_chunk_size(line: &[u8]) -> Option<u64> {
     let digits = line.split(|b| *b == b';').next()?.trim_ascii_end();
     let hex = !digits.is_empty()
-        && digits.len() <= MAX_SIZE_DIGITS
+        && digits.len() <= MAX_CHUNK_SIZE_DIGITS
         && digits.iter().all(u8::is_ascii_hexdigit);
     if !hex {
         return None;
--- a/src/http1/conn.rs
+++ b/src/http1/conn.rs
@@ -9,13 +9,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 
-use super::body::{Decoder, Step};
+use super::body::{BodyDecoder, Step};
 use super::head::{BadHead, RequestHead, ResponseHead, parse_request, parse_response};
 
 /// Bytes that are read ahead of what a request needs, at most; a peer that sends more waits.
-const READ_AHEAD: usize = 32 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 32 * 1024;
 /// Room asked for with each read. Small, because idle connections keep it.
-const READ_SIZE: usize = 4 * 1024;
+const READ_CHUNK_BYTES: usize = 4 * 1024;
 
 /// Why no head was read.
 #[derive(Debug)]
@@ -45,11 +45,11 @@
     ///
     /// # Errors
     /// Those of the socket options.
-    pub fn new(io: TcpStream, silence: Duration) -> io::Result<Conn> {
+    pub fn new(io: TcpStream, unacked_timeout: Duration) -> io::Result<Conn> {
         io.set_nodelay(true)?;
         let sock = SockRef::from(&io);
-        sock.set_tcp_user_timeout(Some(silence))?;
-        let probe = Duration::from_secs(silence.as_secs().max(1));
+        sock.set_tcp_user_timeout(Some(unacked_timeout))?;
+        let probe = Duration::from_secs(unacked_timeout.as_secs().max(1));
         sock.set_tcp_keepalive(&TcpKeepalive::new().with_time(probe).with_interval(probe))?;
         Ok(Conn { io, buf: BytesMut::new(), eof: false })
     }
@@ -58,30 +58,30 @@
     ///
     /// # Errors
     /// Those of connecting. There is no timeout here: callers set one.
-    pub async fn dial(addr: SocketAddr, silence: Duration) -> io::Result<Conn> {
+    pub async fn dial(addr: SocketAddr, unacked_timeout: Duration) -> io::Result<Conn> {
         let sock = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-        Conn::new(sock.connect(addr).await?, silence)
+        Conn::new(sock.connect(addr).await?, unacked_timeout)
     }
 
     /// Reads more bytes. Safe to cancel: no byte is lost.
     async fn fill(&mut self) -> io::Result<usize> {
-        if self.buf.is_empty() && self.buf.capacity() > READ_AHEAD {
+        if self.buf.is_empty() && self.buf.capacity() > MAX_READ_AHEAD_BYTES {
             self.buf = BytesMut::new();
         }
-        self.buf.reserve(READ_SIZE);
+        self.buf.reserve(READ_CHUNK_BYTES);
         let n = self.io.read_buf(&mut self.buf).await?;
         self.eof |= n == 0;
         Ok(n)
     }
 
     /// Whether nothing that was read is unused.
-    pub fn is_drained(&self) -> bool {
+    pub fn is_buffer_empty(&self) -> bool {
         self.buf.is_empty()
     }
 
     /// Whether a kept connection can take a request: open, and without bytes that no request
     /// asked for. Such bytes would be taken for the next answer.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn is_reusable(&mut self) -> bool {
         if self.eof || !self.buf.is_empty() {
             return false;
         }
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// Those of the socket; `false` is the end of the connection.
-    pub async fn has_more(&mut self) -> io::Result<bool> {
+    pub async fn wait_for_data(&mut self) -> io::Result<bool> {
         Ok(!self.buf.is_empty() || self.fill().await? > 0)
     }
 
@@ -106,7 +106,7 @@
             if let Some(head) = parse_request(&mut self.buf).map_err(HeadError::Bad)? {
                 return Ok(head);
             }
-            self.grow_head(max).await?;
+            self.read_more_of_head(max).await?;
         }
     }
 
@@ -119,11 +119,11 @@
             if let Some(head) = parse_response(&mut self.buf).map_err(HeadError::Bad)? {
                 return Ok(head);
             }
-            self.grow_head(max).await?;
+            self.read_more_of_head(max).await?;
         }
     }
 
-    async fn grow_head(&mut self, max: usize) -> Result<(), HeadError> {
+    async fn read_more_of_head(&mut self, max: usize) -> Result<(), HeadError> {
         if self.buf.len() > max {
             return Err(HeadError::TooLong);
         }
@@ -141,7 +141,7 @@
     /// `UnexpectedEof` if the connection ended within the body, `InvalidData` for broken
     /// framing, else those of the socket. A body that ends with its connection is whole only
     /// if the connection was closed in order, not reset.
-    pub async fn read_piece(&mut self, body: &mut Decoder) -> io::Result<Option<Bytes>> {
+    pub async fn read_piece(&mut self, body: &mut BodyDecoder) -> io::Result<Option<Bytes>> {
         loop {
             match body.decode(&mut self.buf) {
                 Step::Piece(piece) => return Ok(Some(piece)),
@@ -160,7 +160,11 @@
     ///
     /// # Errors
     /// As [`Conn::read_piece`].
-    pub async fn read_body(&mut self, mut body: Decoder, max: u64) -> io::Result<Option<Bytes>> {
+    pub async fn read_body(
+        &mut self,
+        mut body: BodyDecoder,
+        max: u64,
+    ) -> io::Result<Option<Bytes>> {
         if body.known_length().is_some_and(|n| n > max) {
             return Ok(None);
         }
@@ -184,8 +188,8 @@
 
     /// Returns once the peer has closed the connection or it broke. Bytes of a next request
     /// that arrive meanwhile are kept. Safe to cancel.
-    pub async fn closed(&mut self) {
-        while !self.eof && self.buf.len() < READ_AHEAD {
+    pub async fn wait_closed(&mut self) {
+        while !self.eof && self.buf.len() < MAX_READ_AHEAD_BYTES {
             if self.fill().await.is_err() {
                 return;
             }
@@ -223,7 +227,7 @@
             biased;
             done = wr.write_all(&bytes[sent..]) => done.map(|()| true),
             _ = async {
-                self.buf.reserve(READ_SIZE);
+                self.buf.reserve(READ_CHUNK_BYTES);
                 rd.read_buf(&mut self.buf).await
             } => Ok(false),
         }
--- a/src/http1/head.rs
+++ b/src/http1/head.rs
@@ -3,10 +3,10 @@
 use bytes::{Buf, Bytes, BytesMut};
 use compact_str::CompactString;
 
-use super::body::Decoder;
+use super::body::BodyDecoder;
 
 /// More header lines than this are refused.
-const MAX_HEADERS: usize = 96;
+const MAX_HEADER_LINES: usize = 96;
 
 /// One header line, its name as it was sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -71,9 +71,9 @@
     /// All header lines in their order.
     pub headers: Vec<Header>,
     /// How the body is framed.
-    pub body: Decoder,
+    pub body: BodyDecoder,
     /// Whether the connection can take another request after this one.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// Whether the caller understands chunked answers.
     pub http11: bool,
     /// Whether the caller waits for `100 Continue` before it sends the body.
@@ -90,12 +90,12 @@
     /// All header lines in their order.
     pub headers: Vec<Header>,
     /// How the body is framed.
-    pub body: Decoder,
+    pub body: BodyDecoder,
     /// Whether the connection can take another request after this response.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
-fn collect(lines: &[httparse::Header<'_>]) -> Vec<Header> {
+fn copy_headers(lines: &[httparse::Header<'_>]) -> Vec<Header> {
     let copy = |h: &httparse::Header<'_>| Header {
         name: h.name.into(),
         value: Bytes::copy_from_slice(h.value.trim_ascii()),
@@ -121,7 +121,7 @@
 }
 
 /// Whether the body is chunked; any other coding is an error.
-fn chunked(headers: &[Header]) -> Result<bool, BadHead> {
+fn is_chunked(headers: &[Header]) -> Result<bool, BadHead> {
     let mut codings = tokens(headers, "transfer-encoding");
     match (codings.next(), codings.next()) {
         (None, _) if headers.iter().any(|h| h.is("transfer-encoding")) => Err(BadHead::Malformed),
@@ -131,7 +131,7 @@
     }
 }
 
-fn keeps(headers: &[Header], http11: bool) -> bool {
+fn is_keep_alive(headers: &[Header], http11: bool) -> bool {
     let has = |t: &str| tokens(headers, "connection").any(|c| c.eq_ignore_ascii_case(t));
     if http11 { !has("close") } else { has("keep-alive") }
 }
@@ -145,32 +145,32 @@
 /// # Errors
 /// `Malformed` or `UnknownCoding`; the connection cannot be used any further.
 pub fn parse_request(buf: &mut BytesMut) -> Result<Option<RequestHead>, BadHead> {
-    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
     let mut req = httparse::Request::new(&mut lines);
     let len = match req.parse(buf) {
         Ok(httparse::Status::Complete(len)) => len,
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(BadHead::Malformed),
     };
-    let headers = collect(req.headers);
+    let headers = copy_headers(req.headers);
     let method = CompactString::from(req.method.unwrap_or_default());
     let target = CompactString::from(req.path.unwrap_or_default());
     let http11 = req.version == Some(1);
     let length = content_length(&headers)?;
-    let body = match (chunked(&headers)?, length) {
+    let body = match (is_chunked(&headers)?, length) {
         (true, Some(_)) => return Err(BadHead::Malformed),
         (true, None) if !http11 => return Err(BadHead::Malformed),
-        (true, None) => Decoder::chunked(),
-        (false, n) => Decoder::length(n.unwrap_or(0)),
+        (true, None) => BodyDecoder::chunked(),
+        (false, n) => BodyDecoder::length(n.unwrap_or(0)),
     };
     if http11 && headers.iter().filter(|h| h.is("host")).count() != 1 {
         return Err(BadHead::Malformed);
     }
-    let keep = keeps(&headers, http11);
+    let keep_alive = is_keep_alive(&headers, http11);
     let expects_continue =
         header(&headers, "expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"));
     buf.advance(len);
-    Ok(Some(RequestHead { method, target, headers, body, keep, http11, expects_continue }))
+    Ok(Some(RequestHead { method, target, headers, body, keep_alive, http11, expects_continue }))
 }
 
 /// Takes a response head from the front of `buf`; `None` while it is incomplete. Interim
@@ -180,7 +180,7 @@
 /// `Malformed` or `UnknownCoding`: what the peer sent is no response.
 pub fn parse_response(buf: &mut BytesMut) -> Result<Option<ResponseHead>, BadHead> {
     loop {
-        let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
         let mut res = httparse::Response::new(&mut lines);
         let len = match res.parse(buf) {
             Ok(httparse::Status::Complete(len)) => len,
@@ -188,7 +188,7 @@
             Err(_) => return Err(BadHead::Malformed),
         };
         let status = res.code.unwrap_or(0);
-        let headers = collect(res.headers);
+        let headers = copy_headers(res.headers);
         let reason = CompactString::from(res.reason.unwrap_or_default());
         let http11 = res.version == Some(1);
         buf.advance(len);
@@ -196,14 +196,14 @@
             continue;
         }
         let length = content_length(&headers)?;
-        let body = match (chunked(&headers)?, length) {
+        let body = match (is_chunked(&headers)?, length) {
             (true, Some(_)) => return Err(BadHead::Malformed),
-            _ if status == 204 || status == 304 => Decoder::length(0),
-            (true, None) => Decoder::chunked(),
-            (false, Some(n)) => Decoder::length(n),
-            (false, None) => Decoder::until_close(),
+            _ if status == 204 || status == 304 => BodyDecoder::length(0),
+            (true, None) => BodyDecoder::chunked(),
+            (false, Some(n)) => BodyDecoder::length(n),
+            (false, None) => BodyDecoder::until_close(),
         };
-        let keep = keeps(&headers, http11) && !body.ends_with_connection();
-        return Ok(Some(ResponseHead { status, reason, headers, body, keep }));
+        let keep_alive = is_keep_alive(&headers, http11) && !body.ends_with_connection();
+        return Ok(Some(ResponseHead { status, reason, headers, body, keep_alive }));
     }
 }
--- a/src/http1/mod.rs
+++ b/src/http1/mod.rs
@@ -9,7 +9,7 @@
 mod conn;
 mod head;
 
-pub use body::{Decoder, Step};
+pub use body::{BodyDecoder, Step};
 pub use conn::{Conn, HeadError};
 pub use head::{
     BadHead, Header, RequestHead, ResponseHead, header, keep_alive_seconds, parse_request,
--- a/src/standin/gateway_target.rs
+++ b/src/standin/gateway_target.rs
@@ -329,7 +329,7 @@
             Some(TargetFault::Fails) => write(conn, &self.short(500, &id, &seal, "failed")).await,
             Some(TargetFault::LosesAnswer) => false,
             Some(TargetFault::Hangs) => {
-                conn.closed().await;
+                conn.wait_closed().await;
                 self.shared.borrow_mut().closed_early += 1;
                 false
             }
@@ -385,7 +385,7 @@
             }
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             let left = tokio::select! {
-                () = conn.closed(), if !gap.is_zero() => true,
+                () = conn.wait_closed(), if !gap.is_zero() => true,
                 () = tokio::time::sleep(gap), if !gap.is_zero() => false,
                 else => false,
             };
--- a/tests/test_gateway.rs
+++ b/tests/test_gateway.rs
@@ -270,7 +270,7 @@
         fleet.targets[0].set_event_gap(Duration::from_millis(20));
         let mut conn = Conn::dial(fleet.router.front, Duration::from_secs(5)).await.unwrap();
         conn.write(&Call::get("/stream/a").tokens(10, 1_000).bytes()).await.unwrap();
-        assert!(conn.has_more().await.unwrap());
+        assert!(conn.wait_for_data().await.unwrap());
         drop(conn);
         let target = fleet.targets[0].clone();
         eventually("the target's connection closes", move || target.closed_early() == 1).await;
@@ -359,14 +359,14 @@
         let fleet = Fleet::start(1, 1_000).await;
         let mut conn = Conn::dial(fleet.router.front, Duration::from_secs(5)).await.unwrap();
         conn.write(&Call::get("/safe/a").bytes()).await.unwrap();
-        assert!(Got::read(&mut conn).await.head.unwrap().keep);
+        assert!(Got::read(&mut conn).await.head.unwrap().keep_alive);
         let gw = fleet.router.gw.clone();
         let stop = tokio::task::spawn_local(async move { drain::stop(&gw).await });
         eventually("leaving", || !fleet.router.gw.is_ready()).await;
         conn.write(&Call::get("/safe/b").bytes()).await.unwrap();
         let got = Got::read(&mut conn).await;
         assert_eq!(got.status(), 200);
-        assert!(!got.head.unwrap().keep);
+        assert!(!got.head.unwrap().keep_alive);
         stop.await.unwrap();
     });
 }
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -209,7 +209,7 @@
             tokio::select! {
                 () = eventually("it runs", || fleet.fatal_runs() > ran) => (),
                 // One that is held back is answered at once.
-                _ = conn.has_more() => (),
+                _ = conn.wait_for_data() => (),
             }
             drop(conn);
             if fleet.fatal_runs() == ran {
@@ -331,7 +331,7 @@
         let call = Call::get("/stream/a").tokens(10, 1_000);
         conn.write(&call.bytes()).await.unwrap();
         // The answer has begun: events of it are here.
-        assert!(conn.has_more().await.unwrap());
+        assert!(conn.wait_for_data().await.unwrap());
         fleet.targets.iter().find(|t| !t.runs().is_empty()).unwrap().end();
         assert!(!Got::read(&mut conn).await.whole);
         let stats = &fleet.routers[0].gw.stats;
--- a/tests/test_http1.rs
+++ b/tests/test_http1.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use kingcupwall::http1::{
-    BadHead, Decoder, Step, keep_alive_seconds, parse_request, parse_response,
+    BadHead, BodyDecoder, Step, keep_alive_seconds, parse_request, parse_response,
 };
 use rstest::rstest;
 
@@ -40,7 +40,10 @@
     }
     let mut buf = BytesMut::from(text);
     let head = parse_request(&mut buf).unwrap().unwrap();
-    assert_eq!((head.method.as_str(), head.target.as_str(), head.keep), ("POST", "/a?b", true));
+    assert_eq!(
+        (head.method.as_str(), head.target.as_str(), head.keep_alive),
+        ("POST", "/a?b", true)
+    );
     assert_eq!(head.body.known_length(), Some(2));
     assert_eq!(&buf[..], b"ok");
 }
@@ -51,9 +54,9 @@
 #[case("HTTP/1.1 200 OK\r\n\r\n", false)]
 #[case("HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\n", false)]
 #[case("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 None\r\n\r\n", true)]
-fn parse_response_keep(#[case] text: &str, #[case] keep: bool) {
+fn parse_response_keep(#[case] text: &str, #[case] keep_alive: bool) {
     let head = parse_response(&mut BytesMut::from(text)).unwrap().unwrap();
-    assert_eq!(head.keep, keep);
+    assert_eq!(head.keep_alive, keep_alive);
 }
 
 #[test]
@@ -64,7 +67,7 @@
 }
 
 /// All payload that `text` holds in pieces of `n` bytes, and the last step.
-fn decode(mut body: Decoder, text: &[u8], n: usize) -> (Vec<u8>, Step) {
+fn decode(mut body: BodyDecoder, text: &[u8], n: usize) -> (Vec<u8>, Step) {
     let (mut buf, mut out) = (BytesMut::new(), Vec::new());
     for piece in text.chunks(n) {
         buf.extend_from_slice(piece);
@@ -83,7 +86,7 @@
 fn decode_chunked_in_pieces() {
     let text = b"3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nTrailer: 1\r\n\r\nnext";
     for n in 1..text.len() {
-        let (out, end) = decode(Decoder::chunked(), text, n);
+        let (out, end) = decode(BodyDecoder::chunked(), text, n);
         assert_eq!((out.as_slice(), end), (&b"abc0123456789"[..], Step::Done), "{n}");
     }
 }
@@ -95,12 +98,12 @@
 #[case(b"0x3\r\nabc\r\n0\r\n\r\n")]
 #[case(b"fffffffff\r\nabc")]
 fn decode_chunked_bad(#[case] text: &[u8]) {
-    let (_, end) = decode(Decoder::chunked(), text, text.len());
+    let (_, end) = decode(BodyDecoder::chunked(), text, text.len());
     assert_eq!(end, Step::Bad);
 }
 
 #[test]
 fn decode_cut_is_not_whole() {
-    assert_eq!(decode(Decoder::length(5), b"1234", 2).1, Step::More);
-    assert_eq!(decode(Decoder::chunked(), b"4\r\n1234\r\n", 3).1, Step::More);
+    assert_eq!(decode(BodyDecoder::length(5), b"1234", 2).1, Step::More);
+    assert_eq!(decode(BodyDecoder::chunked(), b"4\r\n1234\r\n", 3).1, Step::More);
 }
