--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -10,7 +10,7 @@
 
 use super::forward::{Job, label};
 use super::refusal::{Own, Unadmitted};
-use super::relay::{Relayed, relay, write_own};
+use super::relay::{RelayOutcome, relay, write_router_response};
 use super::request::RequestMeta;
 use super::state::{Gateway, Phase, Platform};
 use super::stats::ended;
@@ -130,7 +130,7 @@
     };
     gw.log.note("refused", format_args!("status={} reason={}", own.status, own.reason));
     // The connection is closed either way.
-    let _ = write_own(conn, &own, false).await;
+    let _ = write_router_response(conn, &own, false).await;
     None
 }
 
@@ -185,7 +185,7 @@
                     format_args!("id={} status={} reason={}", meta.id, own.status, own.reason),
                 );
                 // The rest of the body is still on its way: the connection is closed.
-                let _ = write_own(conn, &own, false).await;
+                let _ = write_router_response(conn, &own, false).await;
             }
             return false;
         }
@@ -220,7 +220,7 @@
     };
     match obtained {
         Ok(reply) => {
-            let (status, target) = (reply.head.status, reply.flight.backend().id());
+            let (status, target) = (reply.head.status, reply.in_flight.backend().id());
             let (relayed, keep_alive) = relay(&mut job, conn, reply).await;
             conclude(&job, relayed, status, &target);
             keep_alive
@@ -260,17 +260,17 @@
             own.status, own.reason
         ),
     );
-    write_own(conn, own, keep_alive).await.is_ok() && keep_alive
+    write_router_response(conn, own, keep_alive).await.is_ok() && keep_alive
 }
 
-fn conclude<P: Platform>(job: &Job<'_, P>, relayed: Relayed, status: u16, target: &str) {
+fn conclude<P: Platform>(job: &Job<'_, P>, relayed: RelayOutcome, status: u16, target: &str) {
     let gw = job.gw;
     let outcome = match relayed {
-        Relayed::Whole if status < 400 => "answered",
-        Relayed::Whole => "target_failure",
-        Relayed::CallerLeft => "caller_left",
-        Relayed::Broken => "broken",
-        Relayed::TimedOut => "timed_out",
+        RelayOutcome::Complete if status < 400 => "answered",
+        RelayOutcome::Complete => "target_failure",
+        RelayOutcome::CallerLeft => "caller_left",
+        RelayOutcome::Broken => "broken",
+        RelayOutcome::TimedOut => "timed_out",
     };
     match outcome {
         "answered" => job.ended_well(),
@@ -292,7 +292,7 @@
         job.made.sends,
         took.as_millis(),
     );
-    if relayed == Relayed::Whole {
+    if relayed == RelayOutcome::Complete {
         gw.log.routine("done", fields);
     } else {
         gw.log.note("cut", fields);
--- a/src/gateway/liveness.rs
+++ b/src/gateway/liveness.rs
@@ -70,7 +70,7 @@
             Ok(link) => {
                 self.lives();
                 *reached = Some(began);
-                link.put_back(&mut pool.borrow_mut());
+                link.return_to(&mut pool.borrow_mut());
             }
             Err(e) => self.unreached(&e),
         }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -10,20 +10,20 @@
 use super::forward::Job;
 use super::liveness::await_evidence;
 use super::refusal::Own;
-use super::reply::{Reply, Rest};
+use super::reply::{RemainingBody, Reply};
 use super::request::{is_hop_by_hop, write_header_line};
 use super::state::{Phase, Platform};
 use crate::http1::{Conn, ResponseHead};
 
 /// How long a caller may take nothing before it counts as gone: its buffers hold seconds of a
 /// stream.
-const STALLED: Duration = Duration::from_secs(5);
+const CALLER_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How the relay of an answer ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Relayed {
+pub enum RelayOutcome {
     /// The caller has the whole answer.
-    Whole,
+    Complete,
     /// The caller left.
     CallerLeft,
     /// The target broke off, and the caller's connection was cut.
@@ -32,10 +32,10 @@
     TimedOut,
 }
 
-async fn hand_over(caller: &mut Conn, bytes: &[u8]) -> Result<(), Relayed> {
-    match timeout(STALLED, caller.write(bytes)).await {
+async fn write_to_caller(caller: &mut Conn, bytes: &[u8]) -> Result<(), RelayOutcome> {
+    match timeout(CALLER_WRITE_TIMEOUT, caller.write(bytes)).await {
         Ok(Ok(())) => Ok(()),
-        _ => Err(Relayed::CallerLeft),
+        _ => Err(RelayOutcome::CallerLeft),
     }
 }
 
@@ -43,12 +43,16 @@
 ///
 /// # Errors
 /// `CallerLeft`.
-pub async fn write_own(caller: &mut Conn, own: &Own, keep_alive: bool) -> Result<(), Relayed> {
+pub async fn write_router_response(
+    caller: &mut Conn,
+    own: &Own,
+    keep_alive: bool,
+) -> Result<(), RelayOutcome> {
     use std::io::Write;
     let body = format!("{{\"error\":\"{}\"}}", own.reason);
     let mut out = Vec::with_capacity(256);
     // Writing into a vector cannot fail.
-    let _ = write!(out, "HTTP/1.1 {} {}\r\n", own.status, phrase(own.status));
+    let _ = write!(out, "HTTP/1.1 {} {}\r\n", own.status, reason_phrase(own.status));
     out.extend_from_slice(b"Content-Type: application/json\r\n");
     if let Some(after) = own.retry_after {
         let _ = write!(out, "Retry-After: {:.3}\r\n", after.as_secs_f64());
@@ -57,10 +61,10 @@
         out.extend_from_slice(b"Connection: close\r\n");
     }
     let _ = write!(out, "Content-Length: {}\r\n\r\n{body}", body.len());
-    hand_over(caller, &out).await
+    write_to_caller(caller, &out).await
 }
 
-fn phrase(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         400 => "Bad Request",
         401 => "Unauthorized",
@@ -78,27 +82,27 @@
 
 /// How the answer is framed towards the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Frame {
+enum Framing {
     Length(u64),
     Chunked,
     UntilClose,
     AsSent,
 }
 
-fn encode_head(head: &ResponseHead, frame: Frame, keep_alive: bool) -> Vec<u8> {
+fn encode_head(head: &ResponseHead, framing: Framing, keep_alive: bool) -> Vec<u8> {
     use std::io::Write;
     let mut out = Vec::with_capacity(256 + 64 * head.headers.len());
     // Writing into a vector cannot fail.
     let _ = write!(out, "HTTP/1.1 {} {}\r\n", head.status, head.reason);
-    let passes =
-        |name: &str| frame == Frame::AsSent || !name.eq_ignore_ascii_case("content-length");
-    for h in head.headers.iter().filter(|h| !is_hop_by_hop(h) && passes(&h.name)) {
+    let is_relayed =
+        |name: &str| framing == Framing::AsSent || !name.eq_ignore_ascii_case("content-length");
+    for h in head.headers.iter().filter(|h| !is_hop_by_hop(h) && is_relayed(&h.name)) {
         write_header_line(&mut out, &h.name, &h.value);
     }
-    match frame {
-        Frame::Length(n) => drop(write!(out, "Content-Length: {n}\r\n")),
-        Frame::Chunked => out.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
-        Frame::UntilClose | Frame::AsSent => (),
+    match framing {
+        Framing::Length(n) => drop(write!(out, "Content-Length: {n}\r\n")),
+        Framing::Chunked => out.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
+        Framing::UntilClose | Framing::AsSent => (),
     }
     if !keep_alive {
         out.extend_from_slice(b"Connection: close\r\n");
@@ -107,12 +111,12 @@
     out
 }
 
-fn chunk(out: &mut Vec<u8>, frame: Frame, piece: &[u8]) {
+fn append_framed(out: &mut Vec<u8>, framing: Framing, piece: &[u8]) {
     use std::io::Write;
     if piece.is_empty() {
         return;
     }
-    if frame != Frame::Chunked {
+    if framing != Framing::Chunked {
         return out.extend_from_slice(piece);
     }
     // Writing into a vector cannot fail.
@@ -126,63 +130,65 @@
     job: &mut Job<'_, P>,
     caller: &mut Conn,
     reply: Reply,
-) -> (Relayed, bool) {
-    let Reply { head, start, rest, flight } = reply;
+) -> (RelayOutcome, bool) {
+    let Reply { head, first_bytes, remaining, in_flight } = reply;
     let up = *job.gw.phase.borrow() == Phase::Up;
     let mut keep_alive = job.head.keep_alive && up;
     let bodiless = job.head.method == "HEAD" || head.status == 204 || head.status == 304;
-    let frame = match &rest {
-        _ if bodiless => Frame::AsSent,
-        None => Frame::Length(start.len() as u64),
-        Some(_) if job.head.http11 => Frame::Chunked,
-        Some(_) => Frame::UntilClose,
+    let framing = match &remaining {
+        _ if bodiless => Framing::AsSent,
+        None => Framing::Length(first_bytes.len() as u64),
+        Some(_) if job.head.http11 => Framing::Chunked,
+        Some(_) => Framing::UntilClose,
     };
-    keep_alive &= frame != Frame::UntilClose;
-    let mut out = encode_head(&head, frame, keep_alive);
-    chunk(&mut out, frame, &start);
-    if let Some(events) = rest.as_ref().and_then(|r| r.stream.as_ref()).map(|s| s.events) {
+    keep_alive &= framing != Framing::UntilClose;
+    let mut out = encode_head(&head, framing, keep_alive);
+    append_framed(&mut out, framing, &first_bytes);
+    if let Some(events) = remaining.as_ref().and_then(|r| r.stream.as_ref()).map(|s| s.events) {
         job.charge(events);
     }
-    if let Err(ended) = hand_over(caller, &out).await {
+    if let Err(ended) = write_to_caller(caller, &out).await {
         return (ended, false);
     }
-    let Some(rest) = rest else { return (Relayed::Whole, keep_alive) };
-    let mut ongoing = Ongoing { rest, head, flight, frame };
+    let Some(remaining) = remaining else { return (RelayOutcome::Complete, keep_alive) };
+    let mut ongoing = OngoingRelay { remaining, head, in_flight, framing };
     let ended = ongoing.run(job, caller).await;
-    if ended == Relayed::Whole {
-        let Ongoing { rest, head, flight, .. } = ongoing;
-        flight.backend().pool.borrow_mut().put(rest.conn, &head);
+    if ended == RelayOutcome::Complete {
+        let OngoingRelay { remaining, head, in_flight, .. } = ongoing;
+        in_flight.backend().pool.borrow_mut().put(remaining.conn, &head);
         return (ended, keep_alive);
     }
     (ended, false)
 }
 
 /// An answer on its way.
-struct Ongoing {
-    rest: Rest,
+struct OngoingRelay {
+    remaining: RemainingBody,
     head: ResponseHead,
-    flight: super::backend::Flight,
-    frame: Frame,
+    in_flight: super::backend::Flight,
+    framing: Framing,
 }
 
-impl Ongoing {
-    async fn run<P: Platform>(&mut self, job: &mut Job<'_, P>, caller: &mut Conn) -> Relayed {
+impl OngoingRelay {
+    async fn run<P: Platform>(&mut self, job: &mut Job<'_, P>, caller: &mut Conn) -> RelayOutcome {
         loop {
             let step = tokio::select! {
                 biased;
-                piece = timeout_at(job.until, self.rest.conn.read_piece(&mut self.rest.body)) => piece,
-                () = caller.wait_closed() => return Relayed::CallerLeft,
+                piece = timeout_at(job.until, self.remaining.conn.read_piece(&mut self.remaining.body)) => piece,
+                () = caller.wait_closed() => return RelayOutcome::CallerLeft,
             };
-            let Ok(piece) = step else { return Relayed::TimedOut };
+            let Ok(piece) = step else { return RelayOutcome::TimedOut };
             let written = match piece {
                 Ok(Some(piece)) => match self.forwardable(job, &piece) {
                     Ok(Some(bytes)) => self.write(caller, &bytes).await,
                     Ok(None) => Ok(()),
-                    Err(()) => self.go_on_elsewhere(job, caller).await,
+                    Err(()) => self.resume_at_other_target(job, caller).await,
                 },
-                Ok(None) if self.is_cut() => self.go_on_elsewhere(job, caller).await,
+                Ok(None) if self.ends_within_event() => {
+                    self.resume_at_other_target(job, caller).await
+                }
                 Ok(None) => return self.finish(caller).await,
-                Err(_) => self.go_on_elsewhere(job, caller).await,
+                Err(_) => self.resume_at_other_target(job, caller).await,
             };
             if let Err(ended) = written {
                 return ended;
@@ -190,8 +196,8 @@
         }
     }
 
-    fn is_cut(&self) -> bool {
-        self.rest.stream.as_ref().is_some_and(|s| s.splitter.is_within_event())
+    fn ends_within_event(&self) -> bool {
+        self.remaining.stream.as_ref().is_some_and(|s| s.splitter.is_within_event())
     }
 
     /// The bytes that may be forwarded now: of a stream, whole events only.
@@ -200,7 +206,7 @@
         job: &mut Job<'_, P>,
         piece: &Bytes,
     ) -> Result<Option<Bytes>, ()> {
-        let Some(stream) = &mut self.rest.stream else { return Ok(Some(piece.clone())) };
+        let Some(stream) = &mut self.remaining.stream else { return Ok(Some(piece.clone())) };
         let events = stream.push(piece).map_err(|_| ())?;
         if events.is_some() {
             job.charge(stream.events);
@@ -208,60 +214,63 @@
         Ok(events)
     }
 
-    async fn write(&self, caller: &mut Conn, bytes: &[u8]) -> Result<(), Relayed> {
+    async fn write(&self, caller: &mut Conn, bytes: &[u8]) -> Result<(), RelayOutcome> {
         let mut out = Vec::with_capacity(bytes.len() + 16);
-        chunk(&mut out, self.frame, bytes);
-        hand_over(caller, &out).await
+        append_framed(&mut out, self.framing, bytes);
+        write_to_caller(caller, &out).await
     }
 
-    async fn finish(&self, caller: &mut Conn) -> Relayed {
-        if self.frame != Frame::Chunked {
-            return Relayed::Whole;
+    async fn finish(&self, caller: &mut Conn) -> RelayOutcome {
+        if self.framing != Framing::Chunked {
+            return RelayOutcome::Complete;
         }
-        hand_over(caller, b"0\r\n\r\n").await.err().unwrap_or(Relayed::Whole)
+        write_to_caller(caller, b"0\r\n\r\n").await.err().unwrap_or(RelayOutcome::Complete)
     }
 
     /// The target broke off. A resumable stream goes on at another target after the last whole
     /// event that the caller has; anything else ends here, cut so that it cannot look whole.
-    async fn go_on_elsewhere<P: Platform>(
+    async fn resume_at_other_target<P: Platform>(
         &mut self,
         job: &mut Job<'_, P>,
         caller: &mut Conn,
-    ) -> Result<(), Relayed> {
-        self.flight.backend().failed();
-        let Some(stream) = &self.rest.stream else { return Err(Relayed::Broken) };
+    ) -> Result<(), RelayOutcome> {
+        self.in_flight.backend().failed();
+        let Some(stream) = &self.remaining.stream else { return Err(RelayOutcome::Broken) };
         let (last, events): (Option<CompactString>, u64) = (stream.last_id.clone(), stream.events);
-        let may = job.route.kind == RouteKind::ResumableStream
+        let may_resume = job.route.kind == RouteKind::ResumableStream
             && last.is_some()
             && job.made.runs < job.route.max_attempts
             && job.gw.retries.borrow_mut().take(&job.service);
-        let (id, from) = (job.meta.id.clone(), self.flight.backend().id());
+        let (id, from) = (job.meta.id.clone(), self.in_flight.backend().id());
         job.gw.log.note(
             "stream_broken",
-            format_args!("id={id} target={from} events={events} last={last:?} resumes={may}"),
+            format_args!(
+                "id={id} target={from} events={events} last={last:?} resumes={may_resume}"
+            ),
         );
-        let found = job.broke_off(self.flight.backend());
-        if !may {
-            return Err(Relayed::Broken);
+        let found = job.broke_off(self.in_flight.backend());
+        if !may_resume {
+            return Err(RelayOutcome::Broken);
         }
         await_evidence(found).await;
         let reply = tokio::select! {
             biased;
             reply = job.obtain(last.clone()) => reply,
-            () = caller.wait_closed() => return Err(Relayed::CallerLeft),
+            () = caller.wait_closed() => return Err(RelayOutcome::CallerLeft),
         };
-        let Ok(Reply { head, start, rest: Some(mut rest), flight }) = reply else {
-            return Err(Relayed::Broken);
+        let Ok(Reply { head, first_bytes, remaining: Some(mut remaining), in_flight }) = reply
+        else {
+            return Err(RelayOutcome::Broken);
         };
-        let Some(stream) = rest.stream.as_mut().filter(|_| head.status == 200) else {
-            return Err(Relayed::Broken);
+        let Some(stream) = remaining.stream.as_mut().filter(|_| head.status == 200) else {
+            return Err(RelayOutcome::Broken);
         };
         stream.events += events;
         stream.last_id = stream.last_id.take().or(last);
         job.charge(stream.events);
-        self.rest = rest;
+        self.remaining = remaining;
         self.head = head;
-        self.flight = flight;
-        self.write(caller, &start).await
+        self.in_flight = in_flight;
+        self.write(caller, &first_bytes).await
     }
 }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -5,7 +5,7 @@
 
 use super::backend::Flight;
 use super::outcome::Ended;
-use super::sse::{Events, Splitter};
+use super::sse::{EventBatch, EventSplitter};
 use crate::http1::{BodyDecoder, Conn, ResponseHead};
 
 /// A target's answer, as far as it was read.
@@ -13,35 +13,35 @@
     /// Its head.
     pub head: ResponseHead,
     /// The answer's payload so far; for streams whole events only.
-    pub start: Bytes,
+    pub first_bytes: Bytes,
     /// What is still to come.
-    pub rest: Option<Rest>,
+    pub remaining: Option<RemainingBody>,
     /// The target's load; ends with the reply.
-    pub flight: Flight,
+    pub in_flight: Flight,
 }
 
 /// The part of an answer that is still to come.
-pub struct Rest {
+pub struct RemainingBody {
     /// The connection to the target.
     pub conn: Conn,
     /// Framing of the body.
     pub body: BodyDecoder,
     /// Set for a stream: its events so far.
-    pub stream: Option<StreamState>,
+    pub stream: Option<StreamProgress>,
 }
 
 /// How far a stream has come.
 #[derive(Debug, Default)]
-pub struct StreamState {
+pub struct StreamProgress {
     /// Cuts events out.
-    pub splitter: Splitter,
+    pub splitter: EventSplitter,
     /// The last event's id.
     pub last_id: Option<CompactString>,
     /// Whole events so far.
     pub events: u64,
 }
 
-impl StreamState {
+impl StreamProgress {
     /// Adds a piece of the stream; returns the whole events in it.
     ///
     /// # Errors
@@ -50,7 +50,7 @@
         let Some(events) = self.splitter.push(piece).map_err(|_| Ended::Truncated)? else {
             return Ok(None);
         };
-        let Events { bytes, count, last_id } = events;
+        let EventBatch { bytes, count, last_id } = events;
         self.events += count;
         if last_id.is_some() {
             self.last_id = last_id;
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -11,8 +11,8 @@
 use super::forward::Job;
 use super::notice::{Notice, RetryAfter};
 use super::outcome::Ended;
-use super::pool::{Link, dial};
-use super::reply::{Reply, Rest, StreamState};
+use super::pool::{TargetConn, dial};
+use super::reply::{RemainingBody, Reply, StreamProgress};
 use super::request::{AddedHeaders, HeaderNames, encode_request};
 use super::state::Platform;
 use super::stats::noticed;
@@ -20,15 +20,15 @@
 use crate::ids::Tokens;
 
 /// The longest response head that is accepted, in bytes.
-const MAX_RESPONSE_HEAD: usize = 32 * 1024;
+const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
 /// Plain answers up to this size are read whole before any byte is forwarded, so that a broken
 /// one can be asked for again and is never seen by the caller.
-const WHOLE_ANSWER: usize = 256 * 1024;
+const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 /// Answers to earlier requests that are skipped on a connection, at most.
-const MAX_STRAY: usize = 2;
+const MAX_STRAY_ANSWERS: usize = 2;
 /// Time after which a request that may be repeated goes to another target, against its aim: a
 /// target that hangs holds up everything sent to it, and its health answer may still be good.
-const PATIENCE_X: f64 = 2.0;
+const ANSWER_TIMEOUT_FACTOR: f64 = 2.0;
 
 impl<P: Platform> Job<'_, P> {
     /// Sends the request to one target and reads the answer, as much of it as is held back.
@@ -41,14 +41,14 @@
         self.tried.push(backend.id());
         self.at = Some(backend.clone());
         self.sent = Instant::now();
-        let flight = Flight::begin(backend, plan, self.sent);
+        let in_flight = Flight::begin(backend, plan, self.sent);
         let kept = backend.pool.borrow_mut().take();
-        let mut link = match kept {
-            Some(link) => link,
+        let mut target_conn = match kept {
+            Some(target_conn) => target_conn,
             None => match dial(backend.addr()).await {
-                Ok(link) => {
+                Ok(target_conn) => {
                     backend.life.lives();
-                    link
+                    target_conn
                 }
                 Err(e) => {
                     backend.life.unreached(&e);
@@ -56,19 +56,19 @@
                 }
             },
         };
-        if let Err(held_off) = self.admit_to(backend).await {
-            link.put_back(&mut backend.pool.borrow_mut());
+        if let Err(held_off) = self.check_before_send(backend).await {
+            target_conn.return_to(&mut backend.pool.borrow_mut());
             return Err(held_off);
         }
-        flight.leaves(&self.meta.parts);
+        in_flight.leaves(&self.meta.parts);
         let target = backend.id();
-        let add = AddedHeaders {
+        let added = AddedHeaders {
             target: &target,
             organisation: self.org.as_deref(),
             time_left: self.until.saturating_duration_since(Instant::now()),
             resume_after,
         };
-        let bytes = encode_request(self.names(), self.head, &self.body, &add);
+        let bytes = encode_request(self.names(), self.head, &self.body, &added);
         self.made.sends += 1;
         self.made.runs += 1;
         let ran_before = self.may_have_run.replace(true);
@@ -78,9 +78,9 @@
         if plan.engine {
             self.gw.hints.placed(&target, plan, &self.meta.parts);
         }
-        let outcome = self.answer(&mut link, &bytes, plan).await;
+        let outcome = self.exchange(&mut target_conn, &bytes, plan).await;
         match outcome {
-            Ok(head) => self.read_start(link.conn, head, flight).await,
+            Ok(head) => self.read_reply(target_conn.conn, head, in_flight).await,
             Err(ended) => {
                 if !ended.may_have_run() {
                     self.made.runs -= 1;
@@ -88,7 +88,7 @@
                     if let Some(hold) = self.hold.as_mut().filter(|_| self.made.runs == 0) {
                         hold.cost(Tokens(0));
                     }
-                    link.put_back(&mut backend.pool.borrow_mut());
+                    target_conn.return_to(&mut backend.pool.borrow_mut());
                 }
                 Err(ended)
             }
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// `HeldOff`.
-    async fn admit_to(&self, backend: &Backend) -> Result<(), Ended> {
+    async fn check_before_send(&self, backend: &Backend) -> Result<(), Ended> {
         let (service, zone, id) = {
             let info = backend.info.borrow();
             (info.service.clone(), info.zone.clone(), info.id.clone())
@@ -136,58 +136,64 @@
     }
 
     /// Writes the request and reads the head of the answer to it.
-    async fn answer(
+    async fn exchange(
         &self,
-        link: &mut Link,
+        target_conn: &mut TargetConn,
         bytes: &[u8],
         plan: &Planned,
     ) -> Result<ResponseHead, Ended> {
-        let exchange = async {
-            link.conn.write_until_answered(bytes).await.map_err(|_| Ended::NoAnswer)?;
-            self.read_own_head(link).await
+        let outcome = async {
+            target_conn.conn.write_until_answered(bytes).await.map_err(|_| Ended::NoAnswer)?;
+            self.read_matching_head(target_conn).await
         };
-        match self.patience(plan) {
-            Some(patience) => timeout(patience, exchange).await.map_err(|_| Ended::Silent)?,
-            None => exchange.await,
+        match self.answer_timeout(plan) {
+            Some(answer_timeout) => {
+                timeout(answer_timeout, outcome).await.map_err(|_| Ended::Silent)?
+            }
+            None => outcome.await,
         }
     }
 
     /// How long to wait for an answer before another target is asked; none if there may be no
     /// other.
-    fn patience(&self, plan: &Planned) -> Option<Duration> {
+    fn answer_timeout(&self, plan: &Planned) -> Option<Duration> {
         let may = self.route.kind.repeats() && self.made.runs < self.route.max_attempts;
         let predicted = Duration::from_secs_f64(plan.predicted_ms / 1_000.0);
-        may.then(|| self.route.aim.mul_f64(PATIENCE_X) + predicted)
+        may.then(|| self.route.aim.mul_f64(ANSWER_TIMEOUT_FACTOR) + predicted)
     }
 
     /// Reads response heads up to the one that echoes this request's id. Others belong to
     /// requests before it on the same connection, and are skipped with their bodies: taken for
     /// ours, they would hand one caller's answer to another.
-    async fn read_own_head(&self, link: &mut Link) -> Result<ResponseHead, Ended> {
+    async fn read_matching_head(
+        &self,
+        target_conn: &mut TargetConn,
+    ) -> Result<ResponseHead, Ended> {
         let names = self.names();
-        for _ in 0..=MAX_STRAY {
-            let head = link.conn.read_response(MAX_RESPONSE_HEAD).await.map_err(|e| {
-                let id = &self.meta.id;
-                let used = link.used;
-                let cause = match e {
-                    HeadError::Closed => "closed",
-                    HeadError::Broken(_) => "broken",
-                    HeadError::Bad(_) => "not_http",
-                    HeadError::TooLong => "head_too_long",
-                };
-                self.gw.log.note(
-                    "answer",
-                    format_args!("id={id} outcome=unreadable cause={cause} kept={used}"),
-                );
-                Ended::NoAnswer
-            })?;
-            self.hear(&head);
+        for _ in 0..=MAX_STRAY_ANSWERS {
+            let head =
+                target_conn.conn.read_response(MAX_RESPONSE_HEAD_BYTES).await.map_err(|e| {
+                    let id = &self.meta.id;
+                    let used = target_conn.used;
+                    let cause = match e {
+                        HeadError::Closed => "closed",
+                        HeadError::Broken(_) => "broken",
+                        HeadError::Bad(_) => "not_http",
+                        HeadError::TooLong => "head_too_long",
+                    };
+                    self.gw.log.note(
+                        "answer",
+                        format_args!("id={id} outcome=unreadable cause={cause} kept={used}"),
+                    );
+                    Ended::NoAnswer
+                })?;
+            self.apply_notice(&head);
             let echoed = header(&head.headers, &names.request_id);
             let is_ours = echoed == Some(self.meta.id.as_str());
-            let fresh = !link.used && echoed.is_none();
+            let fresh = !target_conn.used && echoed.is_none();
             if is_ours || fresh {
-                if let Some(ended) = not_run(names, &head) {
-                    link.skip(head).await;
+                if let Some(ended) = not_run_proof(names, &head) {
+                    target_conn.discard_body(head).await;
                     return Err(ended);
                 }
                 return if is_ours { Ok(head) } else { Err(Ended::NoAnswer) };
@@ -201,13 +207,19 @@
             if body.ends_with_connection() {
                 return Err(Ended::NoAnswer);
             }
-            while link.conn.read_piece(&mut body).await.map_err(|_| Ended::NoAnswer)?.is_some() {}
+            while target_conn
+                .conn
+                .read_piece(&mut body)
+                .await
+                .map_err(|_| Ended::NoAnswer)?
+                .is_some()
+            {}
         }
         Err(Ended::NoAnswer)
     }
 
     /// Takes in what an answer says of the target that gave it, whichever request it belongs to.
-    fn hear(&self, head: &ResponseHead) {
+    fn apply_notice(&self, head: &ResponseHead) {
         let notice = Notice::read(self.names(), head);
         let Some(backend) = self.at.as_ref().filter(|_| notice != Notice::default()) else {
             return;
@@ -227,54 +239,63 @@
         );
     }
 
-    async fn read_start(
+    async fn read_reply(
         &mut self,
         conn: Conn,
         mut head: ResponseHead,
-        mut flight: Flight,
+        mut in_flight: Flight,
     ) -> Result<Reply, Ended> {
         if self.head.method == "HEAD" {
             head.body = BodyDecoder::length(0);
         }
         let is_stream = self.route.kind.is_stream() && (200..300).contains(&head.status);
         let body = head.body;
-        let mut rest = Rest { conn, body, stream: is_stream.then(StreamState::default) };
-        let start = if is_stream {
-            self.first_events(&mut rest, &mut flight).await?
+        let mut remaining =
+            RemainingBody { conn, body, stream: is_stream.then(StreamProgress::default) };
+        let first_bytes = if is_stream {
+            self.read_first_events(&mut remaining, &mut in_flight).await?
         } else {
-            whole_or_start(&mut rest).await?
+            buffer_answer(&mut remaining).await?
         };
-        flight.backend().answered();
-        let rest = if rest.body.is_done() && !is_stream {
-            flight.backend().pool.borrow_mut().put(rest.conn, &head);
+        in_flight.backend().answered();
+        let remaining = if remaining.body.is_done() && !is_stream {
+            in_flight.backend().pool.borrow_mut().put(remaining.conn, &head);
             None
         } else {
-            Some(rest)
+            Some(remaining)
         };
-        Ok(Reply { head, start, rest, flight })
+        Ok(Reply { head, first_bytes, remaining, in_flight })
     }
 
     /// Waits for a stream's first whole event: until then the caller has nothing, and another
     /// target can take over if this one breaks off.
-    async fn first_events(&self, rest: &mut Rest, flight: &mut Flight) -> Result<Bytes, Ended> {
-        let stream = rest.stream.as_mut().expect("a stream has its state");
+    async fn read_first_events(
+        &self,
+        remaining: &mut RemainingBody,
+        in_flight: &mut Flight,
+    ) -> Result<Bytes, Ended> {
+        let stream = remaining.stream.as_mut().expect("a stream has its state");
         loop {
-            let piece = rest.conn.read_piece(&mut rest.body).await.map_err(|_| Ended::Truncated)?;
+            let piece = remaining
+                .conn
+                .read_piece(&mut remaining.body)
+                .await
+                .map_err(|_| Ended::Truncated)?;
             let Some(piece) = piece else { return Ok(Bytes::new()) };
             if let Some(events) = stream.push(&piece)? {
-                let took = flight.first_event();
+                let took = in_flight.first_event();
                 self.gw.stats.first_event.observe((Instant::now() - self.started).as_secs_f64());
-                let (id, backend) = (&self.meta.id, flight.backend());
+                let (id, backend) = (&self.meta.id, in_flight.backend());
                 self.gw.log.routine(
                     "placed",
                     format_args!(
                         "id={id} route={} target={} wait_ms={:.0} predicted_ms={:.0} first_ms={} uncached={} prompt={} most_output={} estimate={:?}",
                         self.route.name,
                         backend.id(),
-                        flight.plan().wait_ms,
-                        flight.plan().predicted_ms,
+                        in_flight.plan().wait_ms,
+                        in_flight.plan().predicted_ms,
                         took.as_millis(),
-                        flight.plan().uncached,
+                        in_flight.plan().uncached,
                         self.meta.prompt,
                         self.meta.max_output,
                         self.meta.estimate,
@@ -287,23 +308,23 @@
 }
 
 /// Reads a plain answer, whole if it is not too large.
-async fn whole_or_start(rest: &mut Rest) -> Result<Bytes, Ended> {
-    let mut start = BytesMut::new();
-    while start.len() < WHOLE_ANSWER {
-        match rest.conn.read_piece(&mut rest.body).await.map_err(|_| Ended::Truncated)? {
-            Some(piece) => start.extend_from_slice(&piece),
+async fn buffer_answer(remaining: &mut RemainingBody) -> Result<Bytes, Ended> {
+    let mut first_bytes = BytesMut::new();
+    while first_bytes.len() < MAX_BUFFERED_ANSWER_BYTES {
+        match remaining.conn.read_piece(&mut remaining.body).await.map_err(|_| Ended::Truncated)? {
+            Some(piece) => first_bytes.extend_from_slice(&piece),
             None => {
                 // A body that ended with its connection is whole now.
-                rest.body = BodyDecoder::length(0);
+                remaining.body = BodyDecoder::length(0);
                 break;
             }
         }
     }
-    Ok(start.freeze())
+    Ok(first_bytes.freeze())
 }
 
 /// Whether a response proves that its target did not run the request.
-fn not_run(names: &HeaderNames, head: &ResponseHead) -> Option<Ended> {
+fn not_run_proof(names: &HeaderNames, head: &ResponseHead) -> Option<Ended> {
     if head.status == 421 {
         return Some(Ended::OtherTarget);
     }
--- a/src/gateway/sse.rs
+++ b/src/gateway/sse.rs
@@ -4,21 +4,21 @@
 use compact_str::CompactString;
 
 /// The longest event that is accepted, in bytes; a longer one is no event.
-const MAX_EVENT: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// The bytes of a stream cannot be events.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct NoEvents;
+pub struct InvalidEvents;
 
 /// Cuts a stream into whole events, so that no part of a broken one is ever forwarded.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     buf: BytesMut,
 }
 
 /// Whole events that arrived together.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Events {
+pub struct EventBatch {
     /// Their bytes, as sent.
     pub bytes: Bytes,
     /// How many.
@@ -27,28 +27,28 @@
     pub last_id: Option<CompactString>,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Adds a piece, and takes out all events that are whole by now.
     ///
     /// # Errors
     /// If the bytes cannot be events.
-    pub fn push(&mut self, piece: &[u8]) -> Result<Option<Events>, NoEvents> {
+    pub fn push(&mut self, piece: &[u8]) -> Result<Option<EventBatch>, InvalidEvents> {
         let scanned = self.buf.len().saturating_sub(3);
         self.buf.extend_from_slice(piece);
         let mut end = 0;
         let mut count = 0;
         let mut i = scanned;
-        while let Some(len) = blank_line(&self.buf[i..]) {
+        while let Some(len) = find_event_end(&self.buf[i..]) {
             i += len;
             end = i;
             count += 1;
         }
         if end == 0 {
-            return if self.buf.len() > MAX_EVENT { Err(NoEvents) } else { Ok(None) };
+            return if self.buf.len() > MAX_EVENT_BYTES { Err(InvalidEvents) } else { Ok(None) };
         }
         let bytes = self.buf.split_to(end).freeze();
         let last_id = last_id(&bytes);
-        Ok(Some(Events { bytes, count, last_id }))
+        Ok(Some(EventBatch { bytes, count, last_id }))
     }
 
     /// Whether an event has begun and is not whole.
@@ -58,7 +58,7 @@
 }
 
 /// The distance to the end of the next blank line.
-fn blank_line(buf: &[u8]) -> Option<usize> {
+fn find_event_end(buf: &[u8]) -> Option<usize> {
     let lf = buf.windows(2).position(|w| w == b"\n\n").map(|i| i + 2);
     let crlf = buf.windows(4).position(|w| w == b"\r\n\r\n").map(|i| i + 4);
     match (lf, crlf) {
--- a/tests/test_gateway_decisions.rs
+++ b/tests/test_gateway_decisions.rs
@@ -10,7 +10,7 @@
 use kingcupwall::gateway::reach::ZoneRegions;
 use kingcupwall::gateway::refusal::resting_refusal;
 use kingcupwall::gateway::retries::{RetryAllowance, RetryShares};
-use kingcupwall::gateway::sse::Splitter;
+use kingcupwall::gateway::sse::EventSplitter;
 use kingcupwall::rows::StoreMs;
 use kingcupwall::standin::gateway::{parts, route};
 use proptest::prelude::*;
@@ -242,7 +242,7 @@
     #[test]
     fn splitter_whole_events(cuts in proptest::collection::vec(1_usize..30, 1..40)) {
         let text: String = (1..40).map(|n| format!("id: {n}\ndata: {}\n\n", "x".repeat(n % 7))).collect();
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let (mut rest, mut out, mut count, mut last) = (text.as_bytes(), Vec::new(), 0, None);
         for n in cuts.iter().cycle() {
             if rest.is_empty() {
