--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -19,7 +19,7 @@
 use super::reply::Reply;
 use super::request::{HeaderNames, RequestMeta, host, path};
 use super::state::{Gateway, Platform};
-use super::stats::sent;
+use super::stats::count_failed_send;
 use super::sync::confirm_config;
 use super::targets::{Found, PlaceRequest};
 use crate::allowance::{Asked, Hold, Refusal};
@@ -27,16 +27,16 @@
 use crate::ids::Tokens;
 
 /// Least time that a target must have left; less is spent on the way.
-const LEAST_TIME: Duration = Duration::from_millis(5);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 /// When to come back if this router lacks a part of the budget: a cut from the store lasts
 /// seconds, other routers may have a part.
-const COME_BACK_BUDGET: Duration = Duration::from_millis(800);
+const BUDGET_RETRY_AFTER: Duration = Duration::from_millis(800);
 
 /// When to come back while all zones that have targets are emptied: the operator's work lasts
 /// longer than a caller may wait between two attempts.
-const COME_BACK_EMPTIED: Duration = Duration::from_secs(3);
+const ZONES_EMPTIED_RETRY_AFTER: Duration = Duration::from_secs(3);
 /// Each rank of urgency waits so much longer for room at a cold target than the one before it.
-const RANK_PAUSE: Duration = Duration::from_millis(10);
+const COLD_WAIT_PER_RANK: Duration = Duration::from_millis(10);
 
 /// Why a request has no target.
 enum Unplaced {
@@ -59,7 +59,7 @@
     /// When its first byte was read.
     pub started: Instant,
     /// When the caller or the operator wants an answer at the latest.
-    pub until: Instant,
+    pub deadline: Instant,
     /// The configuration that decides about it.
     pub catalog: Rc<Catalog>,
     /// Its route.
@@ -71,15 +71,15 @@
     /// Its part of the budget.
     pub hold: Option<Hold<P>>,
     /// Sends so far.
-    pub made: Made,
+    pub send_counts: Made,
     /// Whether some target may have run it.
     pub may_have_run: Cell<bool>,
     /// Targets it was sent to.
     pub tried: Vec<CompactString>,
     /// The last of them, and when it was sent there.
-    pub(super) at: Option<Rc<Backend>>,
+    pub(super) current_target: Option<Rc<Backend>>,
     /// See `at`.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// Computed when it is first asked for; see `Job::fingerprint`.
     pub(super) fingerprint: OnceCell<Fingerprint>,
 }
@@ -94,25 +94,25 @@
     head: &RequestHead,
     meta: &RequestMeta,
 ) -> Result<(Rc<Catalog>, Route, Option<CompactString>), Own> {
-    let look = || -> Result<_, Own> {
+    let lookup = || -> Result<_, Own> {
         let catalog = gw.config().ok_or(Own::refusal("no_configuration", COME_BACK))?;
         let route = catalog.route(host(head), path(head)).ok_or(Own::new(404, "no_route"))?;
         let route = route.clone();
-        let org = owner(&catalog, &route, meta)?;
+        let org = authenticate(&catalog, &route, meta)?;
         Ok((catalog, route, org))
     };
-    match look() {
+    match lookup() {
         Err(own) if own.status != 503 => {
             if !confirm_config(gw).await {
                 return Err(Own::refusal("configuration_not_confirmed", COME_BACK));
             }
-            look()
+            lookup()
         }
         found => found,
     }
 }
 
-fn owner(
+fn authenticate(
     catalog: &Catalog,
     route: &Route,
     meta: &RequestMeta,
@@ -142,7 +142,7 @@
         let known = (route.name.clone(), org.clone());
         let refused = |own| Unadmitted { own, route: Some(known.0.clone()), org: known.1.clone() };
         let wait = meta.time_left.map_or(route.timeout, |t| t.min(route.timeout));
-        let until = started + wait;
+        let deadline = started + wait;
         let draw = fastrand::f64();
         let service = route.service(draw).cloned();
         let service = service.ok_or_else(|| refused(Own::refusal("no_service", COME_BACK)))?;
@@ -153,27 +153,27 @@
             body,
             meta,
             started,
-            until,
+            deadline,
             catalog,
             route,
             service,
             org,
             hold: None,
-            made: Made { runs: 0, sends: 0 },
+            send_counts: Made { runs: 0, sends: 0 },
             may_have_run: Cell::new(false),
             tried: Vec::new(),
-            at: None,
-            sent: started,
+            current_target: None,
+            sent_at: started,
             fingerprint: OnceCell::new(),
         };
         // First, so that it takes no part of the budget and waits for none.
         job.check_quarantine().map_err(&refused)?;
-        job.take_budget().await.map_err(&refused)?;
+        job.reserve_budget().await.map_err(&refused)?;
         Ok(job)
     }
 
     /// Takes the most that the request can cost out of its organisation's budget.
-    async fn take_budget(&mut self) -> Result<(), Own> {
+    async fn reserve_budget(&mut self) -> Result<(), Own> {
         let max_cost = Tokens(self.meta.max_cost());
         let Some(org) = self.org.as_deref().filter(|_| max_cost.0 > 0) else { return Ok(()) };
         let prepaid = self.catalog.organisation(self.meta.key.as_deref().unwrap_or_default());
@@ -181,13 +181,13 @@
             return Ok(());
         }
         let keeper = &self.gw.keeper;
-        let mut taken = keeper.hold_by(org, max_cost, self.until).await;
+        let mut taken = keeper.hold_by(org, max_cost, self.deadline).await;
         // The amount may have been raised a moment ago.
         if matches!(taken, Err(Refusal::Spent)) && confirm_config(self.gw).await {
-            taken = keeper.hold_by(org, max_cost, self.until).await;
+            taken = keeper.hold_by(org, max_cost, self.deadline).await;
             if matches!(taken, Err(Refusal::Spent)) {
                 let own = Own::new(402, "budget_spent");
-                return Err(self.no_budget(org, Asked::default(), own));
+                return Err(self.log_budget_refusal(org, Asked::default(), own));
             }
         }
         match taken {
@@ -200,14 +200,14 @@
                     Refusal::NoneHere(asked) => asked,
                     Refusal::Spent => Asked::default(),
                 };
-                let after = asked.room.unwrap_or(COME_BACK_BUDGET);
+                let after = asked.room.unwrap_or(BUDGET_RETRY_AFTER);
                 let after = after.clamp(COME_BACK, MOST_COME_BACK);
-                Err(self.no_budget(org, asked, Own::refusal("budget_not_here", after)))
+                Err(self.log_budget_refusal(org, asked, Own::refusal("budget_not_here", after)))
             }
         }
     }
 
-    fn no_budget(&self, org: &str, asked: Asked, own: Own) -> Own {
+    fn log_budget_refusal(&self, org: &str, asked: Asked, own: Own) -> Own {
         let state = self.gw.keeper.describe(org);
         let (id, max_cost) = (&self.meta.id, self.meta.max_cost());
         self.gw.log.note(
@@ -220,8 +220,8 @@
         own
     }
 
-    pub(super) fn names(&self) -> &HeaderNames {
-        self.gw.platform.names()
+    pub(super) fn header_names(&self) -> &HeaderNames {
+        self.gw.platform.header_names()
     }
 
     fn is_engine(&self) -> bool {
@@ -229,7 +229,7 @@
     }
 
     /// Tokens of `events` events, at the most.
-    fn tokens_of(&self, events: u64) -> u64 {
+    fn max_tokens_of(&self, events: u64) -> u64 {
         let engine = self.catalog.service(&self.service).and_then(|s| s.engine);
         match engine.map_or(0, |e| e.tokens_per_event) {
             0 if events > 0 => self.meta.max_output,
@@ -239,7 +239,7 @@
 
     /// Notes what the request has cost once `events` events were handed to the caller.
     pub fn charge(&mut self, events: u64) {
-        let cost = self.meta.prompt + self.tokens_of(events);
+        let cost = self.meta.prompt + self.max_tokens_of(events);
         if let Some(hold) = &mut self.hold {
             hold.cost(Tokens(cost));
             if events > 0 {
@@ -253,42 +253,46 @@
     ///
     /// # Errors
     /// The router's own answer.
-    pub async fn obtain(&mut self, resume_after: Option<CompactString>) -> Result<Reply, Own> {
-        let until = self.until;
-        match timeout_at(until, self.obtain_untimed(resume_after)).await {
+    pub async fn fetch_reply(&mut self, resume_after: Option<CompactString>) -> Result<Reply, Own> {
+        let deadline = self.deadline;
+        match timeout_at(deadline, self.fetch_reply_untimed(resume_after)).await {
             Ok(reply) => reply,
             Err(_) if self.may_have_run.get() => Err(Own::new(504, "timeout")),
             Err(_) => Err(Own::refusal("timeout_before_send", COME_BACK)),
         }
     }
 
-    async fn obtain_untimed(&mut self, resume_after: Option<CompactString>) -> Result<Reply, Own> {
-        let mut own_failure: Option<Reply> = None;
+    async fn fetch_reply_untimed(
+        &mut self,
+        resume_after: Option<CompactString>,
+    ) -> Result<Reply, Own> {
+        let mut failure_reply: Option<Reply> = None;
         loop {
             // Before each send, not only the first: the one before may have ended a target, and
             // retries that are allowed by id and by service would end the next.
             if let Err(own) = self.check_quarantine() {
-                return own_failure.ok_or(self.after_runs(own));
+                return failure_reply.ok_or(self.map_refusal(own));
             }
-            let (backend, plan) = match self.choose() {
+            let (backend, plan) = match self.choose_target() {
                 Ok(chosen) => chosen,
-                Err(Unplaced::Cold { room_in }) if self.may_wait(room_in) => {
-                    sleep(self.wait_for_room(room_in)).await;
+                Err(Unplaced::Cold { room_in }) if self.can_wait_for_room(room_in) => {
+                    sleep(self.room_wait(room_in)).await;
                     continue;
                 }
                 Err(Unplaced::Cold { room_in }) => {
-                    return own_failure.ok_or(self.after_runs(cold_refusal(room_in)));
+                    return failure_reply.ok_or(self.map_refusal(cold_refusal(room_in)));
                 }
-                Err(Unplaced::Refused(own)) => return own_failure.ok_or(self.after_runs(own)),
+                Err(Unplaced::Refused(own)) => return failure_reply.ok_or(self.map_refusal(own)),
             };
-            if self.until - Instant::now() < LEAST_TIME {
-                return own_failure.ok_or(self.after_runs(Own::refusal("no_time_left", COME_BACK)));
+            if self.deadline - Instant::now() < MIN_TIME_LEFT {
+                return failure_reply
+                    .ok_or(self.map_refusal(Own::refusal("no_time_left", COME_BACK)));
             }
-            let ran_before = self.made.runs;
+            let ran_before = self.send_counts.runs;
             let ended = match self.send(&backend, &plan, resume_after.as_deref()).await {
                 Ok(reply) if reply.head.status < 500 => return Ok(reply),
                 Ok(reply) => {
-                    own_failure = Some(reply);
+                    failure_reply = Some(reply);
                     Ended::Failed
                 }
                 Err(ended) => ended,
@@ -298,22 +302,26 @@
                 self.tried.pop();
                 continue;
             }
-            self.note_ended(&backend, ended, ran_before);
+            self.record_failed_send(&backend, ended, ran_before);
             if ended.is_broken() {
                 await_evidence(self.broke_off(&backend)).await;
             }
-            let final_answer =
-                match outcome::next(self.route.kind, ended, self.made, self.route.max_attempts) {
-                    Next::SendAgain => continue,
-                    Next::Retry(or_else) => {
-                        if self.gw.retries.borrow_mut().take(&self.service) {
-                            continue;
-                        }
-                        or_else
+            let final_answer = match outcome::next(
+                self.route.kind,
+                ended,
+                self.send_counts,
+                self.route.max_attempts,
+            ) {
+                Next::SendAgain => continue,
+                Next::Retry(or_else) => {
+                    if self.gw.retries.borrow_mut().take(&self.service) {
+                        continue;
                     }
-                    Next::Answer(answer) => answer,
-                };
-            return match (final_answer, own_failure) {
+                    or_else
+                }
+                Next::Answer(answer) => answer,
+            };
+            return match (final_answer, failure_reply) {
                 (Final::TargetsOwn, Some(reply)) => Ok(reply),
                 (Final::NotRun, _) => Err(self.rejected_by_targets()),
                 (_, Some(reply)) => Ok(reply),
@@ -325,7 +333,7 @@
     /// The answer to a request that targets turned away and that may go to no other, with the time
     /// at which one is worth a try.
     fn rejected_by_targets(&self) -> Own {
-        match self.choose() {
+        match self.choose_target() {
             Err(Unplaced::Refused(own)) => Own { reason: "target_refused", ..own },
             Err(Unplaced::Cold { room_in }) => cold_refusal(room_in),
             Ok(_) => Own::refusal("target_refused", COME_BACK),
@@ -333,23 +341,24 @@
     }
 
     /// A refusal must not promise "not run" once a target may have run the request.
-    fn after_runs(&self, own: Own) -> Own {
+    fn map_refusal(&self, own: Own) -> Own {
         if self.may_have_run.get() && own.status == 503 { Own::new(502, own.reason) } else { own }
     }
 
     /// Whether a request waits here for room at a cold target: while it can still be in time.
-    fn may_wait(&self, room_in: Duration) -> bool {
+    fn can_wait_for_room(&self, room_in: Duration) -> bool {
         let now = Instant::now();
-        let left = self.route.aim.min(self.until - self.started).saturating_sub(now - self.started);
-        self.wait_for_room(room_in) < left
+        let left =
+            self.route.aim.min(self.deadline - self.started).saturating_sub(now - self.started);
+        self.room_wait(room_in) < left
     }
 
-    fn wait_for_room(&self, room_in: Duration) -> Duration {
+    fn room_wait(&self, room_in: Duration) -> Duration {
         let rank = self.org.as_deref().and_then(|o| self.catalog.priority_of(o));
-        room_in + RANK_PAUSE * u32::from(rank.unwrap_or(self.route.priority))
+        room_in + COLD_WAIT_PER_RANK * u32::from(rank.unwrap_or(self.route.priority))
     }
 
-    fn choose(&self) -> Result<(Rc<Backend>, PlacementPlan), Unplaced> {
+    fn choose_target(&self) -> Result<(Rc<Backend>, PlacementPlan), Unplaced> {
         let engine = self.is_engine();
         let emptied = self.gw.zones.emptied();
         let org_homes = self.org.as_deref().map_or(&[][..], |o| self.catalog.homes_of(o));
@@ -371,7 +380,7 @@
         let now = Instant::now();
         let demand = Demand {
             aim: self.route.aim.saturating_sub(now - self.started),
-            left: self.until.saturating_duration_since(now),
+            left: self.deadline.saturating_duration_since(now),
             engine,
         };
         match place(&inputs, &demand, &self.gw.settings.weights) {
@@ -390,7 +399,7 @@
             }
             Placement::NoTarget => Err(Unplaced::Refused(match barred {
                 None => Own::refusal("no_target", COME_BACK),
-                Some(Barred::Emptied) => Own::refusal("zones_emptied", COME_BACK_EMPTIED),
+                Some(Barred::Emptied) => Own::refusal("zones_emptied", ZONES_EMPTIED_RETRY_AFTER),
                 Some(Barred::Abroad) => Own::refusal("no_target_at_home", COME_BACK),
             })),
             Placement::Cold { room_in } => Err(Unplaced::Cold { room_in }),
@@ -402,7 +411,7 @@
         }
     }
 
-    fn note_ended(&mut self, backend: &Backend, ended: Ended, runs_before: u32) {
+    fn record_failed_send(&mut self, backend: &Backend, ended: Ended, runs_before: u32) {
         match ended {
             Ended::NotSent => backend.record_unreachable(),
             Ended::NotRun => backend.record_rejection(),
@@ -410,21 +419,21 @@
             Ended::NoAnswer | Ended::Silent | Ended::Truncated => backend.record_failure(),
             Ended::Failed | Ended::HeldOff => (),
         }
-        sent(&self.gw.stats, ended);
+        count_failed_send(&self.gw.stats, ended);
         let (id, target) = (&self.meta.id, backend.id());
         let ms = self.started.elapsed().as_millis();
         self.gw.log.note(
             "send",
             format_args!(
                 "id={id} target={target} ended={ended:?} runs={runs_before} sends={} at_ms={ms}",
-                self.made.sends
+                self.send_counts.sends
             ),
         );
     }
 }
 
 /// The name of a kind of route in figures.
-pub fn label(kind: RouteKind) -> &'static str {
+pub fn route_kind_label(kind: RouteKind) -> &'static str {
     match kind {
         RouteKind::Idempotent => "idempotent",
         RouteKind::NonIdempotent => "non_idempotent",
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -8,18 +8,18 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
-use super::forward::{Job, label};
+use super::forward::{Job, route_kind_label};
 use super::refusal::{Own, Unadmitted};
 use super::relay::{RelayOutcome, relay, write_router_response};
 use super::request::RequestMeta;
 use super::state::{Gateway, Phase, Platform};
-use super::stats::ended;
+use super::stats::count_request_end;
 use crate::http1::{Conn, HeadError, RequestHead};
 
 /// How long bytes sent to a caller may stay unacknowledged.
-const SILENCE: Duration = Duration::from_secs(4);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time for a request body to arrive when the caller states none.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Takes connections until the planned stop no longer allows it.
 pub async fn accept<P: Platform>(gw: Rc<Gateway<P>>, listener: TcpListener) {
@@ -31,7 +31,7 @@
         };
         match accepted {
             Ok((io, _)) if gw.connections.get() < gw.settings.max_connections => {
-                tokio::task::spawn_local(serve(gw.clone(), io));
+                tokio::task::spawn_local(serve_connection(gw.clone(), io));
             }
             // Closing at once lets the caller go elsewhere; waiting would hold it up.
             Ok(_) => gw
@@ -46,28 +46,28 @@
 }
 
 /// Counts a connection or a request while it lives.
-struct Counted<'a, P: Platform>(&'a Gateway<P>, Kind);
+struct CountGuard<'a, P: Platform>(&'a Gateway<P>, Kind);
 
 enum Kind {
     Connection,
     Request(u64),
 }
 
-impl<'a, P: Platform> Counted<'a, P> {
-    fn connection(gw: &'a Gateway<P>) -> Counted<'a, P> {
+impl<'a, P: Platform> CountGuard<'a, P> {
+    fn connection(gw: &'a Gateway<P>) -> CountGuard<'a, P> {
         gw.connections.set(gw.connections.get() + 1);
-        Counted(gw, Kind::Connection)
+        CountGuard(gw, Kind::Connection)
     }
 
-    fn request(gw: &'a Gateway<P>, bytes: u64) -> Counted<'a, P> {
+    fn request(gw: &'a Gateway<P>, bytes: u64) -> CountGuard<'a, P> {
         gw.taken.set(gw.taken.get().saturating_add(1));
         gw.active.set(gw.active.get() + 1);
         gw.body_bytes.set(gw.body_bytes.get() + bytes);
-        Counted(gw, Kind::Request(bytes))
+        CountGuard(gw, Kind::Request(bytes))
     }
 }
 
-impl<P: Platform> Drop for Counted<'_, P> {
+impl<P: Platform> Drop for CountGuard<'_, P> {
     fn drop(&mut self) {
         let gw = self.0;
         match self.1 {
@@ -83,11 +83,11 @@
     }
 }
 
-async fn serve<P: Platform>(gw: Rc<Gateway<P>>, io: TcpStream) {
-    let _counted = Counted::connection(&gw);
+async fn serve_connection<P: Platform>(gw: Rc<Gateway<P>>, io: TcpStream) {
+    let _counted = CountGuard::connection(&gw);
     gw.stats.accepted.inc();
     let accepted = Instant::now();
-    let Ok(mut conn) = Conn::new(io, SILENCE) else { return };
+    let Ok(mut conn) = Conn::new(io, UNACKED_TIMEOUT) else { return };
     let mut phase = gw.phase.subscribe();
     let mut requests = 0;
     let mut first_ms = None;
@@ -95,7 +95,7 @@
         let started = Instant::now();
         requests += 1;
         first_ms.get_or_insert((started - accepted).as_millis());
-        if !exchange(&gw, &mut conn, &head, started).await {
+        if !serve_request(&gw, &mut conn, &head, started).await {
             break;
         }
     }
@@ -156,7 +156,7 @@
     if head.expects_continue && conn.is_buffer_empty() {
         conn.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(|_| None)?;
     }
-    let time = meta.time_left.unwrap_or(BODY_TIME);
+    let time = meta.time_left.unwrap_or(DEFAULT_BODY_TIMEOUT);
     match timeout(time, conn.read_body(head.body, max)).await {
         Ok(Ok(Some(body))) => Ok(body),
         Ok(Ok(None)) => Err(Some(Own::new(413, "body_too_long"))),
@@ -169,13 +169,13 @@
 }
 
 /// Serves one request. Returns whether the connection can take another.
-async fn exchange<P: Platform>(
+async fn serve_request<P: Platform>(
     gw: &Rc<Gateway<P>>,
     conn: &mut Conn,
     head: &RequestHead,
     started: Instant,
 ) -> bool {
-    let meta = RequestMeta::read(gw.platform.names(), &head.headers);
+    let meta = RequestMeta::read(gw.platform.header_names(), &head.headers);
     let body = match read_body(gw, conn, head, &meta).await {
         Ok(body) => body,
         Err(own) => {
@@ -190,30 +190,30 @@
             return false;
         }
     };
-    let _counted = Counted::request(gw, body.len() as u64);
+    let _counted = CountGuard::request(gw, body.len() as u64);
     let id = meta.id.clone();
     let admitted = tokio::select! {
         biased;
         admitted = Job::admit(gw, head, body, meta, started) => admitted,
         () = conn.wait_closed() => {
-            note_left(gw, &id, started, false);
+            log_caller_left(gw, &id, started, false);
             return false;
         }
     };
     let mut job = match admitted {
         Ok(job) => job,
         Err(unadmitted) => {
-            ended(&gw.stats, "unplaced", unadmitted.own.reason);
-            return refuse(gw, conn, head, &id, &unadmitted, started).await;
+            count_request_end(&gw.stats, "unplaced", unadmitted.own.reason);
+            return write_refusal(gw, conn, head, &id, &unadmitted, started).await;
         }
     };
-    let kind = label(job.route.kind);
+    let kind = route_kind_label(job.route.kind);
     let obtained = tokio::select! {
         biased;
-        obtained = job.obtain(None) => obtained,
+        obtained = job.fetch_reply(None) => obtained,
         () = conn.wait_closed() => {
-            ended(&gw.stats, kind, "caller_left");
-            note_left(gw, &id, started, job.may_have_run.get());
+            count_request_end(&gw.stats, kind, "caller_left");
+            log_caller_left(gw, &id, started, job.may_have_run.get());
             job.left();
             return false;
         }
@@ -222,25 +222,25 @@
         Ok(reply) => {
             let (status, target) = (reply.head.status, reply.in_flight.backend().id());
             let (relayed, keep_alive) = relay(&mut job, conn, reply).await;
-            conclude(&job, relayed, status, &target);
+            record_end(&job, relayed, status, &target);
             keep_alive
         }
         Err(own) => {
-            ended(&gw.stats, kind, own.reason);
+            count_request_end(&gw.stats, kind, own.reason);
             let (route, org) = (Some(job.route.name.clone()), job.org.clone());
-            refuse(gw, conn, head, &id, &Unadmitted { own, route, org }, started).await
+            write_refusal(gw, conn, head, &id, &Unadmitted { own, route, org }, started).await
         }
     }
 }
 
 /// Notes that a caller left before its answer began.
-fn note_left<P: Platform>(gw: &Gateway<P>, id: &str, started: Instant, sent: bool) {
+fn log_caller_left<P: Platform>(gw: &Gateway<P>, id: &str, started: Instant, sent: bool) {
     gw.stats.left.inc();
     let ms = started.elapsed().as_millis();
     gw.log.routine("left", format_args!("id={id} at_ms={ms} sent={sent}"));
 }
 
-async fn refuse<P: Platform>(
+async fn write_refusal<P: Platform>(
     gw: &Gateway<P>,
     conn: &mut Conn,
     head: &RequestHead,
@@ -263,7 +263,7 @@
     write_router_response(conn, own, keep_alive).await.is_ok() && keep_alive
 }
 
-fn conclude<P: Platform>(job: &Job<'_, P>, relayed: RelayOutcome, status: u16, target: &str) {
+fn record_end<P: Platform>(job: &Job<'_, P>, relayed: RelayOutcome, status: u16, target: &str) {
     let gw = job.gw;
     let outcome = match relayed {
         RelayOutcome::Complete if status < 400 => "answered",
@@ -277,7 +277,7 @@
         "caller_left" => job.left(),
         _ => (),
     }
-    ended(&gw.stats, label(job.route.kind), outcome);
+    count_request_end(&gw.stats, route_kind_label(job.route.kind), outcome);
     let took = job.started.elapsed();
     gw.stats.answer.observe(took.as_secs_f64());
     let cost = job.hold.as_ref().map_or(0, |h| h.spent().0);
@@ -288,8 +288,8 @@
         job.route.name,
         job.org.as_deref().unwrap_or("-"),
         job.catalog.version,
-        job.made.runs,
-        job.made.sends,
+        job.send_counts.runs,
+        job.send_counts.sends,
         took.as_millis(),
     );
     if relayed == RelayOutcome::Complete {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -174,7 +174,7 @@
         loop {
             let step = tokio::select! {
                 biased;
-                piece = timeout_at(job.until, self.remaining.conn.read_piece(&mut self.remaining.body)) => piece,
+                piece = timeout_at(job.deadline, self.remaining.conn.read_piece(&mut self.remaining.body)) => piece,
                 () = caller.wait_closed() => return RelayOutcome::CallerLeft,
             };
             let Ok(piece) = step else { return RelayOutcome::TimedOut };
@@ -239,7 +239,7 @@
         let (last, events): (Option<CompactString>, u64) = (stream.last_id.clone(), stream.events);
         let may_resume = job.route.kind == RouteKind::ResumableStream
             && last.is_some()
-            && job.made.runs < job.route.max_attempts
+            && job.send_counts.runs < job.route.max_attempts
             && job.gw.retries.borrow_mut().take(&job.service);
         let (id, from) = (job.meta.id.clone(), self.in_flight.backend().id());
         job.gw.log.note(
@@ -255,7 +255,7 @@
         await_evidence(found).await;
         let reply = tokio::select! {
             biased;
-            reply = job.obtain(last.clone()) => reply,
+            reply = job.fetch_reply(last.clone()) => reply,
             () = caller.wait_closed() => return Err(RelayOutcome::CallerLeft),
         };
         let Ok(Reply { head, first_bytes, remaining: Some(mut remaining), in_flight }) = reply
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -15,7 +15,7 @@
 use super::reply::{RemainingBody, Reply, StreamProgress};
 use super::request::{AddedHeaders, HeaderNames, encode_request};
 use super::state::Platform;
-use super::stats::noticed;
+use super::stats::count_notice;
 use crate::http1::{BodyDecoder, Conn, HeadError, ResponseHead, header};
 use crate::ids::Tokens;
 
@@ -39,9 +39,9 @@
         resume_after: Option<&str>,
     ) -> Result<Reply, Ended> {
         self.tried.push(backend.id());
-        self.at = Some(backend.clone());
-        self.sent = Instant::now();
-        let in_flight = InFlight::begin(backend, plan, self.sent);
+        self.current_target = Some(backend.clone());
+        self.sent_at = Instant::now();
+        let in_flight = InFlight::begin(backend, plan, self.sent_at);
         let kept = backend.pool.borrow_mut().take();
         let mut target_conn = match kept {
             Some(target_conn) => target_conn,
@@ -65,14 +65,14 @@
         let added = AddedHeaders {
             target: &target,
             organisation: self.org.as_deref(),
-            time_left: self.until.saturating_duration_since(Instant::now()),
+            time_left: self.deadline.saturating_duration_since(Instant::now()),
             resume_after,
         };
-        let bytes = encode_request(self.names(), self.head, &self.body, &added);
-        self.made.sends += 1;
-        self.made.runs += 1;
+        let bytes = encode_request(self.header_names(), self.head, &self.body, &added);
+        self.send_counts.sends += 1;
+        self.send_counts.runs += 1;
         let ran_before = self.may_have_run.replace(true);
-        if self.made.runs == 1 {
+        if self.send_counts.runs == 1 {
             self.charge(0);
         }
         if plan.engine {
@@ -83,9 +83,9 @@
             Ok(head) => self.read_reply(target_conn.conn, head, in_flight).await,
             Err(ended) => {
                 if !ended.may_have_run() {
-                    self.made.runs -= 1;
+                    self.send_counts.runs -= 1;
                     self.may_have_run.set(ran_before);
-                    if let Some(hold) = self.hold.as_mut().filter(|_| self.made.runs == 0) {
+                    if let Some(hold) = self.hold.as_mut().filter(|_| self.send_counts.runs == 0) {
                         hold.cost(Tokens(0));
                     }
                     target_conn.return_to(&mut backend.pool.borrow_mut());
@@ -157,7 +157,7 @@
     /// How long to wait for an answer before another target is asked; none if there may be no
     /// other.
     fn answer_timeout(&self, plan: &PlacementPlan) -> Option<Duration> {
-        let may = self.route.kind.repeats() && self.made.runs < self.route.max_attempts;
+        let may = self.route.kind.repeats() && self.send_counts.runs < self.route.max_attempts;
         let predicted = Duration::from_secs_f64(plan.predicted_ms / 1_000.0);
         may.then(|| self.route.aim.mul_f64(ANSWER_TIMEOUT_FACTOR) + predicted)
     }
@@ -169,7 +169,7 @@
         &self,
         target_conn: &mut TargetConn,
     ) -> Result<ResponseHead, Ended> {
-        let names = self.names();
+        let header_names = self.header_names();
         for _ in 0..=MAX_STRAY_ANSWERS {
             let head =
                 target_conn.conn.read_response(MAX_RESPONSE_HEAD_BYTES).await.map_err(|e| {
@@ -188,11 +188,11 @@
                     Ended::NoAnswer
                 })?;
             self.apply_notice(&head);
-            let echoed = header(&head.headers, &names.request_id);
+            let echoed = header(&head.headers, &header_names.request_id);
             let is_ours = echoed == Some(self.meta.id.as_str());
             let fresh = !target_conn.used && echoed.is_none();
             if is_ours || fresh {
-                if let Some(ended) = not_run_proof(names, &head) {
+                if let Some(ended) = not_run_proof(header_names, &head) {
                     target_conn.discard_body(head).await;
                     return Err(ended);
                 }
@@ -220,11 +220,12 @@
 
     /// Takes in what an answer says of the target that gave it, whichever request it belongs to.
     fn apply_notice(&self, head: &ResponseHead) {
-        let notice = Notice::read(self.names(), head);
-        let Some(backend) = self.at.as_ref().filter(|_| notice != Notice::default()) else {
+        let notice = Notice::read(self.header_names(), head);
+        let Some(backend) = self.current_target.as_ref().filter(|_| notice != Notice::default())
+        else {
             return;
         };
-        noticed(&self.gw.stats, notice);
+        count_notice(&self.gw.stats, notice);
         let is_new = backend.standing.take(notice, Instant::now());
         if !is_new && notice.retry_after != Some(RetryAfter::Unreadable) {
             return;
@@ -324,9 +325,9 @@
 }
 
 /// Whether a response proves that its target did not run the request.
-fn not_run_proof(names: &HeaderNames, head: &ResponseHead) -> Option<Ended> {
+fn not_run_proof(header_names: &HeaderNames, head: &ResponseHead) -> Option<Ended> {
     if head.status == 421 {
         return Some(Ended::OtherTarget);
     }
-    header(&head.headers, &names.not_run).map(|_| Ended::NotRun)
+    header(&head.headers, &header_names.not_run).map(|_| Ended::NotRun)
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -31,7 +31,7 @@
 /// The platform beside its row store: its names, and how it writes its rows.
 pub trait Platform: RowStore {
     /// Names of headers.
-    fn names(&self) -> &HeaderNames;
+    fn header_names(&self) -> &HeaderNames;
 
     /// Table and key of the operator's configuration.
     fn config_row(&self) -> (&'static str, &'static str);
--- a/src/gateway/stats.rs
+++ b/src/gateway/stats.rs
@@ -5,12 +5,12 @@
 use crate::stats::{EndLabels, Reason, Stats};
 
 /// Counts the end of a request.
-pub fn ended(stats: &Stats, kind: &'static str, outcome: &'static str) {
+pub fn count_request_end(stats: &Stats, kind: &'static str, outcome: &'static str) {
     stats.requests.get_or_create(&EndLabels { kind, outcome }).inc();
 }
 
 /// Counts a failed send.
-pub fn sent(stats: &Stats, ended: Ended) {
+pub fn count_failed_send(stats: &Stats, ended: Ended) {
     let reason = match ended {
         Ended::NotSent => "not_sent",
         Ended::HeldOff => "held_off",
@@ -25,7 +25,7 @@
 }
 
 /// Counts what an answer says of its target.
-pub fn noticed(stats: &Stats, notice: Notice) {
+pub fn count_notice(stats: &Stats, notice: Notice) {
     let count = |reason| {
         stats.notices.get_or_create(&Reason { reason }).inc();
     };
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -69,7 +69,7 @@
     /// which then shows to the next one that connects.
     pub(super) fn left(&self) {
         let may_run = |b: &&Rc<Backend>| self.may_have_run.get() && b.is_expected_to_stay();
-        let Some(backend) = self.at.as_ref().filter(may_run) else { return };
+        let Some(backend) = self.current_target.as_ref().filter(may_run) else { return };
         let (broken, gw, backend) = (self.broken(), self.gw.clone(), backend.clone());
         spawn_local(async move {
             sleep(RUNS_AFTER_LEAVING).await;
@@ -84,7 +84,7 @@
             id: self.meta.id.clone(),
             org: self.org.clone(),
             request: self.fingerprint(),
-            sent: self.sent,
+            sent: self.sent_at,
         }
     }
 
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -199,7 +199,7 @@
 }
 
 impl Platform for LocalPlatform {
-    fn names(&self) -> &HeaderNames {
+    fn header_names(&self) -> &HeaderNames {
         &self.names
     }
 
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -29,7 +29,7 @@
 }
 
 fn read(status: u16, headers: &[(&str, &str)]) -> Notice {
-    Notice::read(LocalPlatform::new().names(), &head(status, headers))
+    Notice::read(LocalPlatform::new().header_names(), &head(status, headers))
 }
 
 fn delay(ms: u64) -> Option<RetryAfter> {
