--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -9,7 +9,7 @@
 
 /// Part of an engine's memory that its cached parts and running prompts fill, in per cent; the
 /// rest is for what it generates, a tenth of what it reads in the deployments known.
-const CACHE_PERCENT: u64 = 90;
+const PROMPT_CACHE_PERCENT: u64 = 90;
 
 /// What may be repeated of a route's requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -31,7 +31,7 @@
     }
 
     /// Whether a request may run again after it may have run.
-    pub fn repeats(self) -> bool {
+    pub fn allows_repeats(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 }
@@ -223,7 +223,7 @@
     /// Tokens of prompts that an engine of a service keeps; 0 if it has no engines.
     pub fn cache_tokens(&self, service: &str) -> u64 {
         let engine = self.service(service).and_then(|s| s.engine);
-        engine.map_or(0, |e| e.kv_capacity * CACHE_PERCENT / 100)
+        engine.map_or(0, |e| e.kv_capacity * PROMPT_CACHE_PERCENT / 100)
     }
 
     /// How a service's targets warm up, if they do.
--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -17,16 +17,16 @@
 pub async fn stop<P: Platform>(gw: &Rc<Gateway<P>>) {
     let ordered = Instant::now();
     let end = ordered + gw.settings.grace.saturating_sub(LAST_WRITES);
-    gw.log.note("stop", format_args!("phase=leaving active={}", gw.active.get()));
+    gw.log.note("stop", format_args!("phase=leaving active={}", gw.active_requests.get()));
     gw.phase.send_replace(Phase::Leaving);
     members::leave(gw);
-    gw.keeper.leave();
+    gw.allowances.leave();
     sleep(gw.settings.entry_ttl * STALE_ANSWERS_X).await;
-    gw.log.note("stop", format_args!("phase=finishing active={}", gw.active.get()));
+    gw.log.note("stop", format_args!("phase=finishing active={}", gw.active_requests.get()));
     gw.phase.send_replace(Phase::Finishing);
-    while gw.active.get() > 0 {
-        let idle = gw.idle.notified();
-        if gw.active.get() > 0 && timeout_at(end, idle).await.is_err() {
+    while gw.active_requests.get() > 0 {
+        let idle = gw.no_active_requests.notified();
+        if gw.active_requests.get() > 0 && timeout_at(end, idle).await.is_err() {
             break;
         }
     }
@@ -34,13 +34,13 @@
         "stop",
         format_args!(
             "phase=last_writes active={} ms={}",
-            gw.active.get(),
+            gw.active_requests.get(),
             ordered.elapsed().as_millis()
         ),
     );
     // What is still lent when this router goes counts as spent at the most.
-    if timeout_at(end, gw.keeper.loans_over()).await.is_err() {
+    if timeout_at(end, gw.allowances.loans_over()).await.is_err() {
         gw.log.note("stop", format_args!("outcome=loans_left"));
     }
-    gw.keeper.stop().await;
+    gw.allowances.stop().await;
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -180,11 +180,11 @@
         if prepaid.and_then(|o| o.prepaid).is_none() {
             return Ok(());
         }
-        let keeper = &self.gw.keeper;
-        let mut taken = keeper.hold_by(org, max_cost, self.deadline).await;
+        let allowances = &self.gw.allowances;
+        let mut taken = allowances.hold_by(org, max_cost, self.deadline).await;
         // The amount may have been raised a moment ago.
         if matches!(taken, Err(Refusal::Spent)) && confirm_config(self.gw).await {
-            taken = keeper.hold_by(org, max_cost, self.deadline).await;
+            taken = allowances.hold_by(org, max_cost, self.deadline).await;
             if matches!(taken, Err(Refusal::Spent)) {
                 let own = Own::new(402, "budget_spent");
                 return Err(self.log_budget_refusal(org, Asked::default(), own));
@@ -208,7 +208,7 @@
     }
 
     fn log_budget_refusal(&self, org: &str, asked: Asked, own: Own) -> Own {
-        let state = self.gw.keeper.describe(org);
+        let state = self.gw.allowances.describe(org);
         let (id, max_cost) = (&self.meta.id, self.meta.max_cost());
         self.gw.log.note(
             "budget",
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -30,13 +30,14 @@
             _ = phase.wait_for(|p| *p == Phase::Finishing) => return,
         };
         match accepted {
-            Ok((io, _)) if gw.connections.get() < gw.settings.max_connections => {
+            Ok((io, _)) if gw.open_connections.get() < gw.settings.max_connections => {
                 tokio::task::spawn_local(serve_connection(gw.clone(), io));
             }
             // Closing at once lets the caller go elsewhere; waiting would hold it up.
-            Ok(_) => gw
-                .log
-                .note("accept", format_args!("outcome=too_many open={}", gw.connections.get())),
+            Ok(_) => gw.log.note(
+                "accept",
+                format_args!("outcome=too_many open={}", gw.open_connections.get()),
+            ),
             Err(e) => {
                 gw.log.note("accept", format_args!("outcome=failed error={e}"));
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -55,13 +56,13 @@
 
 impl<'a, P: Platform> CountGuard<'a, P> {
     fn connection(gw: &'a Gateway<P>) -> CountGuard<'a, P> {
-        gw.connections.set(gw.connections.get() + 1);
+        gw.open_connections.set(gw.open_connections.get() + 1);
         CountGuard(gw, Kind::Connection)
     }
 
     fn request(gw: &'a Gateway<P>, bytes: u64) -> CountGuard<'a, P> {
-        gw.taken.set(gw.taken.get().saturating_add(1));
-        gw.active.set(gw.active.get() + 1);
+        gw.requests_since_sample.set(gw.requests_since_sample.get().saturating_add(1));
+        gw.active_requests.set(gw.active_requests.get() + 1);
         gw.body_bytes.set(gw.body_bytes.get() + bytes);
         CountGuard(gw, Kind::Request(bytes))
     }
@@ -71,12 +72,12 @@
     fn drop(&mut self) {
         let gw = self.0;
         match self.1 {
-            Kind::Connection => gw.connections.set(gw.connections.get() - 1),
+            Kind::Connection => gw.open_connections.set(gw.open_connections.get() - 1),
             Kind::Request(bytes) => {
-                gw.active.set(gw.active.get() - 1);
+                gw.active_requests.set(gw.active_requests.get() - 1);
                 gw.body_bytes.set(gw.body_bytes.get() - bytes);
-                if gw.active.get() == 0 {
-                    gw.idle.notify_waiters();
+                if gw.active_requests.get() == 0 {
+                    gw.no_active_requests.notify_waiters();
                 }
             }
         }
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -109,10 +109,10 @@
     loop {
         let s = measured.elapsed().as_secs_f64();
         if s >= BEAT.as_secs_f64() / 2.0 {
-            gw.rate.set((f64::from(gw.taken.replace(0)) / s) as u32);
+            gw.requests_per_s.set((f64::from(gw.requests_since_sample.replace(0)) / s) as u32);
             measured = Instant::now();
         }
-        gw.stats.active.set(i64::try_from(gw.active.get()).unwrap_or(i64::MAX));
+        gw.stats.active.set(i64::try_from(gw.active_requests.get()).unwrap_or(i64::MAX));
         gw.stats.log_dropped.set(i64::try_from(gw.log.lines_dropped()).unwrap_or(i64::MAX));
         // Read first: a row written without knowing the store's time would count as stale.
         match gw.platform.scan(TABLE, "").await {
@@ -189,7 +189,7 @@
         peer: s.peer,
         zone: s.zone.clone(),
         leaving,
-        rate: gw.rate.get(),
+        rate: gw.requests_per_s.get(),
         capacity: s.capacity,
         beat: seen,
         report: gw.crashes.report(seen),
@@ -197,7 +197,7 @@
     let at = RowKey::new(TABLE, &s.instance);
     let tx = Tx { write: vec![(at, entry.encode())], ..Tx::default() };
     match gw.platform.commit(&tx).await {
-        Ok(done) => gw.keeper.saw(done.now),
+        Ok(done) => gw.allowances.saw(done.now),
         Err(e) => gw.log.routine("members", format_args!("outcome=unwritten cause={e}")),
     }
 }
@@ -239,7 +239,7 @@
     // the store those of living routers are old as well, and each would own all targets.
     let all: Vec<&Other> = others.iter().collect();
     set_owners(gw, if reads.are_few() { &all } else { &live }, !own.is_empty());
-    let unnamed_ms = reads.unnamed_ms(page.now, gw.settings.unnamed_after);
+    let unnamed_ms = reads.unnamed_ms(page.now, gw.settings.unlisted_after);
     let named = live.iter().filter(|o| o.age_ms < unnamed_ms);
     let named: Vec<RouterEntry> = named.map(|o| o.entry.as_router()).collect();
     publish(gw, &named);
@@ -276,7 +276,7 @@
     if *gw.phase.borrow() == Phase::Up {
         routers.push(me);
     }
-    gw.keeper.set_lenders(&s.instance, &s.zone, routers);
+    gw.allowances.set_lenders(&s.instance, &s.zone, routers);
 }
 
 fn publish<P: Platform>(gw: &Gateway<P>, others: &[RouterEntry]) {
@@ -286,7 +286,7 @@
         front: s.front,
         zone: s.zone.clone(),
         leaving,
-        rate: gw.rate.get(),
+        rate: gw.requests_per_s.get(),
         capacity: s.capacity,
     };
     let mut routers = others.to_vec();
--- a/src/gateway/outcome.rs
+++ b/src/gateway/outcome.rs
@@ -80,12 +80,12 @@
         Ended::NotSent | Ended::HeldOff => Next::Answer(refusal(ran_before)),
         Ended::NotRun | Ended::OtherTarget if sends_left => Next::Retry(refusal(ran_before)),
         Ended::NotRun | Ended::OtherTarget => Next::Answer(refusal(ran_before)),
-        Ended::Failed if kind.repeats() && runs_left && sends_left => {
+        Ended::Failed if kind.allows_repeats() && runs_left && sends_left => {
             Next::Retry(Final::TargetsOwn)
         }
         Ended::Failed => Next::Answer(Final::TargetsOwn),
         Ended::NoAnswer | Ended::Silent | Ended::Truncated
-            if kind.repeats() && runs_left && sends_left =>
+            if kind.allows_repeats() && runs_left && sends_left =>
         {
             Next::Retry(Final::Unknown)
         }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -157,7 +157,8 @@
     /// How long to wait for an answer before another target is asked; none if there may be no
     /// other.
     fn answer_timeout(&self, plan: &PlacementPlan) -> Option<Duration> {
-        let may = self.route.kind.repeats() && self.send_counts.runs < self.route.max_attempts;
+        let may =
+            self.route.kind.allows_repeats() && self.send_counts.runs < self.route.max_attempts;
         let predicted = Duration::from_secs_f64(plan.predicted_ms / 1_000.0);
         may.then(|| self.route.aim.mul_f64(ANSWER_TIMEOUT_FACTOR) + predicted)
     }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -67,7 +67,7 @@
     /// What a cold target may get in one second.
     pub cold: ColdBound,
     /// Age of a router's row from which on callers are not sent there.
-    pub unnamed_after: Duration,
+    pub unlisted_after: Duration,
     /// Where callers connect.
     pub front: SocketAddr,
     /// Where other routers send their hints.
@@ -126,7 +126,7 @@
     /// Requests to cold targets.
     pub cold: Admissions,
     /// Budgets.
-    pub keeper: Rc<Keeper<P>>,
+    pub allowances: Rc<Keeper<P>>,
     /// Shares of the retry budget.
     pub retries: RefCell<RetryShares>,
     /// Reads tables that are followed.
@@ -140,33 +140,39 @@
     /// Entry answers rest on this.
     pub entry: watch::Sender<EntryView>,
     /// Requests taken since the rate was measured, and that rate a second.
-    pub taken: Cell<u32>,
+    pub requests_since_sample: Cell<u32>,
     /// See `taken`.
-    pub rate: Cell<u32>,
+    pub requests_per_s: Cell<u32>,
     /// Requests that are being served.
-    pub active: Cell<usize>,
+    pub active_requests: Cell<usize>,
     /// Open connections of callers.
-    pub connections: Cell<usize>,
+    pub open_connections: Cell<usize>,
     /// Bytes of request bodies held.
     pub body_bytes: Cell<u64>,
     /// Fires when the last request has ended.
-    pub idle: Notify,
+    pub no_active_requests: Notify,
     /// This process.
-    pub me: HolderName,
+    pub holder_name: HolderName,
 }
 
 impl<P: Platform> Gateway<P> {
     /// A router that knows nothing yet.
-    pub fn new(platform: P, settings: Settings, me: HolderName, log: Log) -> Rc<Gateway<P>> {
-        let keeper = Keeper::new(platform.clone(), me.clone(), settings.budgets, log.clone());
-        let keeper = Rc::new(keeper);
+    pub fn new(
+        platform: P,
+        settings: Settings,
+        holder_name: HolderName,
+        log: Log,
+    ) -> Rc<Gateway<P>> {
+        let allowances =
+            Keeper::new(platform.clone(), holder_name.clone(), settings.budgets, log.clone());
+        let allowances = Rc::new(allowances);
         let stats = Stats::new();
         Rc::new(Gateway {
             crashes: Crashes::new(log.clone(), stats.clone()),
             zones: Zones::new(log.clone(), stats.clone()),
             cold: Admissions::new(settings.instance.clone(), log.clone(), stats.clone()),
-            reader: Reader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
-            keeper,
+            reader: Reader::new(platform.clone(), allowances.clone(), log.clone(), stats.clone()),
+            allowances,
             retries: RefCell::new(RetryShares::new(settings.retries)),
             platform,
             settings,
@@ -180,13 +186,13 @@
             confirmed: tokio::sync::Mutex::new(None),
             phase: watch::Sender::new(Phase::Up),
             entry: watch::Sender::new(EntryView::default()),
-            taken: Cell::new(0),
-            rate: Cell::new(0),
-            active: Cell::new(0),
-            connections: Cell::new(0),
+            requests_since_sample: Cell::new(0),
+            requests_per_s: Cell::new(0),
+            active_requests: Cell::new(0),
+            open_connections: Cell::new(0),
             body_bytes: Cell::new(0),
-            idle: Notify::new(),
-            me,
+            no_active_requests: Notify::new(),
+            holder_name,
         })
     }
 
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -34,7 +34,7 @@
         if known.is_empty() {
             return Ok(());
         }
-        let now = self.gw.keeper.store_now();
+        let now = self.gw.allowances.store_now();
         match known.held_back_until(self.fingerprint(), now) {
             None => Ok(()),
             Some(until) => {
@@ -93,7 +93,7 @@
         if self.gw.crashes.is_empty() {
             return;
         }
-        let well = EndedWell { request: self.fingerprint(), at: self.gw.keeper.store_now() };
+        let well = EndedWell { request: self.fingerprint(), at: self.gw.allowances.store_now() };
         self.gw.crashes.end_well(well);
     }
 }
@@ -110,7 +110,7 @@
     /// Notes that its target has ended.
     fn note<P: Platform>(&self, gw: &Gateway<P>, backend: &Backend) {
         gw.stats.targets_ended.inc();
-        let at = gw.keeper.store_now();
+        let at = gw.allowances.store_now();
         let ran_ms = u64::try_from(self.sent.elapsed().as_millis()).unwrap_or(u64::MAX);
         let began = StoreMs(at.0.saturating_sub(ran_ms));
         let target = backend.incarnation();
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -256,7 +256,7 @@
             ("zone-3".into(), "north".into()),
         ]),
         cold: ColdBound { over: 1.5, slack: 5.0 },
-        unnamed_after: Duration::from_millis(4_500),
+        unlisted_after: Duration::from_millis(4_500),
         front,
         peer: front,
         retries: RetryAllowance { ratio: 0.5, slack: 60.0 },
--- a/tests/test_gateway_decisions.rs
+++ b/tests/test_gateway_decisions.rs
@@ -192,18 +192,18 @@
     let routers = 6;
     let mut fleet: Vec<RetryShares> = (0..routers).map(|_| RetryShares::new(allowance)).collect();
     fleet.iter_mut().for_each(|r| r.set_routers(routers));
-    let mut repeats = Vec::new();
+    let mut allows_repeats = Vec::new();
     for n in 0..6_000_usize {
         let router = &mut fleet[n % routers as usize];
         router.earn("api");
         // Quiet at first, then everything fails.
-        repeats.push(u32::from(n > 2_000 && router.take("api")));
+        allows_repeats.push(u32::from(n > 2_000 && router.take("api")));
     }
-    for window in repeats.windows(400) {
+    for window in allows_repeats.windows(400) {
         let sum: u32 = window.iter().sum();
         assert!(f64::from(sum) <= 0.2 * 400.0 + 52.0, "{sum}");
     }
-    assert!(repeats.iter().sum::<u32>() > 600);
+    assert!(allows_repeats.iter().sum::<u32>() > 600);
 }
 
 #[test]
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -362,7 +362,7 @@
         fleet.routers[0].platform.rows.set_fault(Fault::Late(late));
         fleet.send_fatal(0).await;
         let reported =
-            |r: &GatewayHost| r.gw.crashes.report(r.gw.keeper.store_now()).crashes.len() == 1;
+            |r: &GatewayHost| r.gw.crashes.report(r.gw.allowances.store_now()).crashes.len() == 1;
         eventually("the crash is known", || reported(&fleet.routers[0])).await;
         // Until the row is on its way.
         tokio::time::sleep(Duration::from_millis(700)).await;
