--- a/tests/gatedir.rs
+++ b/tests/gateway_fleet.rs
@@ -10,7 +10,7 @@
 use tokio::task::LocalSet;
 
 /// Runs a test on one thread with local tasks, as the daemon does.
-pub fn local(test: impl Future<Output = ()>) {
+pub fn run_local(test: impl Future<Output = ()>) {
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&rt, test);
 }
@@ -51,7 +51,7 @@
     }
 
     /// Fills the retry budget.
-    pub async fn earn_retries(&self) {
+    pub async fn fill_retry_budget(&self) {
         for n in 0..10 {
             let got = Call::get("/safe/warm").id(&format!("warm{n}")).send(self.router.front).await;
             assert_eq!(got.status(), 200);
@@ -94,14 +94,14 @@
     }
 
     /// Adds a header line.
-    pub fn with(mut self, line: &str) -> Call {
+    pub fn with_header(mut self, line: &str) -> Call {
         self.headers += &format!("{line}\r\n");
         self
     }
 
     /// Sets prompt tokens and most output tokens.
     pub fn tokens(self, prompt: u64, output: u64) -> Call {
-        self.with(&format!("Tokens: {prompt},{output}"))
+        self.with_header(&format!("Tokens: {prompt},{output}"))
     }
 
     /// Sets its body.
@@ -131,15 +131,15 @@
     }
 
     /// Sends it on a connection of its own and reads everything that comes.
-    pub async fn send(&self, to: SocketAddr) -> Got {
+    pub async fn send(&self, to: SocketAddr) -> CallResult {
         let mut conn = Conn::dial(to, Duration::from_secs(5)).await.unwrap();
         conn.write(&self.bytes()).await.unwrap();
-        Got::read(&mut conn).await
+        CallResult::read(&mut conn).await
     }
 }
 
 /// What a caller got.
-pub struct Got {
+pub struct CallResult {
     /// The head, if any came.
     pub head: Option<ResponseHead>,
     /// The body as far as it came.
@@ -148,11 +148,11 @@
     pub whole: bool,
 }
 
-impl Got {
+impl CallResult {
     /// Reads one answer.
-    pub async fn read(conn: &mut Conn) -> Got {
+    pub async fn read(conn: &mut Conn) -> CallResult {
         let Ok(head) = conn.read_response(64 * 1024).await else {
-            return Got { head: None, body: String::new(), whole: false };
+            return CallResult { head: None, body: String::new(), whole: false };
         };
         let mut framing = head.body;
         let mut body = Vec::new();
@@ -163,7 +163,7 @@
                 Err(_) => break false,
             }
         };
-        Got { head: Some(head), body: String::from_utf8(body).unwrap(), whole }
+        CallResult { head: Some(head), body: String::from_utf8(body).unwrap(), whole }
     }
 
     /// The status; 0 if the connection ended without an answer.
--- a/tests/test_gateway.rs
+++ b/tests/test_gateway.rs
@@ -11,7 +11,7 @@
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::TargetFault;
 
-use crate::gatedir::{Call, Fleet, Got, eventually, local};
+use crate::gateway_fleet::{Call, CallResult, Fleet, eventually, run_local};
 
 async fn ledger(platform: &LocalPlatform) -> Ledger {
     let page = platform.rows.another().scan("budgets", "norte").await.unwrap();
@@ -21,14 +21,14 @@
 
 #[test]
 fn forward_plain_answer() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let call = Call::get("/once/order?x=1")
-            .with("Organisation: forged")
-            .with("Expect-Target: forged")
-            .with("Connection: x-hop")
-            .with("X-Hop: 1")
-            .with("X-Kept: 2")
+            .with_header("Organisation: forged")
+            .with_header("Expect-Target: forged")
+            .with_header("Connection: x-hop")
+            .with_header("X-Hop: 1")
+            .with_header("X-Kept: 2")
             .body("one washer");
         let got = call.send(fleet.router.front).await;
         assert_eq!((got.status(), got.body.as_str()), (200, "answer of t1 to q1"));
@@ -50,9 +50,10 @@
     // An attacker's second request runs under the first one's key.
     // A body is framed by length and in chunks at once; the router ends it by one, the target by
     // the other, and what lies between is taken for a request.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
-        let call = Call::get("/safe/a").with("Transfer-Encoding: chunked").body("0\r\n\r\nGET /x");
+        let call =
+            Call::get("/safe/a").with_header("Transfer-Encoding: chunked").body("0\r\n\r\nGET /x");
         assert_eq!(call.send(fleet.router.front).await.status(), 400);
         assert_eq!(fleet.runs(), 0);
     });
@@ -62,7 +63,7 @@
 fn forward_new_key() {
     // A customer that was added a moment ago is told that its key does not exist.
     // The configuration was acknowledged, and the router's feed has not brought it yet.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let mut next = parts(2, 1_000);
         next.organisations.as_mut().unwrap()[0].keys.push("key-new".into());
@@ -79,7 +80,7 @@
 #[test]
 fn forward_unknown_key_store_away() {
     // The same customer during an outage of the store: "no such key" would be final, and wrong.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.router.platform.rows.set_fault(Fault::Reject(503));
         let got = Call::get("/safe/a").key("key-new").send(fleet.router.front).await;
@@ -92,9 +93,9 @@
 
 #[test]
 fn forward_full_target() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         fleet.targets[0].fail(&[TargetFault::Full, TargetFault::Full, TargetFault::Full]);
         for n in 0..4 {
             let got = Call::get("/once/a").id(&format!("f{n}")).send(fleet.router.front).await;
@@ -105,9 +106,9 @@
 
 #[test]
 fn forward_all_full() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         fleet.targets[0].fail(&[TargetFault::Full]);
         let got = Call::get("/once/a").send(fleet.router.front).await;
         assert_eq!((got.status(), got.header("Seal")), (503, None));
@@ -121,9 +122,9 @@
     // A spare part is ordered twice.
     // The target filed the order and its answer was lost; the router sends it to another target,
     // or says "not run" and the caller sends it again.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         let faults = [TargetFault::LosesAnswer, TargetFault::Garbage, TargetFault::CutsBody];
         // Whichever target a request goes to, it meets a fault there.
         fleet.targets.iter().for_each(|t| t.fail(&faults.repeat(2)));
@@ -137,9 +138,9 @@
 
 #[test]
 fn forward_lost_answer_safe() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         let faults = [TargetFault::LosesAnswer, TargetFault::CutsBody, TargetFault::Garbage];
         fleet.targets[0].fail(&faults);
         for n in 0..8 {
@@ -153,9 +154,9 @@
 fn forward_failure_of_target() {
     // A caller gets a failure with a seal of a target that never gave it.
     // A safe request fails at two targets; only the failure as one of them sent it may be shown.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::Fails]));
         let got = Call::get("/safe/a").send(fleet.router.front).await;
         assert_eq!((got.status(), got.body.as_str()), (500, "failed"));
@@ -168,7 +169,7 @@
 fn forward_retry_budget_empty() {
     // While a service fails, retries double its load.
     // A new router has earned nothing yet: it must pass the failure on.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
         fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::Fails]));
         let got = Call::get("/safe/a").send(fleet.router.front).await;
@@ -181,7 +182,7 @@
     // One caller gets another's answer.
     // A target answers twice; the second answer waits on the kept connection where the next
     // request's is due. It bears another id.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         for n in 0..4 {
             fleet.targets[0].fail(&[TargetFault::AnswersTwice]);
@@ -194,7 +195,7 @@
 
 #[test]
 fn forward_target_leaves() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
         fleet.platform.register(&fleet.targets[0], "draining");
         let gw = fleet.router.gw.clone();
@@ -208,7 +209,7 @@
 
 #[test]
 fn stream_whole() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let got = Call::get("/stream/a").tokens(100, 20).send(fleet.router.front).await;
         assert!(got.whole);
@@ -222,9 +223,9 @@
     // A technician's note breaks off in the middle of a sentence.
     // The target dies within an event; another one goes on after the last whole event, and the
     // caller sees one stream with every event once, under the first target's seal.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 10_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         fleet.targets[0].fail(&[TargetFault::CutsStream(4)]);
         let mut resumed = None;
         for n in 0..20 {
@@ -250,9 +251,9 @@
 fn stream_cut_looks_cut() {
     // A caller takes half an answer for a whole one.
     // A stream that may run once breaks off: no event may be halved and the end must be missing.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 10_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::CutsStream(3)]));
         let got = Call::get("/stream/a").tokens(100, 20).send(fleet.router.front).await;
         assert!(!got.whole);
@@ -265,7 +266,7 @@
 #[test]
 fn stream_caller_leaves() {
     // Targets work for callers that have long gone.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 10_000).await;
         fleet.targets[0].set_event_gap(Duration::from_millis(20));
         let mut conn = Conn::dial(fleet.router.front, Duration::from_secs(5)).await.unwrap();
@@ -279,7 +280,7 @@
 
 #[test]
 fn forward_caller_leaves_before_answer() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 10_000).await;
         fleet.targets[0].fail(&[TargetFault::Hangs]);
         let mut conn = Conn::dial(fleet.router.front, Duration::from_secs(5)).await.unwrap();
@@ -293,7 +294,7 @@
 
 #[test]
 fn budget_spent_is_402() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 400).await;
         let small = || Call::get("/stream/a").tokens(100, 20);
         for _ in 0..3 {
@@ -313,7 +314,7 @@
 fn budget_returned_at_stop() {
     // An organisation is refused although it has tokens: a router that was stopped kept them.
     // The stop waits for the running stream, then writes what was spent and leaves the ledger.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 10_000).await;
         fleet.targets[0].set_event_gap(Duration::from_millis(10));
         let front = fleet.router.front;
@@ -336,7 +337,7 @@
     // After a power cut an organisation's tokens are gone, or are spent twice.
     // The successor at the same place closes what the dead process left open, at no less than
     // what it had spent and no more than its line allowed by then.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 100_000).await;
         let got = Call::get("/stream/a").tokens(1_000, 20).send(fleet.router.front).await;
         assert!(got.whole);
@@ -355,16 +356,16 @@
 fn drain_kept_connection() {
     // A rolling restart cuts requests on kept connections.
     // A router that leaves answers them with "close" and takes them until callers know.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let mut conn = Conn::dial(fleet.router.front, Duration::from_secs(5)).await.unwrap();
         conn.write(&Call::get("/safe/a").bytes()).await.unwrap();
-        assert!(Got::read(&mut conn).await.head.unwrap().keep_alive);
+        assert!(CallResult::read(&mut conn).await.head.unwrap().keep_alive);
         let gw = fleet.router.gw.clone();
         let stop = tokio::task::spawn_local(async move { drain::stop(&gw).await });
         eventually("leaving", || !fleet.router.gw.is_ready()).await;
         conn.write(&Call::get("/safe/b").bytes()).await.unwrap();
-        let got = Got::read(&mut conn).await;
+        let got = CallResult::read(&mut conn).await;
         assert_eq!(got.status(), 200);
         assert!(!got.head.unwrap().keep_alive);
         stop.await.unwrap();
@@ -374,7 +375,7 @@
 #[test]
 fn log_tells_cause() {
     // An engineer has an id and the log: each of three failures must be found from it.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 300).await;
         fleet.targets[0].fail(&[TargetFault::CutsStream(2), TargetFault::LosesAnswer]);
         let cut = Call::get("/stream/a").id("cut").tokens(100, 20);
--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::gatedir::{Call, eventually, local};
+use crate::gateway_fleet::{Call, eventually, run_local};
 
 const BOUND: ColdBound = ColdBound { over: 1.5, slack: 5.0 };
 
@@ -199,7 +199,7 @@
 fn cold_target_before_many_routers() {
     // Guards against a target that has just come back and ends under what all routers send it at
     // once, each of them a little.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(5, 1, 0).await;
         let answered = fleet.burst(12).await;
         let cold = &fleet.targets[0];
@@ -211,7 +211,7 @@
 #[test]
 fn cold_target_beside_warm_ones() {
     // Guards against callers that are refused because one of the targets is cold.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(3, 1, 2).await;
         assert_eq!(fleet.burst(10).await, 30);
         assert!(!fleet.targets[0].has_ended());
@@ -222,7 +222,7 @@
 #[test]
 fn cold_refusal_says_when() {
     // Guards against callers that are refused at a cold target without a time to come back.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1, 0).await;
         let front = fleet.routers[0].front;
         let mut refused = None;
@@ -241,7 +241,7 @@
 fn cold_after_zone_is_taken_back() {
     // Guards against targets that became cold while their zone was emptied and get all requests at
     // once, because their entries do not say so yet.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 0, 1).await;
         fleet.platform.empty_zone("zone-1");
         for r in &fleet.routers {
@@ -261,7 +261,7 @@
 fn cold_in_zone_taken_back_before_target_is_known() {
     // Guards against a target that gets all requests at once because its zone was taken back
     // before this router knew of it, or of the configuration.
-    local(async {
+    run_local(async {
         let mut fleet = Fleet::start(1, 0, 1).await;
         fleet.platform.empty_zone("zone-1");
         let gw = fleet.routers[0].gw.clone();
@@ -283,7 +283,7 @@
 fn cold_after_it_could_not_be_reached() {
     // Guards against a target that started anew and gets all requests at once, because the store
     // is away and its entry says nothing of that.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 0, 1).await;
         let backend = fleet.routers[0].gw.targets.all().remove(0);
         backend.life.unreached(&std::io::ErrorKind::ConnectionRefused.into());
@@ -297,7 +297,7 @@
 #[test]
 fn cold_owner_is_silent() {
     // Guards against routers that send on their own when the one that admits does not answer.
-    local(async {
+    run_local(async {
         let mut fleet = Fleet::start(2, 1, 0).await;
         let owner_of = |r: &GatewayHost| r.gw.cold.owner_of("t1", "zone-1").unwrap();
         let name = owner_of(&fleet.routers[0]);
--- a/tests/test_gateway_config.rs
+++ b/tests/test_gateway_config.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use tokio::time::sleep;
 
-use crate::gatedir::{Call, Fleet, eventually, local};
+use crate::gateway_fleet::{Call, Fleet, eventually, run_local};
 
 /// A configuration with some thousand routes, in bytes.
 const LARGE: usize = 800_000;
@@ -25,7 +25,7 @@
 #[case::route("/nowhere/a", "key-norte", 404)]
 #[case::key("/safe/a", "key-of-nobody", 401)]
 fn refusal_unchanged_configuration(#[case] path: &str, #[case] key: &str, #[case] status: u16) {
-    local(async move {
+    run_local(async move {
         let fleet = Fleet::start(1, 1_000_000).await;
         fleet.platform.configure_large(parts(2, 1_000_000), LARGE);
         eventually("version 2", || fleet.version() == 2).await;
@@ -47,7 +47,7 @@
 /// full for 6.5 s.
 #[test]
 fn refusal_during_transfer() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000_000).await;
         let rows = &fleet.router.platform.rows;
         let before = rows.bytes_carried();
@@ -70,7 +70,7 @@
 /// by itself yet: its feed is held up.
 #[test]
 fn refusal_confirmed_against_change() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000_000).await;
         fleet.router.stop_following();
         let mut next = parts(2, 1_000_000);
@@ -88,7 +88,7 @@
 /// then made one of its own.
 #[test]
 fn refusal_shares_outcome() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000_000).await;
         fleet.router.stop_following();
         let rows = &fleet.router.platform.rows;
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -11,7 +11,7 @@
 use kingcupwall::standin::gateway_target::{FATAL_BODY, StandinTarget, TargetFault};
 use rstest::rstest;
 
-use crate::gatedir::{Call, Got, eventually, local};
+use crate::gateway_fleet::{Call, CallResult, eventually, run_local};
 
 /// Targets that a request may end before it counts as the cause, and sends of it after that.
 const ENDED_AT_MOST: usize = 3 + 3;
@@ -68,7 +68,7 @@
     }
 
     /// One more attempt of the same request, at the router whose turn it is.
-    async fn send_fatal(&self, n: usize) -> Got {
+    async fn send_fatal(&self, n: usize) -> CallResult {
         let call = Call::get("/safe/fatal").id(&format!("f{n}")).body("fatal");
         let got = call.send(self.routers[n % self.routers.len()].front).await;
         // Callers come back later than datagrams between routers take.
@@ -86,7 +86,7 @@
     // fingerprint under twelve ids and at twelve targets settled it:
     //     event=target_ended id=f0 request=889544e83a467db2 org=norte target=t7
     //     event=target_ended id=f1 request=889544e83a467db2 org=norte target=t8
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let mut last = None;
         for n in 0..2 * ENDED_AT_MOST {
@@ -107,7 +107,7 @@
 fn fatal_request_after_death_of_all() {
     // The same, and in between all routers lose power, twice: their successors knew of no request
     // that ended a target, and handed it to the targets that were left.
-    local(async {
+    run_local(async {
         let mut fleet = Fleet::start().await;
         for n in 0..ENDED_AT_MOST {
             fleet.send_fatal(n).await;
@@ -129,7 +129,7 @@
 fn fatal_request_known_to_the_other_router() {
     // A caller whose request one router no longer takes goes to the next one, which has seen
     // nothing of it.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let [first, second] = &fleet.routers[..] else { panic!("two routers") };
         while Call::get("/safe/fatal").body("fatal").send(first.front).await.status() != 503 {}
@@ -149,7 +149,7 @@
 fn fatal_request_beside_streams() {
     // Everyone whose stream ran beside a request that ends targets is refused from then on.
     // Their streams broke off each time it came, and they sent them again each time.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let front = fleet.routers[0].front;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(10)));
@@ -181,7 +181,7 @@
 #[test]
 fn targets_live_when_answers_are_lost() {
     // A request is held back although no target ended: its answers were lost, three times.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         for n in 0..ENDED_AT_MOST {
             fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::LosesAnswer]));
@@ -197,7 +197,7 @@
     // Targets go on ending although each of them had the same request.
     // Its callers leave before the target ends; by then the router has closed the connection, and
     // only the next request finds that nobody listens there any more.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let front = fleet.routers[0].front;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(30)));
@@ -231,7 +231,7 @@
 fn targets_end_under_request_that_ends_well() {
     // A request that callers send alike all day is held back because targets ended under it now
     // and then, although it was answered whole each time, by the next target.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         fleet.earn_retries().await;
         let front = fleet.routers[0].front;
@@ -253,7 +253,7 @@
 fn fatal_request_not_retried_once_held_back() {
     // A request that has ended three targets is sent to a fourth within the same attempt.
     // The router's own retry follows the third end at once, before it is known that it was one.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         fleet.earn_retries().await;
         for n in 0..2 * ENDED_AT_MOST {
@@ -271,7 +271,7 @@
 fn target_ends_while_store_says(#[case] state: &str, #[case] counted: u64) {
     // A long answer breaks off because its target leaves as announced: nobody's request is the
     // cause. An entry that lapsed in an outage of the store announces nothing.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let gw = &fleet.routers[0].gw;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(10)));
@@ -302,7 +302,7 @@
 fn target_refuses_connections_and_lives() {
     // Requests are held back as if targets had ended under them: targets that had all the
     // connections they can keep refused one, and long after that answers were lost.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let front = fleet.routers[0].front;
         let targets = &fleet.routers[0].gw.targets;
@@ -324,7 +324,7 @@
 fn target_ends_mid_stream() {
     // A request that ends its target only after some events goes on ending targets: its stream
     // breaks off where answers are relayed, not where they are awaited.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(10)));
         let mut conn = Conn::dial(fleet.routers[0].front, Duration::from_secs(5)).await.unwrap();
@@ -333,7 +333,7 @@
         // The answer has begun: events of it are here.
         assert!(conn.wait_for_data().await.unwrap());
         fleet.targets.iter().find(|t| !t.runs().is_empty()).unwrap().end();
-        assert!(!Got::read(&mut conn).await.whole);
+        assert!(!CallResult::read(&mut conn).await.whole);
         let stats = &fleet.routers[0].gw.stats;
         eventually("it counts", || stats.targets_ended.get() == 1).await;
     });
@@ -343,7 +343,7 @@
 fn fatal_request_while_the_store_is_away() {
     // During an outage of the store each router lets the request end three targets of its own:
     // rows cannot be written, and what one router saw reaches the other by datagram only.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let [first, second] = &fleet.routers[..] else { panic!("two routers") };
         fleet.routers.iter().for_each(|r| r.platform.rows.set_fault(Fault::Reject(503)));
@@ -356,7 +356,7 @@
 fn crash_reported_by_late_write() {
     // Guards against a crash that is forgotten because a dead router's last write of its row takes
     // effect only after its successor has read the row.
-    local(async {
+    run_local(async {
         let late = Duration::from_millis(1_500);
         let mut fleet = Fleet::start().await;
         fleet.routers[0].platform.rows.set_fault(Fault::Late(late));
--- a/tests/test_gateway_homes.rs
+++ b/tests/test_gateway_homes.rs
@@ -8,7 +8,7 @@
 use kingcupwall::standin::gateway_target::StandinTarget;
 use rstest::rstest;
 
-use crate::gatedir::{Call, eventually, local};
+use crate::gateway_fleet::{Call, eventually, run_local};
 
 /// The usual configuration, with homes for the first route and the organisation.
 fn bound(route: &[&str], org: &[&str]) -> CatalogParts {
@@ -29,7 +29,7 @@
 #[case::no_such_region(&["east"], &[], 503)]
 fn request_stays_at_home(#[case] route: &[&str], #[case] org: &[&str], #[case] status: u16) {
     // Guards against a body that reaches a target outside the regions it is bound to.
-    local(async {
+    run_local(async {
         let platform = LocalPlatform::new();
         platform.configure(bound(route, org));
         let mut targets = Vec::new();
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -16,7 +16,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep};
 
-use crate::gatedir::{Call, Fleet, eventually, local};
+use crate::gateway_fleet::{Call, Fleet, eventually, run_local};
 
 const DATE: &str = "Sun, 06 Nov 1994 08:49:37 GMT";
 const DATE_3_S_LATER: &str = "Sun, 06 Nov 1994 08:49:40 GMT";
@@ -86,7 +86,7 @@
 
 #[test]
 fn log_tells_what_targets_say() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].fail(&[TargetFault::FullUntil("0.1")]);
         Call::get("/once/a").send(fleet.router.front).await;
@@ -114,7 +114,7 @@
 /// A fleet whose only target has said something in its answer to `call`, and then gets company.
 async fn told(call: Call, faults: &[TargetFault], says_leaving: bool) -> Fleet {
     let mut fleet = Fleet::start(1, 1_000_000).await;
-    fleet.earn_retries().await;
+    fleet.fill_retry_budget().await;
     fleet.targets[0].set_says_leaving(says_leaving);
     fleet.targets[0].fail(faults);
     call.send(fleet.router.front).await;
@@ -143,7 +143,7 @@
 #[case::in_a_refusal("/once/q", &[TargetFault::Full])]
 #[case::in_an_answer_that_breaks_off("/once/q", &[TargetFault::CutsBody])]
 fn leaving_target_gets_no_more(#[case] path: &'static str, #[case] faults: &'static [TargetFault]) {
-    local(async {
+    run_local(async {
         let fleet = told(Call::get(path).tokens(10, 10), faults, true).await;
         let before = fleet.targets[0].arrivals().len();
         send_following(&fleet).await;
@@ -156,7 +156,7 @@
 #[case::renewed(false)]
 #[case::gone_and_back(true)]
 fn leaving_target_gets_no_more_after_entry(#[case] gone: bool) {
-    local(async {
+    run_local(async {
         let fleet = told(Call::get("/once/q"), &[], true).await;
         let (gw, target) = (fleet.router.gw.clone(), &fleet.targets[0]);
         if gone {
@@ -175,7 +175,7 @@
 /// Guards against callers that wait while all targets that are left leave.
 #[test]
 fn leaving_target_gets_no_more_refused_at_once() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].set_says_leaving(true);
         Call::get("/once/a").send(fleet.router.front).await;
@@ -191,10 +191,10 @@
 #[case::shorter_afterwards(&["0.6", "0.2"], 0.6)]
 #[case::none_afterwards(&["0.6", "0"], 0.6)]
 fn resting_target_gets_no_more(#[case] after: &'static [&'static str], #[case] rest_s: f64) {
-    local(async {
+    run_local(async {
         let faults: Vec<_> = after.iter().map(|s| TargetFault::FullUntil(s)).collect();
         let fleet = Fleet::start(2, 1_000_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         let before = fleet.targets[0].arrivals().len();
         fleet.targets[0].fail(&faults);
         let rest = Duration::from_secs_f64(rest_s);
@@ -223,7 +223,7 @@
 /// Guards against callers that are told to come back while no target takes a request.
 #[test]
 fn resting_target_gets_no_more_refused_with_its_time() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].fail(&[TargetFault::FullUntil("3")]);
         for n in 0..3 {
@@ -239,7 +239,7 @@
 /// Guards against a request on a connection whose end the target has announced in a refusal.
 #[test]
 fn refusal_that_closes_is_the_last() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].fail(&[TargetFault::FullAndCloses]);
         let got = Call::get("/once/a").send(fleet.router.front).await;
@@ -253,7 +253,7 @@
 /// Guards against an answer of one stream after the other that says again what is known.
 #[test]
 fn log_tells_once_that_a_target_leaves() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].set_says_leaving(true);
         let calls = ["a", "b", "c"].map(|id| Call::get("/once/a").id(id));
@@ -265,7 +265,7 @@
 /// Guards against the quarantine of a request under which a target stopped as it had said.
 #[test]
 fn target_that_said_it_leaves_was_not_ended() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let target = &fleet.targets[0];
         target.set_event_gap(Duration::from_millis(20));
@@ -288,7 +288,7 @@
 #[case::it_leaves(Notice { leaving: true, retry_after: None })]
 #[case::it_rests(Notice { leaving: false, retry_after: delay(3_000) })]
 fn request_held_off_after_choice(#[case] notice: Notice) {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let (gw, target) = (&fleet.router.gw, &fleet.targets[0]);
         let mut warming = parts(2, 1_000);
--- a/tests/test_gateway_orders.rs
+++ b/tests/test_gateway_orders.rs
@@ -15,7 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::gatedir::{Call, eventually, local};
+use crate::gateway_fleet::{Call, eventually, run_local};
 
 fn order(zone: &str, ver: u64, emptied: bool) -> ZoneOrder {
     ZoneOrder { zone: zone.into(), ver: Ver(ver), emptied }
@@ -138,7 +138,7 @@
 
 #[test]
 fn emptied_zone_gets_nothing_new() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1).await;
         fleet.platform.empty_zone("zone-1");
         fleet.obeys(0, &["zone-1"]).await;
@@ -152,7 +152,7 @@
 #[test]
 fn emptied_zone_ends_what_it_runs() {
     // Guards against answers that break off because their zone is emptied.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1).await;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(100)));
         let front = fleet.routers[0].front;
@@ -171,7 +171,7 @@
 fn resumed_stream_leaves_emptied_zone() {
     // Guards against a stream that is resumed, or a retry that is sent, in a zone that was emptied
     // while its first target ran it.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1).await;
         for n in 0..10 {
             let warm = Call::get("/resumable/warm").id(&format!("w{n}")).tokens(1, 2);
@@ -203,7 +203,7 @@
 #[test]
 fn all_zones_emptied_refused() {
     // Guards against a request that is held until its time is over though nothing can serve it.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1).await;
         fleet.platform.empty_zone("zone-1");
         fleet.platform.empty_zone("zone-2");
@@ -219,7 +219,7 @@
 fn order_reaches_router_that_store_turns_away() {
     // Guards against a router that goes on sending into an emptied zone because the store serves
     // the others and not itself.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2).await;
         fleet.routers[1].platform.rows.set_fault(Fault::Reject(503));
         sleep(Duration::from_millis(100)).await;
@@ -235,7 +235,7 @@
 fn order_in_lost_history() {
     // Guards against an order, or the end of one, that is missed because the store has dropped the
     // history in which it stood.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1).await;
         let rows = &fleet.routers[0].platform.rows;
         for emptied in [true, false] {
@@ -255,7 +255,7 @@
 #[test]
 fn router_starts_while_zone_is_emptied() {
     // Guards against a router whose first requests go into an emptied zone.
-    local(async {
+    run_local(async {
         let mut fleet = Fleet::start(0).await;
         fleet.platform.empty_zone("zone-1");
         fleet.add_router(1, 1).await;
--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,6 +1,6 @@
 //! All integration tests, one crate.
 
-mod gatedir;
+mod gateway_fleet;
 mod keeperdir;
 mod lenddir;
 mod test_allowance;
