--- a/src/http1/body.rs
+++ b/src/http1/body.rs
@@ -1,75 +1,75 @@
-//! Body framing as a pure decoder: bytes in, payload out.
+//! Decoding of HTTP/1.1 body framing, without I/O.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest chunk-size or trailer line that is accepted, in bytes.
+/// The longest accepted chunk-size or trailer line.
 const MAX_LINE_BYTES: usize = 512;
-/// Hexadecimal digits of the largest chunk size that is accepted.
+/// The maximum number of hexadecimal digits in a chunk size.
 const MAX_CHUNK_SIZE_DIGITS: usize = 8;
 
-/// Where a decoder stands.
+/// State of a decoder.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
-    /// So many bytes of payload are left.
+    /// In a body of known length, with this many bytes of payload left.
     Length(u64),
-    /// A chunk-size line comes next.
+    /// Before a chunk-size line.
     ChunkSize,
-    /// So many bytes of this chunk are left.
+    /// In a chunk, with this many bytes left.
     Chunk(u64),
-    /// The line end behind a chunk comes next.
+    /// Before the line end that follows a chunk.
     ChunkEnd,
-    /// Trailer lines up to an empty one come next.
+    /// Before a trailer line; an empty line ends the body.
     Trailer,
-    /// Everything up to the end of the connection.
+    /// In a body that ends when the connection closes.
     UntilClose,
-    /// The body is whole.
+    /// The body is complete.
     Done,
 }
 
-/// What the buffered bytes hold.
+/// Result of decoding buffered bytes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Payload.
+    /// A piece of the payload.
     Piece(Bytes),
     /// More bytes are needed.
     More,
-    /// The body is whole; what follows in the buffer is not part of it.
+    /// The body is complete. The remaining buffered bytes are not part of it.
     Done,
-    /// The bytes are no body.
+    /// The framing is invalid.
     Bad,
 }
 
-/// Takes a body's payload out of a connection's bytes.
+/// Extracts the payload of one body from the bytes of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyDecoder(State);
 
 impl BodyDecoder {
-    /// A body of `n` bytes.
+    /// Decodes a body of `n` bytes.
     pub fn length(n: u64) -> BodyDecoder {
         BodyDecoder(if n == 0 { State::Done } else { State::Length(n) })
     }
 
-    /// A body in chunks.
+    /// Decodes a body with chunked transfer coding.
     pub fn chunked() -> BodyDecoder {
         BodyDecoder(State::ChunkSize)
     }
 
-    /// A body that ends with its connection.
+    /// Decodes a body that ends when the connection closes.
     pub fn until_close() -> BodyDecoder {
         BodyDecoder(State::UntilClose)
     }
 
-    /// Whether only the end of the connection ends this body.
+    /// Whether the body ends only when the connection closes.
     pub fn ends_with_connection(&self) -> bool {
         self.0 == State::UntilClose
     }
 
-    /// Whether the body is whole.
+    /// Whether the body is complete.
     pub fn is_done(&self) -> bool {
         self.0 == State::Done
     }
 
-    /// The bytes that are left of a body of known length.
+    /// The number of remaining bytes; `None` if the length is not known in advance.
     pub fn known_length(&self) -> Option<u64> {
         match self.0 {
             State::Length(n) => Some(n),
@@ -121,7 +121,7 @@
     }
 }
 
-/// Takes up to `left` bytes; returns them and how many are still missing.
+/// Takes up to `left` bytes; returns them and the number of bytes still missing.
 fn take_up_to(buf: &mut BytesMut, left: u64) -> (Bytes, u64) {
     let n = usize::try_from(left).unwrap_or(usize::MAX).min(buf.len());
     (buf.split_to(n).freeze(), left - n as u64)
@@ -133,7 +133,8 @@
     Bad,
 }
 
-/// Takes a line that ends with CR LF; a lone LF is no line end, or readers would differ.
+/// Takes a line that ends with CR LF. A lone LF is rejected, because implementations differ on
+/// whether it ends a line.
 fn take_line(buf: &mut BytesMut) -> Line {
     match buf.iter().position(|b| *b == b'\n') {
         Some(0) => Line::Bad,
--- a/src/http1/conn.rs
+++ b/src/http1/conn.rs
@@ -1,4 +1,4 @@
-//! A buffered connection, used towards callers and towards targets.
+//! A buffered TCP connection, used for both callers and targets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,9 +12,10 @@
 use super::body::{BodyDecoder, Step};
 use super::head::{BadHead, RequestHead, ResponseHead, parse_request, parse_response};
 
-/// Bytes that are read ahead of what a request needs, at most; a peer that sends more waits.
+/// The maximum number of bytes read ahead of the current request; beyond it the peer is held up by
+/// TCP flow control.
 const MAX_READ_AHEAD_BYTES: usize = 32 * 1024;
-/// Room asked for with each read. Small, because idle connections keep it.
+/// Buffer space reserved for each read. Small, because idle connections keep it.
 const READ_CHUNK_BYTES: usize = 4 * 1024;
 
 /// Why no head was read.
@@ -22,15 +23,15 @@
 pub enum HeadError {
     /// The peer closed the connection between two messages.
     Closed,
-    /// The peer closed it within a head, or it broke.
+    /// The connection was closed within a head, or it failed.
     Broken(io::Error),
-    /// What came is no head.
+    /// The head is invalid.
     Bad(BadHead),
     /// The head is longer than allowed.
     TooLong,
 }
 
-/// A TCP connection with the bytes that were read but not used yet.
+/// A TCP connection with a buffer of bytes that were read but not yet consumed.
 #[derive(Debug)]
 pub struct Conn {
     io: TcpStream,
@@ -39,12 +40,12 @@
 }
 
 impl Conn {
-    /// Takes over an open socket. Small writes go out at once. `silence` is how long sent bytes
-    /// may stay unacknowledged before the connection counts as broken: a peer without power or
-    /// behind a partition never answers, and only this ends the wait.
+    /// Wraps an open socket and disables Nagle's algorithm. `unacked_timeout` limits how long sent
+    /// bytes may stay unacknowledged before the connection counts as broken. Without it, a peer
+    /// that lost power or is behind a network partition would be waited for forever.
     ///
     /// # Errors
-    /// Those of the socket options.
+    /// The error of setting a socket option.
     pub fn new(io: TcpStream, unacked_timeout: Duration) -> io::Result<Conn> {
         io.set_nodelay(true)?;
         let sock = SockRef::from(&io);
@@ -57,13 +58,13 @@
     /// Connects to `addr`.
     ///
     /// # Errors
-    /// Those of connecting. There is no timeout here: callers set one.
+    /// The error of connecting. There is no timeout here; callers set one.
     pub async fn dial(addr: SocketAddr, unacked_timeout: Duration) -> io::Result<Conn> {
         let sock = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         Conn::new(sock.connect(addr).await?, unacked_timeout)
     }
 
-    /// Reads more bytes. Safe to cancel: no byte is lost.
+    /// Reads more bytes. Cancel safe: no byte is lost.
     async fn fill(&mut self) -> io::Result<usize> {
         if self.buf.is_empty() && self.buf.capacity() > MAX_READ_AHEAD_BYTES {
             self.buf = BytesMut::new();
@@ -74,13 +75,13 @@
         Ok(n)
     }
 
-    /// Whether nothing that was read is unused.
+    /// Whether all bytes that were read are consumed.
     pub fn is_buffer_empty(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// Whether a kept connection can take a request: open, and without bytes that no request
-    /// asked for. Such bytes would be taken for the next answer.
+    /// Whether an idle connection can carry a request: it is open and holds no unexpected bytes,
+    /// which would be taken for the next answer.
     pub fn is_reusable(&mut self) -> bool {
         if self.eof || !self.buf.is_empty() {
             return false;
@@ -89,10 +90,10 @@
         matches!(self.io.try_read(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Waits for the first byte of a message.
+    /// Waits for the first byte of a message. Returns `false` at the end of the connection.
     ///
     /// # Errors
-    /// Those of the socket; `false` is the end of the connection.
+    /// The error of the socket.
     pub async fn wait_for_data(&mut self) -> io::Result<bool> {
         Ok(!self.buf.is_empty() || self.fill().await? > 0)
     }
@@ -135,12 +136,12 @@
         }
     }
 
-    /// The next piece of a body's payload; `None` once it is whole. Safe to cancel.
+    /// Reads the next piece of a body's payload; `None` once the body is complete. Cancel safe.
     ///
     /// # Errors
-    /// `UnexpectedEof` if the connection ended within the body, `InvalidData` for broken
-    /// framing, else those of the socket. A body that ends with its connection is whole only
-    /// if the connection was closed in order, not reset.
+    /// `UnexpectedEof` if the connection ended within the body, `InvalidData` for invalid framing,
+    /// otherwise the error of the socket. A body that is delimited by the end of the connection is
+    /// complete only if the connection was closed and not reset.
     pub async fn read_piece(&mut self, body: &mut BodyDecoder) -> io::Result<Option<Bytes>> {
         loop {
             match body.decode(&mut self.buf) {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Reads a whole body of at most `max` bytes; `None` if it is longer.
+    /// Reads a complete body of at most `max` bytes; `None` if it is longer.
     ///
     /// # Errors
     /// As [`Conn::read_piece`].
@@ -186,8 +187,8 @@
         Ok(Some(whole.freeze()))
     }
 
-    /// Returns once the peer has closed the connection or it broke. Bytes of a next request
-    /// that arrive meanwhile are kept. Safe to cancel.
+    /// Returns once the peer has closed the connection or the connection failed. Bytes of a next
+    /// request that arrive meanwhile stay buffered. Cancel safe.
     pub async fn wait_closed(&mut self) {
         while !self.eof && self.buf.len() < MAX_READ_AHEAD_BYTES {
             if self.fill().await.is_err() {
@@ -202,18 +203,19 @@
     /// Writes all of `bytes`.
     ///
     /// # Errors
-    /// Those of the socket.
+    /// The error of the socket.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.io.write_all(bytes).await
     }
 
-    /// Writes a request while watching for an answer that comes before all of it was taken.
-    /// Returns whether all of it was written.
+    /// Writes a request, and stops if the peer answers before all of it was written. Returns
+    /// whether all of it was written.
     ///
     /// # Errors
-    /// Those of the socket, with nothing to read from it.
+    /// The error of the socket, if no answer can be read from it.
     pub async fn write_until_answered(&mut self, bytes: &[u8]) -> io::Result<bool> {
-        // The usual request fits into the socket's buffer: no second task is needed.
+        // A typical request fits into the socket's send buffer, so the answer need not be watched
+        // for.
         let sent = match self.io.try_write(bytes) {
             Ok(n) => n,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => 0,
@@ -233,10 +235,12 @@
         }
     }
 
-    /// Ends the connection with a reset, so that the peer cannot take what it got for whole.
+    /// Closes the connection with a reset, so that the peer cannot take an incomplete message for a
+    /// complete one.
     pub fn abort(self) {
-        // Without lingering, closing resets the connection. A socket that refuses the option
-        // is closed in order: chunked and sized bodies still show that they are cut.
+        // A linger time of zero makes closing send a reset. If the option cannot be set, the
+        // connection is closed normally; chunked and sized bodies still show that they are
+        // incomplete.
         if let Err(e) = SockRef::from(&self.io).set_linger(Some(Duration::ZERO)) {
             log::debug!("conn abort error={e}");
         }
--- a/src/http1/head.rs
+++ b/src/http1/head.rs
@@ -1,45 +1,45 @@
-//! Request and response heads, and how their bodies are framed.
+//! Parsing of request and response heads, including how their bodies are framed.
 
 use bytes::{Buf, Bytes, BytesMut};
 use compact_str::CompactString;
 
 use super::body::BodyDecoder;
 
-/// More header lines than this are refused.
+/// The maximum number of header lines in a head.
 const MAX_HEADER_LINES: usize = 96;
 
-/// One header line, its name as it was sent.
+/// One header line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Header {
-    /// Name in the sender's spelling.
+    /// Name as sent.
     pub name: CompactString,
     /// Value without surrounding white space.
     pub value: Bytes,
 }
 
 impl Header {
-    /// A header of our own.
+    /// Creates a header from text.
     pub fn new(name: &str, value: &str) -> Header {
         Header { name: name.into(), value: Bytes::copy_from_slice(value.as_bytes()) }
     }
 
-    /// Whether this header has that name, in any case.
+    /// Whether the header has this name, ignoring case.
     pub fn is(&self, name: &str) -> bool {
         self.name.eq_ignore_ascii_case(name)
     }
 
-    /// The value as text, if it is.
+    /// The value as text; `None` if it is not UTF-8.
     pub fn text(&self) -> Option<&str> {
         std::str::from_utf8(&self.value).ok()
     }
 }
 
-/// The text of the first header of that name.
+/// The value of the first header with this name; `None` if it is absent or not UTF-8.
 pub fn header<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
     headers.iter().find(|h| h.is(name)).and_then(Header::text)
 }
 
-/// The comma-separated tokens of all headers of that name.
+/// The comma-separated tokens of all headers with this name.
 pub fn tokens<'a>(headers: &'a [Header], name: &'a str) -> impl Iterator<Item = &'a str> {
     let values = headers.iter().filter(move |h| h.is(name)).filter_map(Header::text);
     values.flat_map(|v| v.split(',')).map(str::trim).filter(|t| !t.is_empty())
@@ -52,12 +52,12 @@
     timeout.trim().parse().ok()
 }
 
-/// Why a head cannot be used.
+/// Why a head is rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BadHead {
-    /// Not HTTP, or framed in a way that two readers could take differently.
+    /// The head is not valid HTTP, or its framing is ambiguous.
     Malformed,
-    /// A transfer coding other than `chunked`.
+    /// The transfer coding is not `chunked`.
     UnknownCoding,
 }
 
@@ -68,13 +68,13 @@
     pub method: CompactString,
     /// Path and query as sent.
     pub target: CompactString,
-    /// All header lines in their order.
+    /// All header lines in their original order.
     pub headers: Vec<Header>,
-    /// How the body is framed.
+    /// Decoder for the body's framing.
     pub body: BodyDecoder,
-    /// Whether the connection can take another request after this one.
+    /// Whether the connection can be reused after this request.
     pub keep_alive: bool,
-    /// Whether the caller understands chunked answers.
+    /// Whether the request is HTTP/1.1, so that its sender accepts chunked answers.
     pub http11: bool,
     /// Whether the caller waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
@@ -87,11 +87,11 @@
     pub status: u16,
     /// Reason phrase as sent.
     pub reason: CompactString,
-    /// All header lines in their order.
+    /// All header lines in their original order.
     pub headers: Vec<Header>,
-    /// How the body is framed.
+    /// Decoder for the body's framing.
     pub body: BodyDecoder,
-    /// Whether the connection can take another request after this response.
+    /// Whether the connection can be reused after this response.
     pub keep_alive: bool,
 }
 
@@ -103,7 +103,7 @@
     lines.iter().map(copy).collect()
 }
 
-/// The body length that all `Content-Length` lines agree on.
+/// Reads `Content-Length`. Several lines must state the same length.
 fn content_length(headers: &[Header]) -> Result<Option<u64>, BadHead> {
     let mut length = None;
     for h in headers.iter().filter(|h| h.is("content-length")) {
@@ -120,7 +120,7 @@
     Ok(length)
 }
 
-/// Whether the body is chunked; any other coding is an error.
+/// Whether the body is chunked; any other transfer coding is an error.
 fn is_chunked(headers: &[Header]) -> Result<bool, BadHead> {
     let mut codings = tokens(headers, "transfer-encoding");
     match (codings.next(), codings.next()) {
@@ -138,12 +138,12 @@
 
 /// Takes a request head from the front of `buf`; `None` while it is incomplete.
 ///
-/// A request with both `Content-Length` and `Transfer-Encoding` is malformed: one reader would
-/// end the body by one and the next reader by the other, and what lies between would be run as
-/// a request of its own.
+/// A request with both `Content-Length` and `Transfer-Encoding` is malformed, which prevents
+/// request smuggling: if two servers delimit the body differently, the bytes in between would be
+/// run as a request of their own.
 ///
 /// # Errors
-/// `Malformed` or `UnknownCoding`; the connection cannot be used any further.
+/// `Malformed` or `UnknownCoding`. The connection cannot be used any further.
 pub fn parse_request(buf: &mut BytesMut) -> Result<Option<RequestHead>, BadHead> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
     let mut req = httparse::Request::new(&mut lines);
@@ -173,11 +173,11 @@
     Ok(Some(RequestHead { method, target, headers, body, keep_alive, http11, expects_continue }))
 }
 
-/// Takes a response head from the front of `buf`; `None` while it is incomplete. Interim
-/// responses (1xx) are skipped.
+/// Takes a response head from the front of `buf`; `None` while it is incomplete. Interim responses
+/// (1xx) are skipped.
 ///
 /// # Errors
-/// `Malformed` or `UnknownCoding`: what the peer sent is no response.
+/// `Malformed` or `UnknownCoding` if the bytes are not a valid response.
 pub fn parse_response(buf: &mut BytesMut) -> Result<Option<ResponseHead>, BadHead> {
     loop {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
--- a/src/http1/mod.rs
+++ b/src/http1/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 connections whose every byte is accounted for.
+//! HTTP/1.1 connections with full control over the bytes on the wire.
 //!
-//! Forwarding has to know things that general servers and clients hide: whether any byte of a
-//! request left, whether a kept connection holds bytes that belong to no request, and whether
-//! a request was framed in two ways at once. Heads are parsed by `httparse`; this module adds
-//! the framing of bodies and a buffered connection.
+//! Forwarding depends on facts that general-purpose servers and clients hide: whether any byte of a
+//! request was sent, whether an idle connection holds bytes that belong to no request, and whether
+//! a request is framed in two ways at once. Heads are parsed by `httparse`; this module adds the
+//! framing of bodies and a buffered connection.
 
 mod body;
 mod conn;
--- a/tests/gateway_fleet.rs
+++ b/tests/gateway_fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet of gateways on stand-ins, with callers that see every byte.
+//! Test fixture: a small gateway fleet with stand-in targets and raw HTTP callers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use kingcupwall::standin::gateway_target::StandinTarget;
 use tokio::task::LocalSet;
 
-/// Runs a test on one thread with local tasks, as the daemon does.
+/// Runs a test on a single thread with local tasks, as the daemon does.
 pub fn run_local(test: impl Future<Output = ()>) {
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&rt, test);
@@ -17,16 +17,16 @@
 
 /// A store, its targets and one router.
 pub struct Fleet {
-    /// The platform as its operator uses it.
+    /// The store and the platform, with the operator's functions.
     pub platform: LocalPlatform,
-    /// Targets, all of one service.
+    /// The targets, all of one service.
     pub targets: Vec<StandinTarget>,
     /// The first router.
     pub router: GatewayHost,
 }
 
 impl Fleet {
-    /// Starts a fleet with `targets` targets and `prepaid` tokens.
+    /// Starts `targets` targets and a router; the organisation has `prepaid` tokens.
     pub async fn start(targets: usize, prepaid: u64) -> Fleet {
         let platform = LocalPlatform::new();
         platform.configure(parts(1, prepaid));
@@ -40,17 +40,17 @@
         Fleet { platform, targets: started, router }
     }
 
-    /// The version of the configuration that the router has in force.
+    /// The version of the configuration in force at the router; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.router.gw.config().map_or(0, |c| c.version)
     }
 
-    /// All runs at all targets.
+    /// The number of requests that ran at all targets.
     pub fn runs(&self) -> usize {
         self.targets.iter().map(|t| t.runs().len()).sum()
     }
 
-    /// Fills the retry budget.
+    /// Fills the router's retry budget with ten successful requests.
     pub async fn fill_retry_budget(&self) {
         for n in 0..10 {
             let got = Call::get("/safe/warm").id(&format!("warm{n}")).send(self.router.front).await;
@@ -59,7 +59,7 @@
     }
 }
 
-/// A request of a caller.
+/// A caller's request.
 pub struct Call {
     path: String,
     id: String,
@@ -69,7 +69,7 @@
 }
 
 impl Call {
-    /// A request without a body.
+    /// Creates a request without a body.
     pub fn get(path: &str) -> Call {
         let key = Some("key-norte".to_owned());
         Call {
@@ -81,36 +81,36 @@
         }
     }
 
-    /// Sets its id.
+    /// Sets the request id.
     pub fn id(mut self, id: &str) -> Call {
         self.id = id.into();
         self
     }
 
-    /// Sets its key.
+    /// Sets the API key.
     pub fn key(mut self, key: &str) -> Call {
         self.key = Some(key.into());
         self
     }
 
-    /// Adds a header line.
+    /// Adds a header line, without the line end.
     pub fn with_header(mut self, line: &str) -> Call {
         self.headers += &format!("{line}\r\n");
         self
     }
 
-    /// Sets prompt tokens and most output tokens.
+    /// Sets the prompt tokens and the maximum output tokens.
     pub fn tokens(self, prompt: u64, output: u64) -> Call {
         self.with_header(&format!("Tokens: {prompt},{output}"))
     }
 
-    /// Sets its body.
+    /// Sets the body, which makes the request a `POST`.
     pub fn body(mut self, body: &str) -> Call {
         self.body = body.into();
         self
     }
 
-    /// Its bytes.
+    /// Encodes the request.
     pub fn bytes(&self) -> Vec<u8> {
         let method = if self.body.is_empty() { "GET" } else { "POST" };
         let key = self.key.as_ref().map(|k| format!("Authorization: Bearer {k}\r\n"));
@@ -130,7 +130,7 @@
         .into_bytes()
     }
 
-    /// Sends it on a connection of its own and reads everything that comes.
+    /// Sends the request on a new connection and reads the whole answer.
     pub async fn send(&self, to: SocketAddr) -> CallResult {
         let mut conn = Conn::dial(to, Duration::from_secs(5)).await.unwrap();
         conn.write(&self.bytes()).await.unwrap();
@@ -138,13 +138,13 @@
     }
 }
 
-/// What a caller got.
+/// The answer that a caller received.
 pub struct CallResult {
-    /// The head, if any came.
+    /// The head; `None` if the connection ended without one.
     pub head: Option<ResponseHead>,
-    /// The body as far as it came.
+    /// The received part of the body.
     pub body: String,
-    /// Whether the body was whole.
+    /// Whether the body is complete.
     pub whole: bool,
 }
 
@@ -171,7 +171,7 @@
         self.head.as_ref().map_or(0, |h| h.status)
     }
 
-    /// A header's value.
+    /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.as_ref().and_then(|h| header(&h.headers, name))
     }
@@ -183,7 +183,7 @@
     }
 }
 
-/// Waits until `done` holds, for some seconds at most.
+/// Waits until `done` returns `true`; panics after several seconds.
 pub async fn eventually(what: &str, done: impl Fn() -> bool) {
     for _ in 0..1_000 {
         if done() {
--- a/tests/test_gateway.rs
+++ b/tests/test_gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway end to end: real sockets, stand-in targets, the row store in memory.
+//! End-to-end tests of the gateway with real sockets, stand-in targets and an in-memory row store.
 
 use std::time::Duration;
 
@@ -47,9 +47,9 @@
 
 #[test]
 fn forward_two_framings() {
-    // An attacker's second request runs under the first one's key.
-    // A body is framed by length and in chunks at once; the router ends it by one, the target by
-    // the other, and what lies between is taken for a request.
+    // Guards against request smuggling, where an attacker's second request runs under the first
+    // one's key. The body is framed both by length and in chunks; if the router and the target
+    // delimit it differently, the target takes the bytes in between for a request.
     run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let call =
@@ -61,8 +61,8 @@
 
 #[test]
 fn forward_new_key() {
-    // A customer that was added a moment ago is told that its key does not exist.
-    // The configuration was acknowledged, and the router's feed has not brought it yet.
+    // A newly added customer must not be refused as unknown. The configuration with the key was
+    // acknowledged, but the router's feed has not delivered it yet.
     run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let mut next = parts(2, 1_000);
@@ -79,7 +79,7 @@
 
 #[test]
 fn forward_unknown_key_store_away() {
-    // The same customer during an outage of the store: "no such key" would be final, and wrong.
+    // The same during an outage of the store: 401 would be final for the caller, and wrong.
     run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.router.platform.rows.set_fault(Fault::Reject(503));
@@ -119,14 +119,14 @@
 
 #[test]
 fn forward_lost_answer_once() {
-    // A spare part is ordered twice.
-    // The target filed the order and its answer was lost; the router sends it to another target,
-    // or says "not run" and the caller sends it again.
+    // Guards against running an order twice. The target ran the order and its answer was lost; the
+    // router must neither send it to another target nor report "not run", after which the caller
+    // would send it again.
     run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
         fleet.fill_retry_budget().await;
         let faults = [TargetFault::LosesAnswer, TargetFault::Garbage, TargetFault::CutsBody];
-        // Whichever target a request goes to, it meets a fault there.
+        // Each target has faults queued, so that a request fails wherever it is sent.
         fleet.targets.iter().for_each(|t| t.fail(&faults.repeat(2)));
         for n in 0..6 {
             let got = Call::get("/once/a").id(&format!("o{n}")).send(fleet.router.front).await;
@@ -152,8 +152,8 @@
 
 #[test]
 fn forward_failure_of_target() {
-    // A caller gets a failure with a seal of a target that never gave it.
-    // A safe request fails at two targets; only the failure as one of them sent it may be shown.
+    // A failure answer must carry the seal of the target that gave it. An idempotent request fails
+    // at two targets, and only one target's failure may be returned, unchanged.
     run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
         fleet.fill_retry_budget().await;
@@ -167,8 +167,8 @@
 
 #[test]
 fn forward_retry_budget_empty() {
-    // While a service fails, retries double its load.
-    // A new router has earned nothing yet: it must pass the failure on.
+    // Retries must not double the load of a failing service. A new router has not earned any retry
+    // budget yet, so it must pass the failure on.
     run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
         fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::Fails]));
@@ -179,9 +179,9 @@
 
 #[test]
 fn forward_stray_answer() {
-    // One caller gets another's answer.
-    // A target answers twice; the second answer waits on the kept connection where the next
-    // request's is due. It bears another id.
+    // Guards against returning one caller's answer to another. A target answers twice, and the
+    // second answer, with the id of its own request, is read from the reused connection before the
+    // next request's answer.
     run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         for n in 0..4 {
@@ -220,9 +220,9 @@
 
 #[test]
 fn stream_resumes_elsewhere() {
-    // A technician's note breaks off in the middle of a sentence.
-    // The target dies within an event; another one goes on after the last whole event, and the
-    // caller sees one stream with every event once, under the first target's seal.
+    // A resumable stream must not break off when its target fails within an event. Another target
+    // continues after the last complete event; the caller sees each event once, under the seal of
+    // the first target.
     run_local(async {
         let fleet = Fleet::start(2, 10_000).await;
         fleet.fill_retry_budget().await;
@@ -249,8 +249,8 @@
 
 #[test]
 fn stream_cut_looks_cut() {
-    // A caller takes half an answer for a whole one.
-    // A stream that may run once breaks off: no event may be halved and the end must be missing.
+    // A caller must not take an incomplete answer for a complete one. When a stream that may run
+    // only once breaks off, events stay complete and the final chunk is missing.
     run_local(async {
         let fleet = Fleet::start(2, 10_000).await;
         fleet.fill_retry_budget().await;
@@ -265,7 +265,7 @@
 
 #[test]
 fn stream_caller_leaves() {
-    // Targets work for callers that have long gone.
+    // Targets must not keep working for callers that disconnected.
     run_local(async {
         let fleet = Fleet::start(1, 10_000).await;
         fleet.targets[0].set_event_gap(Duration::from_millis(20));
@@ -300,7 +300,8 @@
         for _ in 0..3 {
             assert_eq!(small().send(fleet.router.front).await.status(), 200);
         }
-        // 360 of 400 are spent. Until the ledger in the store proves it, the answer is 503.
+        // 360 of 400 tokens are spent. Until the ledger in the store confirms that, the status is
+        // 503.
         let mut status = 503;
         while status == 503 {
             status = small().send(fleet.router.front).await.status();
@@ -312,8 +313,8 @@
 
 #[test]
 fn budget_returned_at_stop() {
-    // An organisation is refused although it has tokens: a router that was stopped kept them.
-    // The stop waits for the running stream, then writes what was spent and leaves the ledger.
+    // A stopped router must not keep tokens, or the organisation is refused although it has some.
+    // The stop waits for the running stream, then writes what was spent and closes its grants.
     run_local(async {
         let fleet = Fleet::start(1, 10_000).await;
         fleet.targets[0].set_event_gap(Duration::from_millis(10));
@@ -334,9 +335,9 @@
 
 #[test]
 fn budget_after_kill() {
-    // After a power cut an organisation's tokens are gone, or are spent twice.
-    // The successor at the same place closes what the dead process left open, at no less than
-    // what it had spent and no more than its line allowed by then.
+    // After a power cut an organisation's tokens must be neither lost nor spent twice. The
+    // successor closes the grants of the dead process at no less than it had spent and no more than
+    // its grants allowed by then.
     run_local(async {
         let fleet = Fleet::start(1, 100_000).await;
         let got = Call::get("/stream/a").tokens(1_000, 20).send(fleet.router.front).await;
@@ -354,8 +355,8 @@
 
 #[test]
 fn drain_kept_connection() {
-    // A rolling restart cuts requests on kept connections.
-    // A router that leaves answers them with "close" and takes them until callers know.
+    // A rolling restart must not cut requests on kept connections. A leaving router still serves
+    // them, with `Connection: close`, until callers know other routers.
     run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let mut conn = Conn::dial(fleet.router.front, Duration::from_secs(5)).await.unwrap();
@@ -374,7 +375,7 @@
 
 #[test]
 fn log_tells_cause() {
-    // An engineer has an id and the log: each of three failures must be found from it.
+    // The log must identify the cause of a failure by request id, for three kinds of failure.
     run_local(async {
         let fleet = Fleet::start(1, 300).await;
         fleet.targets[0].fail(&[TargetFault::CutsStream(2), TargetFault::LosesAnswer]);
--- a/tests/test_gateway_config.rs
+++ b/tests/test_gateway_config.rs
@@ -1,4 +1,4 @@
-//! What a large configuration costs a router with a narrow link.
+//! Tests of the cost of a large configuration for a router with a slow link to the store.
 
 use std::time::Duration;
 
@@ -10,17 +10,15 @@
 
 use crate::gateway_fleet::{Call, Fleet, eventually, run_local};
 
-/// A configuration with some thousand routes, in bytes.
+/// Size of a configuration with some thousand routes, in bytes.
 const LARGE: usize = 800_000;
 
-/// A pause after which an earlier reading of the configuration no longer counts as fresh.
+/// Longer than an earlier reading of the configuration counts as fresh.
 const NO_LONGER_FRESH: Duration = Duration::from_millis(120);
 
-/// A router that says it is ready takes none of 7 new connections in 5.5 s, and callers give up.
-/// Each request for a route or with a key that it does not know made it read the whole
-/// configuration again, changed or not. Its log showed `event=store_read cause=confirm
-/// bytes=827824` at a link of 10 Mbit/s, which such a reading fills for 0.9 s; refusals took
-/// 26 ms with 49 routes, 663 ms with 2,849, and beyond that had no answer.
+/// Each request with an unknown route or key made the router read the whole unchanged configuration
+/// again (827,824 bytes, 0.9 s at 10 Mbit/s). Refusals took 26 ms with 49 routes, 663 ms with 2,849
+/// and got no answer beyond that; a ready router took none of 7 new connections in 5.5 s.
 #[rstest]
 #[case::route("/nowhere/a", "key-norte", 404)]
 #[case::key("/safe/a", "key-of-nobody", 401)]
@@ -40,11 +38,9 @@
     });
 }
 
-/// A new configuration of 1.1 MB takes a router's link of 10 Mbit/s for 0.9 s. Requests for routes
-/// unknown so far came meanwhile, and each asked for the same configuration once more: none of
-/// the readings was over within the time that a call may take, `event=store state=away
-/// cause=no_answer:timeout call=confirm ms=901` alternated with `state=answers`, and the link was
-/// full for 6.5 s.
+/// While a new configuration of 1.1 MB occupied a link of 10 Mbit/s for 0.9 s, each request with an
+/// unknown route read it once more. No reading finished within the call timeout (`event=store
+/// state=away cause=no_answer:timeout call=confirm ms=901`), and the link was full for 6.5 s.
 #[test]
 fn refusal_during_transfer() {
     run_local(async {
@@ -66,8 +62,8 @@
     });
 }
 
-/// A route or key that was added a moment ago is not refused, though the router has not heard of it
-/// by itself yet: its feed is held up.
+/// A route that was added a moment ago must not be refused although the router's feed is stalled
+/// and has not delivered it yet.
 #[test]
 fn refusal_confirmed_against_change() {
     run_local(async {
@@ -83,9 +79,9 @@
     });
 }
 
-/// During an outage of the store callers with keys that are unknown here are refused one after
-/// another, the tenth of them after ten timeouts. Each waited for the attempt before it to fail and
-/// then made one of its own.
+/// During an outage of the store, concurrent requests with unknown keys must share one attempt to
+/// read the configuration. Otherwise each waits for the previous attempt to fail and then makes its
+/// own, so that the tenth is refused after ten timeouts.
 #[test]
 fn refusal_shares_outcome() {
     run_local(async {
@@ -100,7 +96,7 @@
         });
         let statuses = join_all(calls).await;
         assert_eq!(statuses, [503; 10]);
-        // One that the others wait for; the feed of targets may ask once a second besides.
+        // One attempt that the requests share; the feed of targets may add one per second.
         let asked = rows.feeds_asked() - before;
         assert!(asked < 6, "{asked} feeds asked for");
     });
--- a/tests/test_http1.rs
+++ b/tests/test_http1.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies, byte by byte.
+//! Tests of head and body parsing, also with input that arrives in small pieces.
 
 use bytes::BytesMut;
 use kingcupwall::http1::{
@@ -66,7 +66,7 @@
     assert_eq!(keep_alive_seconds(&head.headers), Some(7));
 }
 
-/// All payload that `text` holds in pieces of `n` bytes, and the last step.
+/// Decodes `text` in pieces of `n` bytes; returns the payload and the last step.
 fn decode(mut body: BodyDecoder, text: &[u8], n: usize) -> (Vec<u8>, Step) {
     let (mut buf, mut out) = (BytesMut::new(), Vec::new());
     for piece in text.chunks(n) {
