--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -72,7 +72,7 @@
     /// The organisation that the API key belongs to; `None` if the route needs no key.
     pub org: Option<CompactString>,
     /// The budget reservation; `None` if the request costs no prepaid tokens.
-    pub hold: Option<Hold<P>>,
+    pub reservation: Option<Hold<P>>,
     /// Number of sends so far.
     pub send_counts: Made,
     /// Whether some target may have run the request.
@@ -162,7 +162,7 @@
             route,
             service,
             org,
-            hold: None,
+            reservation: None,
             send_counts: Made { runs: 0, sends: 0 },
             may_have_run: Cell::new(false),
             tried: Vec::new(),
@@ -196,8 +196,8 @@
             }
         }
         match taken {
-            Ok(hold) => {
-                self.hold = Some(hold);
+            Ok(reservation) => {
+                self.reservation = Some(reservation);
                 Ok(())
             }
             Err(refusal) => {
@@ -245,10 +245,10 @@
     /// Records the cost of the request after `events` events were passed to the caller.
     pub fn charge(&mut self, events: u64) {
         let cost = self.meta.prompt + self.max_tokens_of(events);
-        if let Some(hold) = &mut self.hold {
-            hold.cost(Tokens(cost));
+        if let Some(reservation) = &mut self.reservation {
+            reservation.cost(Tokens(cost));
             if events > 0 {
-                hold.prove();
+                reservation.prove();
             }
         }
     }
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -125,7 +125,7 @@
     let own = match timeout(limits.head_time, conn.read_request(limits.head_bytes)).await {
         Ok(Ok(head)) => return Some(head),
         Ok(Err(HeadError::Closed | HeadError::Broken(_))) => return None,
-        Ok(Err(HeadError::Bad(_))) => Own::new(400, "malformed_request"),
+        Ok(Err(HeadError::Invalid(_))) => Own::new(400, "malformed_request"),
         Ok(Err(HeadError::TooLong)) => Own::new(431, "head_too_long"),
         Err(_) => Own::new(408, "head_too_slow"),
     };
@@ -273,7 +273,7 @@
         RelayOutcome::Complete if status < 400 => "answered",
         RelayOutcome::Complete => "target_failure",
         RelayOutcome::CallerLeft => "caller_left",
-        RelayOutcome::Broken => "broken",
+        RelayOutcome::Interrupted => "broken",
         RelayOutcome::TimedOut => "timed_out",
     };
     match outcome {
@@ -284,7 +284,7 @@
     count_request_end(&gw.stats, route_kind_label(job.route.kind), outcome);
     let took = job.started.elapsed();
     gw.stats.answer.observe(took.as_secs_f64());
-    let cost = job.hold.as_ref().map_or(0, |h| h.spent().0);
+    let cost = job.reservation.as_ref().map_or(0, |h| h.spent().0);
     gw.stats.tokens.inc_by(cost);
     let fields = format_args!(
         "id={} route={} org={} target={target} status={status} outcome={outcome} config={} runs={} sends={} tokens={cost} ms={}",
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -28,7 +28,7 @@
     /// The caller disconnected.
     CallerLeft,
     /// The target failed during the answer, and the caller's connection was closed.
-    Broken,
+    Interrupted,
     /// The deadline passed, and the caller's connection was closed.
     TimedOut,
 }
@@ -95,9 +95,9 @@
     let mut out = Vec::with_capacity(256 + 64 * head.headers.len());
     // Writing into a vector cannot fail.
     let _ = write!(out, "HTTP/1.1 {} {}\r\n", head.status, head.reason);
-    let is_relayed =
+    let passes =
         |name: &str| framing == Framing::AsSent || !name.eq_ignore_ascii_case("content-length");
-    for h in head.headers.iter().filter(|h| !is_hop_by_hop(h) && is_relayed(&h.name)) {
+    for h in head.headers.iter().filter(|h| !is_hop_by_hop(h) && passes(&h.name)) {
         write_header_line(&mut out, &h.name, &h.value);
     }
     match framing {
@@ -237,7 +237,7 @@
         caller: &mut Conn,
     ) -> Result<(), RelayOutcome> {
         self.in_flight.backend().record_failure();
-        let Some(stream) = &self.remaining.stream else { return Err(RelayOutcome::Broken) };
+        let Some(stream) = &self.remaining.stream else { return Err(RelayOutcome::Interrupted) };
         let (last, events): (Option<CompactString>, u64) = (stream.last_id.clone(), stream.events);
         let may_resume = job.route.kind == RouteKind::ResumableStream
             && last.is_some()
@@ -252,7 +252,7 @@
         );
         let found = job.broke_off(self.in_flight.backend());
         if !may_resume {
-            return Err(RelayOutcome::Broken);
+            return Err(RelayOutcome::Interrupted);
         }
         await_evidence(found).await;
         let reply = tokio::select! {
@@ -262,10 +262,10 @@
         };
         let Ok(Reply { head, first_bytes, remaining: Some(mut remaining), in_flight }) = reply
         else {
-            return Err(RelayOutcome::Broken);
+            return Err(RelayOutcome::Interrupted);
         };
         let Some(stream) = remaining.stream.as_mut().filter(|_| head.status == 200) else {
-            return Err(RelayOutcome::Broken);
+            return Err(RelayOutcome::Interrupted);
         };
         stream.events += events;
         stream.last_id = stream.last_id.take().or(last);
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -87,8 +87,10 @@
                 if !ended.may_have_run() {
                     self.send_counts.runs -= 1;
                     self.may_have_run.set(ran_before);
-                    if let Some(hold) = self.hold.as_mut().filter(|_| self.send_counts.runs == 0) {
-                        hold.cost(Tokens(0));
+                    if let Some(reservation) =
+                        self.reservation.as_mut().filter(|_| self.send_counts.runs == 0)
+                    {
+                        reservation.cost(Tokens(0));
                     }
                     target_conn.return_to(&mut backend.pool.borrow_mut());
                 }
@@ -181,7 +183,7 @@
                     let cause = match e {
                         HeadError::Closed => "closed",
                         HeadError::Broken(_) => "broken",
-                        HeadError::Bad(_) => "not_http",
+                        HeadError::Invalid(_) => "not_http",
                         HeadError::TooLong => "head_too_long",
                     };
                     self.gw.log.note(
@@ -279,7 +281,7 @@
         remaining: &mut RemainingBody,
         in_flight: &mut InFlight,
     ) -> Result<Bytes, Ended> {
-        let stream = remaining.stream.as_mut().expect("a stream has its state");
+        let stream = remaining.stream.as_mut().expect("a stream has its progress");
         loop {
             let piece = remaining
                 .conn
--- a/src/http1/body.rs
+++ b/src/http1/body.rs
@@ -32,11 +32,11 @@
     /// A piece of the payload.
     Piece(Bytes),
     /// More bytes are needed.
-    More,
+    NeedMore,
     /// The body is complete. The remaining buffered bytes are not part of it.
     Done,
     /// The framing is invalid.
-    Bad,
+    Invalid,
 }
 
 /// Extracts the payload of one body from the bytes of a connection.
@@ -83,7 +83,7 @@
         loop {
             match self.0 {
                 State::Done => return Step::Done,
-                _ if buf.is_empty() => return Step::More,
+                _ if buf.is_empty() => return Step::NeedMore,
                 State::UntilClose => return Step::Piece(buf.split().freeze()),
                 State::Length(left) => {
                     let (piece, left) = take_up_to(buf, left);
@@ -95,24 +95,24 @@
                     self.0 = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
                     return Step::Piece(piece);
                 }
-                State::ChunkEnd if buf.len() < 2 => return Step::More,
+                State::ChunkEnd if buf.len() < 2 => return Step::NeedMore,
                 State::ChunkEnd if buf.starts_with(b"\r\n") => {
                     buf.advance(2);
                     self.0 = State::ChunkSize;
                 }
-                State::ChunkEnd => return Step::Bad,
+                State::ChunkEnd => return Step::Invalid,
                 State::ChunkSize => match take_line(buf) {
-                    Line::More => return Step::More,
-                    Line::Bad => return Step::Bad,
+                    Line::NeedMore => return Step::NeedMore,
+                    Line::Invalid => return Step::Invalid,
                     Line::Whole(l) => match parse_chunk_size(&l) {
-                        None => return Step::Bad,
+                        None => return Step::Invalid,
                         Some(0) => self.0 = State::Trailer,
                         Some(n) => self.0 = State::Chunk(n),
                     },
                 },
                 State::Trailer => match take_line(buf) {
-                    Line::More => return Step::More,
-                    Line::Bad => return Step::Bad,
+                    Line::NeedMore => return Step::NeedMore,
+                    Line::Invalid => return Step::Invalid,
                     Line::Whole(l) if l.is_empty() => self.0 = State::Done,
                     Line::Whole(_) => (),
                 },
@@ -129,23 +129,23 @@
 
 enum Line {
     Whole(Bytes),
-    More,
-    Bad,
+    NeedMore,
+    Invalid,
 }
 
 /// Takes a line that ends with CR LF. A lone LF is rejected, because implementations differ on
 /// whether it ends a line.
 fn take_line(buf: &mut BytesMut) -> Line {
     match buf.iter().position(|b| *b == b'\n') {
-        Some(0) => Line::Bad,
-        Some(n) if n > MAX_LINE_BYTES || buf[n - 1] != b'\r' => Line::Bad,
+        Some(0) => Line::Invalid,
+        Some(n) if n > MAX_LINE_BYTES || buf[n - 1] != b'\r' => Line::Invalid,
         Some(n) => {
             let mut l = buf.split_to(n + 1);
             l.truncate(n - 1);
             Line::Whole(l.freeze())
         }
-        None if buf.len() > MAX_LINE_BYTES => Line::Bad,
-        None => Line::More,
+        None if buf.len() > MAX_LINE_BYTES => Line::Invalid,
+        None => Line::NeedMore,
     }
 }
 
--- a/src/http1/conn.rs
+++ b/src/http1/conn.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpSocket, TcpStream};
 
 use super::body::{BodyDecoder, Step};
-use super::head::{BadHead, RequestHead, ResponseHead, parse_request, parse_response};
+use super::head::{InvalidHead, RequestHead, ResponseHead, parse_request, parse_response};
 
 /// The maximum number of bytes read ahead of the current request; beyond it the peer is held up by
 /// TCP flow control.
@@ -26,7 +26,7 @@
     /// The connection was closed within a head, or it failed.
     Broken(io::Error),
     /// The head is invalid.
-    Bad(BadHead),
+    Invalid(InvalidHead),
     /// The head is longer than allowed.
     TooLong,
 }
@@ -104,7 +104,7 @@
     /// See [`HeadError`].
     pub async fn read_request(&mut self, max: usize) -> Result<RequestHead, HeadError> {
         loop {
-            if let Some(head) = parse_request(&mut self.buf).map_err(HeadError::Bad)? {
+            if let Some(head) = parse_request(&mut self.buf).map_err(HeadError::Invalid)? {
                 return Ok(head);
             }
             self.read_more_of_head(max).await?;
@@ -117,7 +117,7 @@
     /// See [`HeadError`].
     pub async fn read_response(&mut self, max: usize) -> Result<ResponseHead, HeadError> {
         loop {
-            if let Some(head) = parse_response(&mut self.buf).map_err(HeadError::Bad)? {
+            if let Some(head) = parse_response(&mut self.buf).map_err(HeadError::Invalid)? {
                 return Ok(head);
             }
             self.read_more_of_head(max).await?;
@@ -147,10 +147,10 @@
             match body.decode(&mut self.buf) {
                 Step::Piece(piece) => return Ok(Some(piece)),
                 Step::Done => return Ok(None),
-                Step::Bad => return Err(io::ErrorKind::InvalidData.into()),
-                Step::More if self.eof && body.ends_with_connection() => return Ok(None),
-                Step::More if self.eof => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Step::More => {
+                Step::Invalid => return Err(io::ErrorKind::InvalidData.into()),
+                Step::NeedMore if self.eof && body.ends_with_connection() => return Ok(None),
+                Step::NeedMore if self.eof => return Err(io::ErrorKind::UnexpectedEof.into()),
+                Step::NeedMore => {
                     self.fill().await?;
                 }
             }
--- a/src/http1/head.rs
+++ b/src/http1/head.rs
@@ -54,7 +54,7 @@
 
 /// Why a head is rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum BadHead {
+pub enum InvalidHead {
     /// The head is not valid HTTP, or its framing is ambiguous.
     Malformed,
     /// The transfer coding is not `chunked`.
@@ -104,16 +104,16 @@
 }
 
 /// Reads `Content-Length`. Several lines must state the same length.
-fn content_length(headers: &[Header]) -> Result<Option<u64>, BadHead> {
+fn content_length(headers: &[Header]) -> Result<Option<u64>, InvalidHead> {
     let mut length = None;
     for h in headers.iter().filter(|h| h.is("content-length")) {
-        let digits = h.text().ok_or(BadHead::Malformed)?;
+        let digits = h.text().ok_or(InvalidHead::Malformed)?;
         if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(BadHead::Malformed);
+            return Err(InvalidHead::Malformed);
         }
-        let n: u64 = digits.parse().map_err(|_| BadHead::Malformed)?;
+        let n: u64 = digits.parse().map_err(|_| InvalidHead::Malformed)?;
         if length.is_some_and(|l| l != n) {
-            return Err(BadHead::Malformed);
+            return Err(InvalidHead::Malformed);
         }
         length = Some(n);
     }
@@ -121,13 +121,15 @@
 }
 
 /// Whether the body is chunked; any other transfer coding is an error.
-fn is_chunked(headers: &[Header]) -> Result<bool, BadHead> {
+fn is_chunked(headers: &[Header]) -> Result<bool, InvalidHead> {
     let mut codings = tokens(headers, "transfer-encoding");
     match (codings.next(), codings.next()) {
-        (None, _) if headers.iter().any(|h| h.is("transfer-encoding")) => Err(BadHead::Malformed),
+        (None, _) if headers.iter().any(|h| h.is("transfer-encoding")) => {
+            Err(InvalidHead::Malformed)
+        }
         (None, _) => Ok(false),
         (Some(c), None) if c.eq_ignore_ascii_case("chunked") => Ok(true),
-        _ => Err(BadHead::UnknownCoding),
+        _ => Err(InvalidHead::UnknownCoding),
     }
 }
 
@@ -144,13 +146,13 @@
 ///
 /// # Errors
 /// `Malformed` or `UnknownCoding`. The connection cannot be used any further.
-pub fn parse_request(buf: &mut BytesMut) -> Result<Option<RequestHead>, BadHead> {
+pub fn parse_request(buf: &mut BytesMut) -> Result<Option<RequestHead>, InvalidHead> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
     let mut req = httparse::Request::new(&mut lines);
     let len = match req.parse(buf) {
         Ok(httparse::Status::Complete(len)) => len,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(BadHead::Malformed),
+        Err(_) => return Err(InvalidHead::Malformed),
     };
     let headers = copy_headers(req.headers);
     let method = CompactString::from(req.method.unwrap_or_default());
@@ -158,13 +160,13 @@
     let http11 = req.version == Some(1);
     let length = content_length(&headers)?;
     let body = match (is_chunked(&headers)?, length) {
-        (true, Some(_)) => return Err(BadHead::Malformed),
-        (true, None) if !http11 => return Err(BadHead::Malformed),
+        (true, Some(_)) => return Err(InvalidHead::Malformed),
+        (true, None) if !http11 => return Err(InvalidHead::Malformed),
         (true, None) => BodyDecoder::chunked(),
         (false, n) => BodyDecoder::length(n.unwrap_or(0)),
     };
     if http11 && headers.iter().filter(|h| h.is("host")).count() != 1 {
-        return Err(BadHead::Malformed);
+        return Err(InvalidHead::Malformed);
     }
     let keep_alive = is_keep_alive(&headers, http11);
     let expects_continue =
@@ -178,14 +180,14 @@
 ///
 /// # Errors
 /// `Malformed` or `UnknownCoding` if the bytes are not a valid response.
-pub fn parse_response(buf: &mut BytesMut) -> Result<Option<ResponseHead>, BadHead> {
+pub fn parse_response(buf: &mut BytesMut) -> Result<Option<ResponseHead>, InvalidHead> {
     loop {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
         let mut res = httparse::Response::new(&mut lines);
         let len = match res.parse(buf) {
             Ok(httparse::Status::Complete(len)) => len,
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(BadHead::Malformed),
+            Err(_) => return Err(InvalidHead::Malformed),
         };
         let status = res.code.unwrap_or(0);
         let headers = copy_headers(res.headers);
@@ -197,7 +199,7 @@
         }
         let length = content_length(&headers)?;
         let body = match (is_chunked(&headers)?, length) {
-            (true, Some(_)) => return Err(BadHead::Malformed),
+            (true, Some(_)) => return Err(InvalidHead::Malformed),
             _ if status == 204 || status == 304 => BodyDecoder::length(0),
             (true, None) => BodyDecoder::chunked(),
             (false, Some(n)) => BodyDecoder::length(n),
--- a/src/http1/mod.rs
+++ b/src/http1/mod.rs
@@ -12,6 +12,6 @@
 pub use body::{BodyDecoder, Step};
 pub use conn::{Conn, HeadError};
 pub use head::{
-    BadHead, Header, RequestHead, ResponseHead, header, keep_alive_seconds, parse_request,
+    Header, InvalidHead, RequestHead, ResponseHead, header, keep_alive_seconds, parse_request,
     parse_response, tokens,
 };
--- a/tests/gateway_fleet.rs
+++ b/tests/gateway_fleet.rs
@@ -145,25 +145,25 @@
     /// The received part of the body.
     pub body: String,
     /// Whether the body is complete.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl CallResult {
     /// Reads one answer.
     pub async fn read(conn: &mut Conn) -> CallResult {
         let Ok(head) = conn.read_response(64 * 1024).await else {
-            return CallResult { head: None, body: String::new(), whole: false };
+            return CallResult { head: None, body: String::new(), is_complete: false };
         };
         let mut framing = head.body;
         let mut body = Vec::new();
-        let whole = loop {
+        let is_complete = loop {
             match conn.read_piece(&mut framing).await {
                 Ok(Some(piece)) => body.extend_from_slice(&piece),
                 Ok(None) => break true,
                 Err(_) => break false,
             }
         };
-        CallResult { head: Some(head), body: String::from_utf8(body).unwrap(), whole }
+        CallResult { head: Some(head), body: String::from_utf8(body).unwrap(), is_complete }
     }
 
     /// The status; 0 if the connection ended without an answer.
--- a/tests/test_gateway.rs
+++ b/tests/test_gateway.rs
@@ -212,7 +212,7 @@
     run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let got = Call::get("/stream/a").tokens(100, 20).send(fleet.router.front).await;
-        assert!(got.whole);
+        assert!(got.is_complete);
         assert_eq!(got.events(), (1..=10).collect::<Vec<_>>());
         assert_eq!(got.header("Seal"), Some("t1.q1"));
     });
@@ -232,7 +232,7 @@
             let id = format!("q{n}");
             let call = Call::get("/resumable/a").id(&id).tokens(10, 20);
             let got = call.send(fleet.router.front).await;
-            assert!(got.whole, "{}", got.body);
+            assert!(got.is_complete, "{}", got.body);
             assert_eq!(got.events(), (1..=10).collect::<Vec<_>>());
             let at_second = fleet.targets[1].runs();
             let second = at_second.iter().find(|s| header(&s.headers, "Last-Event-Id").is_some());
@@ -256,7 +256,7 @@
         fleet.fill_retry_budget().await;
         fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::CutsStream(3)]));
         let got = Call::get("/stream/a").tokens(100, 20).send(fleet.router.front).await;
-        assert!(!got.whole);
+        assert!(!got.is_complete);
         assert_eq!(got.events(), vec![1, 2, 3]);
         assert!(got.body.ends_with("\n\n"));
         assert_eq!(fleet.runs(), 11);
@@ -325,7 +325,7 @@
         eventually("the stream starts", || fleet.runs() == 1).await;
         drain::stop(&fleet.router.gw).await;
         let got = call.await.unwrap();
-        assert!(got.whole);
+        assert!(got.is_complete);
         assert_eq!(got.events().len(), 50);
         assert!(!fleet.router.gw.entry.borrow().ready);
         let ledger = ledger(&fleet.platform).await;
@@ -341,11 +341,11 @@
     run_local(async {
         let fleet = Fleet::start(1, 100_000).await;
         let got = Call::get("/stream/a").tokens(1_000, 20).send(fleet.router.front).await;
-        assert!(got.whole);
+        assert!(got.is_complete);
         fleet.router.kill();
         let next = GatewayHost::start(&fleet.platform, "r1", "zone-1", 2).await.unwrap();
         let got = Call::get("/stream/a").tokens(1_000, 20).send(next.front).await;
-        assert!(got.whole);
+        assert!(got.is_complete);
         let ledger = ledger(&fleet.platform).await;
         assert_eq!(ledger.grants.len(), 1);
         assert!(ledger.closed >= Tokens(1_020), "{ledger:?}");
@@ -374,13 +374,13 @@
 }
 
 #[test]
-fn log_tells_cause() {
+fn log_identifies_cause() {
     // The log must identify the cause of a failure by request id, for three kinds of failure.
     run_local(async {
         let fleet = Fleet::start(1, 300).await;
         fleet.targets[0].fail(&[TargetFault::CutsStream(2), TargetFault::LosesAnswer]);
         let cut = Call::get("/stream/a").id("cut").tokens(100, 20);
-        assert!(!cut.send(fleet.router.front).await.whole);
+        assert!(!cut.send(fleet.router.front).await.is_complete);
         assert_eq!(Call::get("/once/a").id("lost").send(fleet.router.front).await.status(), 502);
         let big = Call::get("/stream/a").id("dear").tokens(1_000, 20);
         assert!([402, 503].contains(&big.send(fleet.router.front).await.status()));
--- a/tests/test_gateway_config.rs
+++ b/tests/test_gateway_config.rs
@@ -11,10 +11,10 @@
 use crate::gateway_fleet::{Call, Fleet, eventually, run_local};
 
 /// Size of a configuration with some thousand routes, in bytes.
-const LARGE: usize = 800_000;
+const LARGE_CONFIG_BYTES: usize = 800_000;
 
 /// Longer than an earlier reading of the configuration counts as fresh.
-const NO_LONGER_FRESH: Duration = Duration::from_millis(120);
+const CONFIRMATION_EXPIRY: Duration = Duration::from_millis(120);
 
 /// Each request with an unknown route or key made the router read the whole unchanged configuration
 /// again (827,824 bytes, 0.9 s at 10 Mbit/s). Refusals took 26 ms with 49 routes, 663 ms with 2,849
@@ -25,16 +25,16 @@
 fn refusal_unchanged_configuration(#[case] path: &str, #[case] key: &str, #[case] status: u16) {
     run_local(async move {
         let fleet = Fleet::start(1, 1_000_000).await;
-        fleet.platform.configure_large(parts(2, 1_000_000), LARGE);
+        fleet.platform.configure_large(parts(2, 1_000_000), LARGE_CONFIG_BYTES);
         eventually("version 2", || fleet.version() == 2).await;
         let before = fleet.router.platform.rows.bytes_carried();
         for n in 0..6 {
             let got = Call::get(path).key(key).id(&format!("q{n}")).send(fleet.router.front).await;
             assert_eq!(got.status(), status);
-            sleep(NO_LONGER_FRESH).await;
+            sleep(CONFIRMATION_EXPIRY).await;
         }
         let read = fleet.router.platform.rows.bytes_carried() - before;
-        assert!(read < LARGE as u64, "read {read} bytes for six refusals");
+        assert!(read < LARGE_CONFIG_BYTES as u64, "read {read} bytes for six refusals");
     });
 }
 
@@ -47,18 +47,18 @@
         let fleet = Fleet::start(1, 1_000_000).await;
         let rows = &fleet.router.platform.rows;
         let before = rows.bytes_carried();
-        rows.set_link(LARGE as u64);
-        fleet.platform.configure_large(parts(2, 1_000_000), LARGE);
+        rows.set_link(LARGE_CONFIG_BYTES as u64);
+        fleet.platform.configure_large(parts(2, 1_000_000), LARGE_CONFIG_BYTES);
         eventually("transfer", || rows.bytes_carried() > before).await;
         for n in 0..6 {
             let id = format!("q{n}");
             let got = Call::get("/nowhere/a").id(&id).send(fleet.router.front).await;
             assert!([404, 503].contains(&got.status()), "{}", got.status());
-            sleep(NO_LONGER_FRESH).await;
+            sleep(CONFIRMATION_EXPIRY).await;
         }
         eventually("version 2", || fleet.version() == 2).await;
         let read = rows.bytes_carried() - before;
-        assert!(read < 2 * LARGE as u64, "read {read} bytes of one new configuration");
+        assert!(read < 2 * LARGE_CONFIG_BYTES as u64, "read {read} bytes of one new configuration");
     });
 }
 
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -158,7 +158,7 @@
             let call = call.body(&format!("stream {n}"));
             for _ in 0..20 {
                 let got = call.send(front).await;
-                if got.status() == 200 && got.whole {
+                if got.status() == 200 && got.is_complete {
                     return true;
                 }
                 assert_ne!(got.header("Retry-After"), Some("3600.000"));
@@ -243,7 +243,7 @@
             eventually("it runs", || fleet.targets.iter().any(|t| has_it(&t))).await;
             fleet.targets.iter().find(has_it).unwrap().end();
             let got = got.await.unwrap();
-            assert_eq!((got.status(), got.whole), (200, true));
+            assert_eq!((got.status(), got.is_complete), (200, true));
         }
         assert!(fleet.routers[0].gw.stats.targets_ended.get() >= ENDED_AT_MOST as u64);
     });
@@ -291,7 +291,7 @@
         }
         target.end();
         let got = got.await.unwrap();
-        assert!(got.status() == 502 || !got.whole);
+        assert!(got.status() == 502 || !got.is_complete);
         // Nothing listens there any more: the answer comes at once.
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(gw.stats.targets_ended.get(), counted);
@@ -333,7 +333,7 @@
         // The answer has begun: events of it are here.
         assert!(conn.wait_for_data().await.unwrap());
         fleet.targets.iter().find(|t| !t.runs().is_empty()).unwrap().end();
-        assert!(!CallResult::read(&mut conn).await.whole);
+        assert!(!CallResult::read(&mut conn).await.is_complete);
         let stats = &fleet.routers[0].gw.stats;
         eventually("it counts", || stats.targets_ended.get() == 1).await;
     });
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -276,7 +276,7 @@
             target.end();
         };
         let (got, ()) = tokio::join!(call.send(fleet.router.front), ends);
-        assert!(!got.whole);
+        assert!(!got.is_complete);
         sleep(Duration::from_millis(50)).await;
         assert!(!fleet.router.log.take().contains("event=target_ended"));
     });
--- a/tests/test_gateway_orders.rs
+++ b/tests/test_gateway_orders.rs
@@ -162,7 +162,7 @@
         fleet.platform.empty_zone("zone-1");
         fleet.obeys(0, &["zone-1"]).await;
         let got = stream.await.unwrap();
-        assert!(got.whole);
+        assert!(got.is_complete);
         assert_eq!(got.events(), (1..=8).collect::<Vec<_>>());
     });
 }
--- a/tests/test_http1.rs
+++ b/tests/test_http1.rs
@@ -2,11 +2,11 @@
 
 use bytes::BytesMut;
 use kingcupwall::http1::{
-    BadHead, BodyDecoder, Step, keep_alive_seconds, parse_request, parse_response,
+    BodyDecoder, InvalidHead, Step, keep_alive_seconds, parse_request, parse_response,
 };
 use rstest::rstest;
 
-fn request(text: &str) -> Result<Option<kingcupwall::http1::RequestHead>, BadHead> {
+fn request(text: &str) -> Result<Option<kingcupwall::http1::RequestHead>, InvalidHead> {
     parse_request(&mut BytesMut::from(text))
 }
 
@@ -23,13 +23,13 @@
 #[case("GET /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n")]
 #[case("GET /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding:\r\n\r\n")]
 fn parse_request_ambiguous(#[case] text: &str) {
-    assert!(matches!(request(text), Err(BadHead::Malformed)), "{text}");
+    assert!(matches!(request(text), Err(InvalidHead::Malformed)), "{text}");
 }
 
 #[test]
 fn parse_request_unknown_coding() {
     let text = "GET /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n";
-    assert!(matches!(request(text), Err(BadHead::UnknownCoding)));
+    assert!(matches!(request(text), Err(InvalidHead::UnknownCoding)));
 }
 
 #[test]
@@ -74,12 +74,12 @@
         loop {
             match body.decode(&mut buf) {
                 Step::Piece(p) => out.extend_from_slice(&p),
-                Step::More => break,
+                Step::NeedMore => break,
                 end => return (out, end),
             }
         }
     }
-    (out, Step::More)
+    (out, Step::NeedMore)
 }
 
 #[test]
@@ -99,11 +99,11 @@
 #[case(b"fffffffff\r\nabc")]
 fn decode_chunked_bad(#[case] text: &[u8]) {
     let (_, end) = decode(BodyDecoder::chunked(), text, text.len());
-    assert_eq!(end, Step::Bad);
+    assert_eq!(end, Step::Invalid);
 }
 
 #[test]
 fn decode_cut_is_not_whole() {
-    assert_eq!(decode(BodyDecoder::length(5), b"1234", 2).1, Step::More);
-    assert_eq!(decode(BodyDecoder::chunked(), b"4\r\n1234\r\n", 3).1, Step::More);
+    assert_eq!(decode(BodyDecoder::length(5), b"1234", 2).1, Step::NeedMore);
+    assert_eq!(decode(BodyDecoder::chunked(), b"4\r\n1234\r\n", 3).1, Step::NeedMore);
 }
