--- a/src/gateway/backend.rs
+++ b/src/gateway/backend.rs
@@ -62,7 +62,7 @@
     /// Remaining warm-up time, during which the target is slow.
     pub warm_up: Duration,
     /// When the target started, if it reports that. A target may start again under the same id.
-    pub born: Option<StartedMs>,
+    pub started_at: Option<StartedMs>,
 }
 
 /// Start time of a target in Unix milliseconds, by the target's own clock.
@@ -77,14 +77,14 @@
     /// Idle connections to the target.
     pub pool: RefCell<Pool>,
     /// Whether the target's process has ended.
-    pub life: Life,
+    pub process_state: Life,
     /// What the target reported about itself in its answers.
-    pub standing: Standing,
+    pub self_reported: Standing,
     pub(super) load: RefCell<Load>,
     /// Latency estimate for the engines of the target's service.
     pub(super) timing: Rc<RefCell<FirstToken>>,
     /// Digest of the target's id; see [`target_digest`].
-    pub(super) word: u64,
+    pub(super) id_digest: u64,
     /// Set if the entry is missing in the store. The store may have lost it while the target still
     /// runs.
     pub(super) entry_lapsed: Cell<bool>,
@@ -98,28 +98,28 @@
     /// Whether this entry belongs to an earlier start than `known`; `false` if either start is
     /// unknown.
     pub fn started_before(&self, known: Option<StartedMs>) -> bool {
-        known.zip(self.born).is_some_and(|(known, new)| new < known)
+        known.zip(self.started_at).is_some_and(|(known, new)| new < known)
     }
 
     /// Whether this entry belongs to a later start than `known`; `false` if either start is
     /// unknown.
     pub fn started_after(&self, known: Option<StartedMs>) -> bool {
-        known.zip(self.born).is_some_and(|(known, new)| new > known)
+        known.zip(self.started_at).is_some_and(|(known, new)| new > known)
     }
 }
 
 impl Backend {
     pub(super) fn new(
         info: TargetInfo,
-        standing: Standing,
+        self_reported: Standing,
         timing: Rc<RefCell<FirstToken>>,
     ) -> Backend {
         let backend = Backend {
-            word: target_digest(&info.id),
+            id_digest: target_digest(&info.id),
             info: RefCell::new(info),
             pool: RefCell::default(),
-            life: Life::default(),
-            standing,
+            process_state: Life::default(),
+            self_reported,
             load: RefCell::new(Load::new(Instant::now())),
             timing,
             entry_lapsed: Cell::new(false),
@@ -163,24 +163,24 @@
     /// Identifies this start of the target in messages between routers.
     pub fn incarnation(&self) -> Incarnation {
         let info = self.info.borrow();
-        let born = info.born.map_or(0, |b| b.0);
-        Incarnation(target_digest(&format!("{}/{born}", info.id)))
+        let started_at = info.started_at.map_or(0, |b| b.0);
+        Incarnation(target_digest(&format!("{}/{started_at}", info.id)))
     }
 
     /// Checks whether the target's process has ended; see [`Life::find_ended`].
     pub async fn find_ended(&self) -> bool {
-        self.life.find_ended(self.addr(), &self.pool).await
+        self.process_state.find_ended(self.addr(), &self.pool).await
     }
 
     /// Whether neither the entry nor the target itself announced that it leaves. An entry that is
     /// missing in the store announces nothing.
     pub fn is_expected_to_stay(&self) -> bool {
-        self.info.borrow().state == TargetState::Ready && !self.standing.is_leaving()
+        self.info.borrow().state == TargetState::Ready && !self.self_reported.is_leaving()
     }
 
     /// Records that a request got an answer.
     pub fn record_answer(&self) {
-        self.life.lives();
+        self.process_state.lives();
         let mut load = self.load.borrow_mut();
         load.failures = 0;
         load.doubtful_until = None;
@@ -206,7 +206,7 @@
 
     /// Records that the target rejected a request without running it.
     pub fn record_rejection(&self) {
-        self.standing.rest(Instant::now(), REJECTION_PAUSE);
+        self.self_reported.rest(Instant::now(), REJECTION_PAUSE);
     }
 }
 
--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -20,7 +20,7 @@
     gw.log.note("stop", format_args!("phase=leaving active={}", gw.active_requests.get()));
     gw.phase.send_replace(Phase::Leaving);
     members::leave(gw);
-    gw.allowances.leave();
+    gw.budget_shares.leave();
     sleep(gw.settings.entry_ttl * STALE_ANSWERS_X).await;
     gw.log.note("stop", format_args!("phase=finishing active={}", gw.active_requests.get()));
     gw.phase.send_replace(Phase::Finishing);
@@ -39,8 +39,8 @@
         ),
     );
     // What is still lent when this router goes counts as spent at the most.
-    if timeout_at(end, gw.allowances.loans_over()).await.is_err() {
+    if timeout_at(end, gw.budget_shares.loans_over()).await.is_err() {
         gw.log.note("stop", format_args!("outcome=loans_left"));
     }
-    gw.allowances.stop().await;
+    gw.budget_shares.stop().await;
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -59,10 +59,10 @@
     pub body: Bytes,
     /// Values read from the request's headers.
     pub meta: RequestMeta,
-    /// When the first byte of the request was read.
+    /// When the head of the request was read.
     pub started: Instant,
     /// The earlier of the caller's and the route's time limit.
-    pub deadline: Instant,
+    pub answer_deadline: Instant,
     /// The configuration snapshot that applies to the request.
     pub catalog: Rc<Catalog>,
     /// The matched route.
@@ -146,7 +146,7 @@
         let known = (route.name.clone(), org.clone());
         let refused = |own| Unadmitted { own, route: Some(known.0.clone()), org: known.1.clone() };
         let wait = meta.time_left.map_or(route.timeout, |t| t.min(route.timeout));
-        let deadline = started + wait;
+        let answer_deadline = started + wait;
         let draw = fastrand::f64();
         let service = route.service(draw).cloned();
         let service = service.ok_or_else(|| refused(Own::refusal("no_service", COME_BACK)))?;
@@ -157,7 +157,7 @@
             body,
             meta,
             started,
-            deadline,
+            answer_deadline,
             catalog,
             route,
             service,
@@ -185,11 +185,11 @@
         if prepaid.and_then(|o| o.prepaid).is_none() {
             return Ok(());
         }
-        let allowances = &self.gw.allowances;
-        let mut taken = allowances.hold_by(org, max_cost, self.deadline).await;
+        let budget_shares = &self.gw.budget_shares;
+        let mut taken = budget_shares.hold_by(org, max_cost, self.answer_deadline).await;
         // The prepaid amount may have been raised a moment ago.
         if matches!(taken, Err(Refusal::Spent)) && confirm_config(self.gw).await {
-            taken = allowances.hold_by(org, max_cost, self.deadline).await;
+            taken = budget_shares.hold_by(org, max_cost, self.answer_deadline).await;
             if matches!(taken, Err(Refusal::Spent)) {
                 let own = Own::new(402, "budget_spent");
                 return Err(self.log_budget_refusal(org, Asked::default(), own));
@@ -213,7 +213,7 @@
     }
 
     fn log_budget_refusal(&self, org: &str, asked: Asked, own: Own) -> Own {
-        let state = self.gw.allowances.describe(org);
+        let state = self.gw.budget_shares.describe(org);
         let (id, max_cost) = (&self.meta.id, self.meta.max_cost());
         self.gw.log.note(
             "budget",
@@ -259,8 +259,8 @@
     /// # Errors
     /// The response of the router itself, if no target's reply can be relayed.
     pub async fn fetch_reply(&mut self, resume_after: Option<CompactString>) -> Result<Reply, Own> {
-        let deadline = self.deadline;
-        match timeout_at(deadline, self.fetch_reply_untimed(resume_after)).await {
+        let answer_deadline = self.answer_deadline;
+        match timeout_at(answer_deadline, self.fetch_reply_untimed(resume_after)).await {
             Ok(reply) => reply,
             Err(_) if self.may_have_run.get() => Err(Own::new(504, "timeout")),
             Err(_) => Err(Own::refusal("timeout_before_send", COME_BACK)),
@@ -289,7 +289,7 @@
                 }
                 Err(Unplaced::Refused(own)) => return failure_reply.ok_or(self.map_refusal(own)),
             };
-            if self.deadline - Instant::now() < MIN_TIME_LEFT {
+            if self.answer_deadline - Instant::now() < MIN_TIME_LEFT {
                 return failure_reply
                     .ok_or(self.map_refusal(Own::refusal("no_time_left", COME_BACK)));
             }
@@ -355,8 +355,11 @@
     /// latency aim.
     fn can_wait_for_room(&self, room_in: Duration) -> bool {
         let now = Instant::now();
-        let left =
-            self.route.aim.min(self.deadline - self.started).saturating_sub(now - self.started);
+        let left = self
+            .route
+            .aim
+            .min(self.answer_deadline - self.started)
+            .saturating_sub(now - self.started);
         self.room_wait(room_in) < left
     }
 
@@ -387,7 +390,7 @@
         let now = Instant::now();
         let demand = Demand {
             aim: self.route.aim.saturating_sub(now - self.started),
-            left: self.deadline.saturating_duration_since(now),
+            left: self.answer_deadline.saturating_duration_since(now),
             engine,
         };
         match place(&inputs, &demand, &self.gw.settings.weights) {
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -197,7 +197,7 @@
     let at = RowKey::new(TABLE, &s.instance);
     let tx = Tx { write: vec![(at, entry.encode())], ..Tx::default() };
     match gw.platform.commit(&tx).await {
-        Ok(done) => gw.allowances.saw(done.now),
+        Ok(done) => gw.budget_shares.saw(done.now),
         Err(e) => gw.log.routine("members", format_args!("outcome=unwritten cause={e}")),
     }
 }
@@ -276,7 +276,7 @@
     if *gw.phase.borrow() == Phase::Up {
         routers.push(me);
     }
-    gw.allowances.set_lenders(&s.instance, &s.zone, routers);
+    gw.budget_shares.set_lenders(&s.instance, &s.zone, routers);
 }
 
 fn publish<P: Platform>(gw: &Gateway<P>, others: &[RouterEntry]) {
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -16,7 +16,7 @@
 /// Sends what the keeper of budgets has to say, for ever.
 pub async fn tell_budgets<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
     loop {
-        for out in gw.allowances.outgoing().await {
+        for out in gw.budget_shares.outgoing().await {
             // Whatever is lost is said again by its sender.
             if let Err(e) = socket.try_send_to(&Topic::Budgets.frame(&out.bytes), out.to) {
                 gw.log.routine("peer", format_args!("to={} outcome=unsent cause={e}", out.to));
@@ -42,8 +42,10 @@
         }
         match topic {
             Some((Topic::Hints, payload)) => take_hints(&gw, payload),
-            Some((Topic::Budgets, payload)) => gw.allowances.heard(from, payload),
-            Some((Topic::Crashes, payload)) => gw.crashes.heard(payload, gw.allowances.store_now()),
+            Some((Topic::Budgets, payload)) => gw.budget_shares.heard(from, payload),
+            Some((Topic::Crashes, payload)) => {
+                gw.crashes.heard(payload, gw.budget_shares.store_now())
+            }
             Some((Topic::Orders, payload)) => gw.zones.take(&gw.zones.parse(payload), "peer"),
             Some((Topic::Cold, payload)) => gw.cold.heard(from, payload, |w| cold_target(&gw, w)),
             None => gw.log.note("peer", format_args!("from={from} bytes={n} error=unknown_topic")),
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -13,7 +13,7 @@
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long connecting may take. Within a region it takes a few ms. One lost packet costs a second,
 /// which is too long to wait when other targets are available.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+const TARGET_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Fraction of the target's stated idle timeout during which a connection is reused, so that no
 /// request is sent while the target closes the connection.
 const KEEP_ALIVE_FRACTION: f64 = 0.6;
@@ -118,6 +118,6 @@
 /// # Errors
 /// The error of connecting, or `TimedOut`. Nothing was sent then.
 pub async fn dial(addr: SocketAddr) -> std::io::Result<TargetConn> {
-    let conn = timeout(CONNECT_TIMEOUT, Conn::dial(addr, UNACKED_TIMEOUT)).await??;
+    let conn = timeout(TARGET_CONNECT_TIMEOUT, Conn::dial(addr, UNACKED_TIMEOUT)).await??;
     Ok(TargetConn { conn, used: false, reuse_until: Some(Instant::now() + DEFAULT_KEEP_ALIVE) })
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -175,7 +175,7 @@
         loop {
             let step = tokio::select! {
                 biased;
-                piece = timeout_at(job.deadline, self.remaining.conn.read_piece(&mut self.remaining.body)) => piece,
+                piece = timeout_at(job.answer_deadline, self.remaining.conn.read_piece(&mut self.remaining.body)) => piece,
                 () = caller.wait_closed() => return RelayOutcome::CallerLeft,
             };
             let Ok(piece) = step else { return RelayOutcome::TimedOut };
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -49,11 +49,11 @@
             Some(target_conn) => target_conn,
             None => match dial(backend.addr()).await {
                 Ok(target_conn) => {
-                    backend.life.lives();
+                    backend.process_state.lives();
                     target_conn
                 }
                 Err(e) => {
-                    backend.life.unreached(&e);
+                    backend.process_state.unreached(&e);
                     return Err(Ended::NotSent);
                 }
             },
@@ -67,7 +67,7 @@
         let added = AddedHeaders {
             target: &target,
             organisation: self.org.as_deref(),
-            time_left: self.deadline.saturating_duration_since(Instant::now()),
+            time_left: self.answer_deadline.saturating_duration_since(Instant::now()),
             resume_after,
         };
         let bytes = encode_request(self.header_names(), self.head, &self.body, &added);
@@ -80,7 +80,7 @@
         if plan.engine {
             self.gw.hints.placed(&target, plan, &self.meta.parts);
         }
-        let outcome = self.exchange(&mut target_conn, &bytes, plan).await;
+        let outcome = self.send_and_read_head(&mut target_conn, &bytes, plan).await;
         match outcome {
             Ok(head) => self.read_reply(target_conn.conn, head, in_flight).await,
             Err(ended) => {
@@ -110,7 +110,7 @@
             (info.service.clone(), info.zone.clone(), info.id.clone())
         };
         if let Some(warm_up) = self.catalog.warm_up(&service) {
-            if backend.life.reached() {
+            if backend.process_state.reached() {
                 backend.extend_cold(warm_up.lasts);
                 let ms = warm_up.lasts.as_millis();
                 self.gw
@@ -132,7 +132,7 @@
                 }
             }
         }
-        let holds_off = backend.standing.holds_off(Instant::now());
+        let holds_off = backend.self_reported.holds_off(Instant::now());
         if self.gw.zones.is_emptied(&zone) || !backend.is_expected_to_stay() || holds_off {
             return Err(Ended::HeldOff);
         }
@@ -140,7 +140,7 @@
     }
 
     /// Writes the request and reads the head of its answer.
-    async fn exchange(
+    async fn send_and_read_head(
         &self,
         target_conn: &mut TargetConn,
         bytes: &[u8],
@@ -232,7 +232,7 @@
             return;
         };
         count_notice(&self.gw.stats, notice);
-        let is_new = backend.standing.take(notice, Instant::now());
+        let is_new = backend.self_reported.take(notice, Instant::now());
         if !is_new && notice.retry_after != Some(RetryAfter::Unreadable) {
             return;
         }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -127,7 +127,7 @@
     /// Admission of requests to cold targets.
     pub cold: Admissions,
     /// Shares of the organisations' budgets.
-    pub allowances: Rc<Keeper<P>>,
+    pub budget_shares: Rc<Keeper<P>>,
     /// This router's shares of the retry budget.
     pub retries: RefCell<RetryShares>,
     /// Reader of the tables that this router follows.
@@ -164,16 +164,21 @@
         holder_name: HolderName,
         log: Log,
     ) -> Rc<Gateway<P>> {
-        let allowances =
+        let budget_shares =
             Keeper::new(platform.clone(), holder_name.clone(), settings.budgets, log.clone());
-        let allowances = Rc::new(allowances);
+        let budget_shares = Rc::new(budget_shares);
         let stats = Stats::new();
         Rc::new(Gateway {
             crashes: Crashes::new(log.clone(), stats.clone()),
             zones: Zones::new(log.clone(), stats.clone()),
             cold: Admissions::new(settings.instance.clone(), log.clone(), stats.clone()),
-            reader: Reader::new(platform.clone(), allowances.clone(), log.clone(), stats.clone()),
-            allowances,
+            reader: Reader::new(
+                platform.clone(),
+                budget_shares.clone(),
+                log.clone(),
+                stats.clone(),
+            ),
+            budget_shares,
             retries: RefCell::new(RetryShares::new(settings.retries)),
             platform,
             settings,
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -34,7 +34,7 @@
         if known.is_empty() {
             return Ok(());
         }
-        let now = self.gw.allowances.store_now();
+        let now = self.gw.budget_shares.store_now();
         match known.held_back_until(self.fingerprint(), now) {
             None => Ok(()),
             Some(until) => {
@@ -73,7 +73,7 @@
         let (broken, gw, backend) = (self.broken(), self.gw.clone(), backend.clone());
         spawn_local(async move {
             sleep(RUNS_AFTER_LEAVING).await;
-            if backend.life.has_ended() {
+            if backend.process_state.has_ended() {
                 broken.note(&gw, &backend);
             }
         });
@@ -93,7 +93,7 @@
         if self.gw.crashes.is_empty() {
             return;
         }
-        let well = EndedWell { request: self.fingerprint(), at: self.gw.allowances.store_now() };
+        let well = EndedWell { request: self.fingerprint(), at: self.gw.budget_shares.store_now() };
         self.gw.crashes.end_well(well);
     }
 }
@@ -110,7 +110,7 @@
     /// Notes that its target has ended.
     fn note<P: Platform>(&self, gw: &Gateway<P>, backend: &Backend) {
         gw.stats.targets_ended.inc();
-        let at = gw.allowances.store_now();
+        let at = gw.budget_shares.store_now();
         let ran_ms = u64::try_from(self.sent.elapsed().as_millis()).unwrap_or(u64::MAX);
         let began = StoreMs(at.0.saturating_sub(ran_ms));
         let target = backend.incarnation();
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -52,7 +52,7 @@
         ),
     );
     gw.stats.config_version.set(i64::try_from(next.version).unwrap_or(i64::MAX));
-    gw.allowances.set_prepaid(next.prepaid());
+    gw.budget_shares.set_prepaid(next.prepaid());
     note_homeless(gw, &next);
     let host_homes = next.host_homes();
     *gw.catalog.borrow_mut() = Some(Rc::new(next));
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -97,17 +97,18 @@
             }
         };
         let known = all[i].info.borrow().clone();
-        if info.started_before(known.born) {
+        if info.started_before(known.started_at) {
             return Change::Outdated;
         }
-        let restarted = info.started_after(known.born);
+        let restarted = info.started_after(known.started_at);
         if restarted || known.service != info.service || known.addr != info.addr {
             // An entry that only speaks of another address does not undo what its target said.
-            let standing = if restarted { Standing::default() } else { all[i].standing.clone() };
+            let standing =
+                if restarted { Standing::default() } else { all[i].self_reported.clone() };
             all[i] = self.backend(info, standing);
             return Change::Restarted;
         }
-        info.born = info.born.or(known.born);
+        info.started_at = info.started_at.or(known.started_at);
         let back = all[i].entry_lapsed.replace(false);
         let changed = back || known.state != info.state;
         all[i].extend_cold(info.warm_up);
@@ -122,15 +123,15 @@
 
     /// Keeps what a target said whose entry is gone.
     fn part(&self, b: &Backend) {
-        if !b.standing.holds_off(Instant::now()) {
+        if !b.self_reported.holds_off(Instant::now()) {
             return;
         }
         let mut parted = self.parted.borrow_mut();
         if parted.len() >= MAX_PARTED {
             parted.pop_front();
         }
-        let born = b.info.borrow().born;
-        parted.push_back(Parted { id: b.id(), born, standing: b.standing.clone() });
+        let born = b.info.borrow().started_at;
+        parted.push_back(Parted { id: b.id(), born, standing: b.self_reported.clone() });
     }
 
     /// What a target has said before its entry was gone.
@@ -194,7 +195,7 @@
         cache_tokens: impl Fn(&str) -> u64,
     ) {
         let all = self.all.borrow();
-        let Some(b) = all.iter().find(|b| b.word == word) else { return };
+        let Some(b) = all.iter().find(|b| b.id_digest == word) else { return };
         let now = Instant::now();
         let mut load = b.load.borrow_mut();
         let estimate = b.timing.borrow().estimate();
@@ -205,13 +206,13 @@
 
     /// How many targets have said that they leave.
     pub fn count_leaving(&self) -> usize {
-        self.all.borrow().iter().filter(|b| b.standing.is_leaving()).count()
+        self.all.borrow().iter().filter(|b| b.self_reported.is_leaving()).count()
     }
 
     /// How many targets want no request for a while.
     pub fn count_resting(&self) -> usize {
         let now = Instant::now();
-        self.all.borrow().iter().filter(|b| b.standing.rests_for(now).is_some()).count()
+        self.all.borrow().iter().filter(|b| b.self_reported.rests_for(now).is_some()).count()
     }
 
     /// How many targets are cold.
@@ -222,7 +223,7 @@
 
     /// The target of a digest.
     pub fn by_word(&self, word: u64) -> Option<Rc<Backend>> {
-        self.all.borrow().iter().find(|b| b.word == word).cloned()
+        self.all.borrow().iter().find(|b| b.id_digest == word).cloned()
     }
 
     /// All targets.
@@ -293,7 +294,7 @@
         slots: info.slots,
         rank,
         doubtful: b.entry_lapsed.get() || load.doubtful_until.is_some_and(|t| t > now),
-        resting: b.standing.rests_for(now),
+        resting: b.self_reported.rests_for(now),
         tried: req.tried.contains(&info.id),
         room_in: b.is_cold(now).then(|| {
             b.no_room_until.get().map_or(Duration::ZERO, |t| t.saturating_duration_since(now))
--- a/src/http1/body.rs
+++ b/src/http1/body.rs
@@ -101,7 +101,7 @@
                     self.0 = State::ChunkSize;
                 }
                 State::ChunkEnd => return Step::Invalid,
-                State::ChunkSize => match take_line(buf) {
+                State::ChunkSize => match take_crlf_line(buf) {
                     Line::NeedMore => return Step::NeedMore,
                     Line::Invalid => return Step::Invalid,
                     Line::Whole(l) => match parse_chunk_size(&l) {
@@ -110,7 +110,7 @@
                         Some(n) => self.0 = State::Chunk(n),
                     },
                 },
-                State::Trailer => match take_line(buf) {
+                State::Trailer => match take_crlf_line(buf) {
                     Line::NeedMore => return Step::NeedMore,
                     Line::Invalid => return Step::Invalid,
                     Line::Whole(l) if l.is_empty() => self.0 = State::Done,
@@ -135,7 +135,7 @@
 
 /// Takes a line that ends with CR LF. A lone LF is rejected, because implementations differ on
 /// whether it ends a line.
-fn take_line(buf: &mut BytesMut) -> Line {
+fn take_crlf_line(buf: &mut BytesMut) -> Line {
     match buf.iter().position(|b| *b == b'\n') {
         Some(0) => Line::Invalid,
         Some(n) if n > MAX_LINE_BYTES || buf[n - 1] != b'\r' => Line::Invalid,
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -240,7 +240,7 @@
             slots: slots.parse().map_err(|_| bad_row("slots"))?,
             state: if state == "ready" { TargetState::Ready } else { TargetState::Draining },
             warm_up: Duration::from_millis(number(1)?.unwrap_or(0)),
-            born: number(0)?.map(StartedMs),
+            started_at: number(0)?.map(StartedMs),
         })
     }
 }
--- a/src/standin/gateway_host.rs
+++ b/src/standin/gateway_host.rs
@@ -67,7 +67,7 @@
 
     /// Ends it as a kill would: it admits and writes nothing any more, and no caller hears of it.
     pub fn kill(self) {
-        self.gw.allowances.halt();
+        self.gw.budget_shares.halt();
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 }
--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -286,7 +286,7 @@
     run_local(async {
         let fleet = Fleet::start(1, 0, 1).await;
         let backend = fleet.routers[0].gw.targets.all().remove(0);
-        backend.life.unreached(&std::io::ErrorKind::ConnectionRefused.into());
+        backend.process_state.unreached(&std::io::ErrorKind::ConnectionRefused.into());
         fleet.targets[0].set_cold(Some(BEARS));
         fleet.burst(30).await;
         assert!(!fleet.targets[0].has_ended());
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -308,8 +308,8 @@
         let targets = &fleet.routers[0].gw.targets;
         let refused = std::io::Error::from(std::io::ErrorKind::ConnectionRefused);
         for target in targets.all() {
-            target.life.unreached(&refused);
-            assert!(target.life.has_ended());
+            target.process_state.unreached(&refused);
+            assert!(target.process_state.has_ended());
         }
         for n in 0..ENDED_AT_MOST {
             fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::LosesAnswer]));
@@ -361,8 +361,9 @@
         let mut fleet = Fleet::start().await;
         fleet.routers[0].platform.rows.set_fault(Fault::Late(late));
         fleet.send_fatal(0).await;
-        let reported =
-            |r: &GatewayHost| r.gw.crashes.report(r.gw.allowances.store_now()).crashes.len() == 1;
+        let reported = |r: &GatewayHost| {
+            r.gw.crashes.report(r.gw.budget_shares.store_now()).crashes.len() == 1
+        };
         eventually("the crash is known", || reported(&fleet.routers[0])).await;
         // Until the row is on its way.
         tokio::time::sleep(Duration::from_millis(700)).await;
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -312,7 +312,7 @@
             let (n, from) = other.recv_from(&mut buf).await.unwrap();
             let (_, word) = Topic::parse(&buf[..n]).unwrap();
             let Word::Ask { number, .. } = ciborium::from_reader(word).unwrap() else { panic!() };
-            gw.targets.all()[0].standing.take(notice, Instant::now());
+            gw.targets.all()[0].self_reported.take(notice, Instant::now());
             let mut word = Vec::new();
             let answer = Word::Answer { number, room_in_ms: None };
             ciborium::into_writer(&answer, &mut word).unwrap();
--- a/tests/test_gateway_targets.rs
+++ b/tests/test_gateway_targets.rs
@@ -27,7 +27,7 @@
         slots: 8,
         state,
         warm_up: Duration::ZERO,
-        born: born.map(StartedMs),
+        started_at: born.map(StartedMs),
     }
 }
 
@@ -189,7 +189,7 @@
 ) {
     let targets = Targets::default();
     targets.set(entry(born, READY));
-    only(&targets).standing.take(LEAVING, Instant::now());
+    only(&targets).self_reported.take(LEAVING, Instant::now());
     if gone {
         targets.remove("t1");
     }
@@ -203,7 +203,7 @@
 fn set_keeps_leaving_at_other_address() {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
-    only(&targets).standing.take(LEAVING, Instant::now());
+    only(&targets).self_reported.take(LEAVING, Instant::now());
     let moved = TargetInfo { addr: "127.0.0.9:81".parse().unwrap(), ..entry(Some(5), READY) };
     targets.set(moved);
     targets.set(entry(Some(5), READY));
@@ -214,7 +214,7 @@
 fn sweep_keeps_leaving() {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
-    only(&targets).standing.take(LEAVING, Instant::now());
+    only(&targets).self_reported.take(LEAVING, Instant::now());
     targets.lapse("t1");
     assert_eq!(targets.sweep(), ["t1"]);
     targets.set(entry(Some(5), READY));
@@ -253,7 +253,7 @@
 async fn set_keeps_rest(#[case] next: Option<u64>, #[case] takes: usize) {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
-    only(&targets).standing.rest(Instant::now(), Duration::from_secs(3));
+    only(&targets).self_reported.rest(Instant::now(), Duration::from_secs(3));
     targets.remove("t1");
     targets.set(entry(next, READY));
     let takes_some = |t: &Targets| {
