--- a/src/gateway/backend.rs
+++ b/src/gateway/backend.rs
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Records that connecting failed. This counts as two failures, so that the target is doubtful
-    /// at once, and closes the idle connections.
+    /// Records that connecting failed or that another target uses the address now. This counts as
+    /// two failures, so that the target is doubtful at once, and closes the idle connections.
     pub fn record_unreachable(&self) {
         self.load.borrow_mut().failures += 1;
         self.record_failure();
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -60,7 +60,7 @@
 pub struct RequestMeta {
     /// Id that the caller gave the request; empty if absent.
     pub id: CompactString,
-    /// How long the caller waits, counted from the start of the request.
+    /// How long the caller waits, counted from when the head was read.
     pub time_left: Option<Duration>,
     /// Prompt tokens; 0 for requests that use no model.
     pub prompt: u64,
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -28,8 +28,8 @@
 /// The maximum number of answers to earlier requests that are skipped on a connection.
 const MAX_STRAY_ANSWERS: usize = 2;
 /// How long a repeatable request waits for an answer before it is sent to another target, as a
-/// multiple of the route's latency aim. A target that hangs stalls everything sent to it although
-/// its health check may still pass.
+/// multiple of the route's latency aim; the predicted time to the first token is added. A target
+/// that hangs stalls everything sent to it although its health check may still pass.
 const ANSWER_TIMEOUT_FACTOR: f64 = 2.0;
 
 impl<P: Platform> Job<'_, P> {
@@ -281,7 +281,8 @@
         remaining: &mut RemainingBody,
         in_flight: &mut InFlight,
     ) -> Result<Bytes, Ended> {
-        let stream = remaining.stream.as_mut().expect("a stream has its progress");
+        let stream =
+            remaining.stream.as_mut().expect("a reply to a stream request has its progress set");
         loop {
             let piece = remaining
                 .conn
