--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -51,6 +51,7 @@
 
 enum Kind {
     Connection,
+    /// A request with this many bytes of body.
     Request(u64),
 }
 
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -87,6 +87,7 @@
     Length(u64),
     Chunked,
     UntilClose,
+    /// There is no body, and `Content-Length` is forwarded as the target sent it.
     AsSent,
 }
 
