--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! An answer as it grows, checked piece by piece.
+//! Assembles an answer from its parts and checks each of them.
 
 use compact_str::CompactString;
 
@@ -6,46 +6,47 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, RunId};
 
-/// What a piece did to the answer.
+/// Effect of a part on the answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
-    /// The answer grew.
-    Grew,
-    /// The piece is of another run, or was here already. Dropped.
+pub enum PieceResult {
+    /// The part was the next token and was appended.
+    Appended,
+    /// The part belongs to another run or repeats an earlier token, and was dropped.
     Dropped,
-    /// The answer is whole.
-    Whole(RunUsage),
+    /// The answer is complete.
+    Complete(RunUsage),
 }
 
-/// The tokens of one answer, in order, without holes.
+/// The tokens of one answer, in order and without gaps.
 #[derive(Clone, Debug, Default)]
-pub struct Assembler {
+pub struct AnswerAssembler {
     tokens: Vec<CompactString>,
-    /// Pieces that were late, doubled or of another run.
+    /// Number of dropped parts: duplicates, late ones, and those of other runs.
     pub dropped: u64,
 }
 
-impl Assembler {
-    /// The tokens so far.
+impl AnswerAssembler {
+    /// Returns the tokens received so far.
     pub fn tokens(&self) -> &[CompactString] {
         &self.tokens
     }
 
-    /// Takes a piece of `run`.
+    /// Adds a part of `run`.
     ///
     /// # Errors
-    /// `TargetFailed` for a hole, or an end that does not match the tokens: the stream cannot be
-    /// trusted and has to be fetched again.
-    pub fn take(&mut self, run: &RunId, part: Part) -> Result<Taken> {
+    ///
+    /// Returns `TargetFailed` if a token is missing, or if the token count at the end does not
+    /// match. The stream cannot be trusted then and has to be fetched again.
+    pub fn append_part(&mut self, run: &RunId, part: Part) -> Result<PieceResult> {
         if part.run != *run {
             self.dropped += 1;
-            return Ok(Taken::Dropped);
+            return Ok(PieceResult::Dropped);
         }
         let have = self.tokens.len() as u64;
         match part.piece {
             Piece::Token { offset, .. } if offset < have => {
                 self.dropped += 1;
-                Ok(Taken::Dropped)
+                Ok(PieceResult::Dropped)
             }
             Piece::Token { offset, .. } if offset > have => {
                 let message = format!("token {offset} came, {have} was expected");
@@ -53,24 +54,25 @@
             }
             Piece::Token { text, .. } => {
                 self.tokens.push(text);
-                Ok(Taken::Grew)
+                Ok(PieceResult::Appended)
             }
             Piece::End(usage) if usage.tokens != have => {
                 let message =
                     format!("the target ended at token {}, {have} are here", usage.tokens);
                 Err(Error::new(Kind::TargetFailed, message))
             }
-            Piece::End(usage) => Ok(Taken::Whole(usage)),
+            Piece::End(usage) => Ok(PieceResult::Complete(usage)),
         }
     }
 
-    /// Digest of the whole text, so that a caller can tell a whole answer from a cut one.
+    /// Returns the digest of the answer's text, with which a caller can tell a complete answer from
+    /// a truncated one.
     pub fn digest(&self) -> Digest {
         answer_digest(&self.tokens)
     }
 }
 
-/// Digest of an answer's text.
+/// Returns the digest of an answer's text, the concatenation of its tokens.
 pub fn answer_digest(tokens: &[CompactString]) -> Digest {
     Digest::of(tokens.concat().as_bytes())
 }
