--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -110,10 +110,10 @@
     loop {
         let s = rate_since.elapsed().as_secs_f64();
         if s >= RENEWAL_INTERVAL.as_secs_f64() / 2.0 {
-            gw.rate.set((f64::from(gw.taken.replace(0)) / s) as u32);
+            gw.requests_per_s.set((f64::from(gw.requests_since_sample.replace(0)) / s) as u32);
             rate_since = Instant::now();
         }
-        gw.stats.active.set(i64::try_from(gw.active.get()).unwrap_or(i64::MAX));
+        gw.stats.active.set(i64::try_from(gw.active_requests.get()).unwrap_or(i64::MAX));
         gw.stats.log_dropped.set(i64::try_from(gw.log.lines_dropped()).unwrap_or(i64::MAX));
         // The table is read first: a row written without knowing the store's time would count as
         // stale.
@@ -196,7 +196,7 @@
         peer: s.peer,
         zone: s.zone.clone(),
         leaving,
-        rate: gw.rate.get(),
+        rate: gw.requests_per_s.get(),
         capacity: s.capacity,
         beat: store_time,
         report: gw.crashes.report(store_time),
@@ -204,7 +204,7 @@
     let at = RowKey::new(TABLE, &s.instance);
     let tx = Tx { write: vec![(at, entry.encode())], ..Tx::default() };
     match gw.platform.commit(&tx).await {
-        Ok(done) => gw.keeper.observe_store_time(done.now),
+        Ok(done) => gw.budget_shares.observe_store_time(done.now),
         Err(e) => gw.log.routine("members", format_args!("outcome=unwritten cause={e}")),
     }
 }
@@ -251,7 +251,7 @@
     // the store the rows of live routers are stale as well, and each router would own all targets.
     let all: Vec<&PeerRow> = others.iter().collect();
     set_owners(gw, if reads.are_too_few() { &all } else { &live }, !own.is_empty());
-    let max_advertised_age_ms = reads.max_advertised_age_ms(page.now, gw.settings.unnamed_after);
+    let max_advertised_age_ms = reads.max_advertised_age_ms(page.now, gw.settings.unlisted_after);
     let advertised = live.iter().filter(|o| o.age_ms < max_advertised_age_ms);
     let advertised: Vec<RouterEntry> = advertised.map(|o| o.entry.as_router()).collect();
     publish(gw, &advertised);
@@ -288,7 +288,7 @@
     if *gw.phase.borrow() == Phase::Up {
         routers.push(me);
     }
-    gw.keeper.set_lenders(&s.instance, &s.zone, routers);
+    gw.budget_shares.set_lenders(&s.instance, &s.zone, routers);
 }
 
 fn publish<P: Platform>(gw: &Gateway<P>, others: &[RouterEntry]) {
@@ -298,7 +298,7 @@
         front: s.front,
         zone: s.zone.clone(),
         leaving,
-        rate: gw.rate.get(),
+        rate: gw.requests_per_s.get(),
         capacity: s.capacity,
     };
     let mut routers = others.to_vec();
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,10 +1,11 @@
-//! Forwarding of callers' requests to targets: what a request may do, where it goes, what may
-//! be said when something failed, and the connections on both sides.
+//! Forwarding of callers' requests to targets: admission, target selection, retries, and the
+//! connections on both sides.
 //!
-//! Decisions are pure and stand in files of their own: [`catalog`] (route and organisation),
-//! [`place`] (which target, and whether at all), [`outcome`] (what may follow a failure),
-//! [`retries`] (whether the fleet can afford it), [`timing`] (how fast engines are), [`entry`] (which routers callers should use).
-//! [`forward`] with its sends, [`relay`] and [`front`] carry them out.
+//! Decisions are pure functions in modules of their own: [`catalog`] (route and organisation),
+//! [`place`] (which target, if any), [`outcome`] (what may follow a failed send), [`retries`]
+//! (whether the retry budget allows another send), [`timing`] (how fast engines are) and [`entry`]
+//! (which routers callers should use). [`forward`], [`relay`], [`front`] and the private module
+//! `send` perform the I/O.
 
 pub mod backend;
 pub mod catalog;
@@ -49,6 +50,6 @@
 pub use backend::{StartedMs, TargetInfo, TargetState};
 pub use catalog::{Catalog, CatalogParts, Limits, Organisation, Route, RouteKind, Service};
 pub use entry::EntryView;
-pub use request::Names;
+pub use request::HeaderNames;
 pub use start::start;
 pub use state::{Gateway, Platform, Settings};
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -15,7 +15,7 @@
 use crate::gateway::retries::RetryAllowance;
 use crate::gateway::zone_filter::ZoneRegions;
 use crate::gateway::{
-    Catalog, CatalogParts, Limits, Names, Organisation, Platform, Route, RouteKind, Service,
+    Catalog, CatalogParts, HeaderNames, Limits, Organisation, Platform, Route, RouteKind, Service,
     StartedMs, TargetInfo, TargetState,
 };
 use crate::ids::Tokens;
@@ -41,8 +41,8 @@
 /// See [`REQUEST_ID`].
 pub const LAST_EVENT: &str = "Last-Event-Id";
 
-pub(super) fn names() -> Names {
-    Names {
+pub(super) fn names() -> HeaderNames {
+    HeaderNames {
         request_id: REQUEST_ID.into(),
         time_left: "Time-Left-Ms".into(),
         prompt_parts: "Prompt-Parts".into(),
@@ -114,7 +114,7 @@
     /// The store; its fault is this handle's own.
     pub rows: MemoryRows,
     configs: Rc<RefCell<Vec<CatalogParts>>>,
-    names: Rc<Names>,
+    names: Rc<HeaderNames>,
 }
 
 impl Default for LocalPlatform {
@@ -199,7 +199,7 @@
 }
 
 impl Platform for LocalPlatform {
-    fn names(&self) -> &Names {
+    fn header_names(&self) -> &HeaderNames {
         &self.names
     }
 
@@ -240,7 +240,7 @@
             slots: slots.parse().map_err(|_| bad_row("slots"))?,
             state: if state == "ready" { TargetState::Ready } else { TargetState::Draining },
             warm_up: Duration::from_millis(number(1)?.unwrap_or(0)),
-            born: number(0)?.map(StartedMs),
+            started_at: number(0)?.map(StartedMs),
         })
     }
 }
@@ -256,7 +256,7 @@
             ("zone-3".into(), "north".into()),
         ]),
         cold: ColdRateLimit { rate_factor: 1.5, slack: 5.0 },
-        unnamed_after: Duration::from_millis(4_500),
+        unlisted_after: Duration::from_millis(4_500),
         front,
         peer: front,
         retries: RetryAllowance { ratio: 0.5, slack: 60.0 },
--- a/tests/test_gateway.rs
+++ b/tests/test_gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway end to end: real sockets, stand-in targets, the row store in memory.
+//! End- to- end tests of the gateway with real sockets, stand-in targets and an in-memory row store.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::TargetFault;
 
-use crate::gatedir::{Call, Fleet, Got, eventually, local};
+use crate::gateway_fleet::{Call, CallResult, Fleet, eventually, run_local};
 
 async fn ledger(platform: &LocalPlatform) -> Ledger {
     let page = platform.rows.new_client().scan("budgets", "norte").await.unwrap();
@@ -21,14 +21,14 @@
 
 #[test]
 fn forward_plain_answer() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let call = Call::get("/once/order?x=1")
-            .with("Organisation: forged")
-            .with("Expect-Target: forged")
-            .with("Connection: x-hop")
-            .with("X-Hop: 1")
-            .with("X-Kept: 2")
+            .with_header("Organisation: forged")
+            .with_header("Expect-Target: forged")
+            .with_header("Connection: x-hop")
+            .with_header("X-Hop: 1")
+            .with_header("X-Kept: 2")
             .body("one washer");
         let got = call.send(fleet.router.front).await;
         assert_eq!((got.status(), got.body.as_str()), (200, "answer of t1 to q1"));
@@ -47,12 +47,13 @@
 
 #[test]
 fn forward_two_framings() {
-    // An attacker's second request runs under the first one's key.
-    // A body is framed by length and in chunks at once; the router ends it by one, the target by
-    // the other, and what lies between is taken for a request.
-    local(async {
+    // Guards against request smuggling, where an attacker's second request runs under the first
+    // one's key. The body is framed both by length and in chunks; if the router and the target
+    // delimit it differently, the target takes the bytes in between for a request.
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
-        let call = Call::get("/safe/a").with("Transfer-Encoding: chunked").body("0\r\n\r\nGET /x");
+        let call =
+            Call::get("/safe/a").with_header("Transfer-Encoding: chunked").body("0\r\n\r\nGET /x");
         assert_eq!(call.send(fleet.router.front).await.status(), 400);
         assert_eq!(fleet.runs(), 0);
     });
@@ -60,9 +61,9 @@
 
 #[test]
 fn forward_new_key() {
-    // A customer that was added a moment ago is told that its key does not exist.
-    // The configuration was acknowledged, and the router's feed has not brought it yet.
-    local(async {
+    // A newly added customer must not be refused as unknown. The configuration with the key was
+    // acknowledged, but the router's feed has not delivered it yet.
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let mut next = parts(2, 1_000);
         next.organisations.as_mut().unwrap()[0].keys.push("key-new".into());
@@ -78,8 +79,8 @@
 
 #[test]
 fn forward_unknown_key_store_away() {
-    // The same customer during an outage of the store: "no such key" would be final, and wrong.
-    local(async {
+    // The same during an outage of the store: 401 would be final for the caller, and wrong.
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.router.platform.rows.set_fault(Fault::Reject(503));
         let got = Call::get("/safe/a").key("key-new").send(fleet.router.front).await;
@@ -92,9 +93,9 @@
 
 #[test]
 fn forward_full_target() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         fleet.targets[0].fail(&[TargetFault::Full, TargetFault::Full, TargetFault::Full]);
         for n in 0..4 {
             let got = Call::get("/once/a").id(&format!("f{n}")).send(fleet.router.front).await;
@@ -105,9 +106,9 @@
 
 #[test]
 fn forward_all_full() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         fleet.targets[0].fail(&[TargetFault::Full]);
         let got = Call::get("/once/a").send(fleet.router.front).await;
         assert_eq!((got.status(), got.header("Seal")), (503, None));
@@ -118,14 +119,14 @@
 
 #[test]
 fn forward_lost_answer_once() {
-    // A spare part is ordered twice.
-    // The target filed the order and its answer was lost; the router sends it to another target,
-    // or says "not run" and the caller sends it again.
-    local(async {
+    // Guards against running an order twice. The target ran the order and its answer was lost; the
+    // router must neither send it to another target nor report "not run", after which the caller
+    // would send it again.
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         let faults = [TargetFault::LosesAnswer, TargetFault::Garbage, TargetFault::CutsBody];
-        // Whichever target a request goes to, it meets a fault there.
+        // Each target has faults queued, so that a request fails wherever it is sent.
         fleet.targets.iter().for_each(|t| t.fail(&faults.repeat(2)));
         for n in 0..6 {
             let got = Call::get("/once/a").id(&format!("o{n}")).send(fleet.router.front).await;
@@ -137,9 +138,9 @@
 
 #[test]
 fn forward_lost_answer_safe() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         let faults = [TargetFault::LosesAnswer, TargetFault::CutsBody, TargetFault::Garbage];
         fleet.targets[0].fail(&faults);
         for n in 0..8 {
@@ -151,11 +152,11 @@
 
 #[test]
 fn forward_failure_of_target() {
-    // A caller gets a failure with a seal of a target that never gave it.
-    // A safe request fails at two targets; only the failure as one of them sent it may be shown.
-    local(async {
+    // A failure answer must carry the seal of the target that gave it. An idempotent request fails
+    // at two targets, and only one target's failure may be returned, unchanged.
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::Fails]));
         let got = Call::get("/safe/a").send(fleet.router.front).await;
         assert_eq!((got.status(), got.body.as_str()), (500, "failed"));
@@ -166,9 +167,9 @@
 
 #[test]
 fn forward_retry_budget_empty() {
-    // While a service fails, retries double its load.
-    // A new router has earned nothing yet: it must pass the failure on.
-    local(async {
+    // Retries must not double the load of a failing service. A new router has not earned any retry
+    // budget yet, so it must pass the failure on.
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
         fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::Fails]));
         let got = Call::get("/safe/a").send(fleet.router.front).await;
@@ -178,10 +179,10 @@
 
 #[test]
 fn forward_stray_answer() {
-    // One caller gets another's answer.
-    // A target answers twice; the second answer waits on the kept connection where the next
-    // request's is due. It bears another id.
-    local(async {
+    // Guards against returning one caller's answer to another. A target answers twice, and the
+    // second answer, with the id of its own request, is read from the reused connection before the
+    // next request's answer.
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         for n in 0..4 {
             fleet.targets[0].fail(&[TargetFault::AnswersTwice]);
@@ -194,7 +195,7 @@
 
 #[test]
 fn forward_target_leaves() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 1_000).await;
         fleet.platform.register(&fleet.targets[0], "draining");
         let gw = fleet.router.gw.clone();
@@ -208,10 +209,10 @@
 
 #[test]
 fn stream_whole() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let got = Call::get("/stream/a").tokens(100, 20).send(fleet.router.front).await;
-        assert!(got.whole);
+        assert!(got.is_complete);
         assert_eq!(got.events(), (1..=10).collect::<Vec<_>>());
         assert_eq!(got.header("Seal"), Some("t1.q1"));
     });
@@ -219,19 +220,19 @@
 
 #[test]
 fn stream_resumes_elsewhere() {
-    // A technician's note breaks off in the middle of a sentence.
-    // The target dies within an event; another one goes on after the last whole event, and the
-    // caller sees one stream with every event once, under the first target's seal.
-    local(async {
+    // A resumable stream must not break off when its target fails within an event. Another target
+    // continues after the last complete event; the caller sees each event once, under the seal of
+    // the first target.
+    run_local(async {
         let fleet = Fleet::start(2, 10_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         fleet.targets[0].fail(&[TargetFault::CutsStream(4)]);
         let mut resumed = None;
         for n in 0..20 {
             let id = format!("q{n}");
             let call = Call::get("/resumable/a").id(&id).tokens(10, 20);
             let got = call.send(fleet.router.front).await;
-            assert!(got.whole, "{}", got.body);
+            assert!(got.is_complete, "{}", got.body);
             assert_eq!(got.events(), (1..=10).collect::<Vec<_>>());
             let at_second = fleet.targets[1].runs();
             let second = at_second.iter().find(|s| header(&s.headers, "Last-Event-Id").is_some());
@@ -248,14 +249,14 @@
 
 #[test]
 fn stream_cut_looks_cut() {
-    // A caller takes half an answer for a whole one.
-    // A stream that may run once breaks off: no event may be halved and the end must be missing.
-    local(async {
+    // A caller must not take an incomplete answer for a complete one. When a stream that may run
+    // only once breaks off, events stay complete and the final chunk is missing.
+    run_local(async {
         let fleet = Fleet::start(2, 10_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::CutsStream(3)]));
         let got = Call::get("/stream/a").tokens(100, 20).send(fleet.router.front).await;
-        assert!(!got.whole);
+        assert!(!got.is_complete);
         assert_eq!(got.events(), vec![1, 2, 3]);
         assert!(got.body.ends_with("\n\n"));
         assert_eq!(fleet.runs(), 11);
@@ -264,13 +265,13 @@
 
 #[test]
 fn stream_caller_leaves() {
-    // Targets work for callers that have long gone.
-    local(async {
+    // Targets must not keep working for callers that disconnected.
+    run_local(async {
         let fleet = Fleet::start(1, 10_000).await;
         fleet.targets[0].set_event_gap(Duration::from_millis(20));
         let mut conn = Conn::dial(fleet.router.front, Duration::from_secs(5)).await.unwrap();
         conn.write(&Call::get("/stream/a").tokens(10, 1_000).bytes()).await.unwrap();
-        assert!(conn.has_more().await.unwrap());
+        assert!(conn.wait_for_data().await.unwrap());
         drop(conn);
         let target = fleet.targets[0].clone();
         eventually("the target's connection closes", move || target.closed_early() == 1).await;
@@ -279,7 +280,7 @@
 
 #[test]
 fn forward_caller_leaves_before_answer() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 10_000).await;
         fleet.targets[0].fail(&[TargetFault::Hangs]);
         let mut conn = Conn::dial(fleet.router.front, Duration::from_secs(5)).await.unwrap();
@@ -293,13 +294,14 @@
 
 #[test]
 fn budget_spent_is_402() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 400).await;
         let small = || Call::get("/stream/a").tokens(100, 20);
         for _ in 0..3 {
             assert_eq!(small().send(fleet.router.front).await.status(), 200);
         }
-        // 360 of 400 are spent. Until the ledger in the store proves it, the answer is 503.
+        // 360 of 400 tokens are spent. Until the ledger in the store confirms that, the status is
+        // 503.
         let mut status = 503;
         while status == 503 {
             status = small().send(fleet.router.front).await.status();
@@ -311,9 +313,9 @@
 
 #[test]
 fn budget_returned_at_stop() {
-    // An organisation is refused although it has tokens: a router that was stopped kept them.
-    // The stop waits for the running stream, then writes what was spent and leaves the ledger.
-    local(async {
+    // A stopped router must not keep tokens, or the organisation is refused although it has some.
+    // The stop waits for the running stream, then writes what was spent and closes its grants.
+    run_local(async {
         let fleet = Fleet::start(1, 10_000).await;
         fleet.targets[0].set_event_gap(Duration::from_millis(10));
         let front = fleet.router.front;
@@ -323,7 +325,7 @@
         eventually("the stream starts", || fleet.runs() == 1).await;
         drain::stop(&fleet.router.gw).await;
         let got = call.await.unwrap();
-        assert!(got.whole);
+        assert!(got.is_complete);
         assert_eq!(got.events().len(), 50);
         assert!(!fleet.router.gw.entry.borrow().ready);
         let ledger = ledger(&fleet.platform).await;
@@ -333,17 +335,17 @@
 
 #[test]
 fn budget_after_kill() {
-    // After a power cut an organisation's tokens are gone, or are spent twice.
-    // The successor at the same place closes what the dead process left open, at no less than
-    // what it had spent and no more than its line allowed by then.
-    local(async {
+    // After a power cut an organisation's tokens must be neither lost nor spent twice. The
+    // successor closes the grants of the dead process at no less than it had spent and no more than
+    // its grants allowed by then.
+    run_local(async {
         let fleet = Fleet::start(1, 100_000).await;
         let got = Call::get("/stream/a").tokens(1_000, 20).send(fleet.router.front).await;
-        assert!(got.whole);
+        assert!(got.is_complete);
         fleet.router.kill();
         let next = GatewayHost::start(&fleet.platform, "r1", "zone-1", 2).await.unwrap();
         let got = Call::get("/stream/a").tokens(1_000, 20).send(next.front).await;
-        assert!(got.whole);
+        assert!(got.is_complete);
         let ledger = ledger(&fleet.platform).await;
         assert_eq!(ledger.grants.len(), 1);
         assert!(ledger.closed >= Tokens(1_020), "{ledger:?}");
@@ -353,32 +355,32 @@
 
 #[test]
 fn drain_kept_connection() {
-    // A rolling restart cuts requests on kept connections.
-    // A router that leaves answers them with "close" and takes them until callers know.
-    local(async {
+    // A rolling restart must not cut requests on kept connections. A leaving router still serves
+    // them, with `Connection:close`, until callers know other routers.
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let mut conn = Conn::dial(fleet.router.front, Duration::from_secs(5)).await.unwrap();
         conn.write(&Call::get("/safe/a").bytes()).await.unwrap();
-        assert!(Got::read(&mut conn).await.head.unwrap().keep);
+        assert!(CallResult::read(&mut conn).await.head.unwrap().keep_alive);
         let gw = fleet.router.gw.clone();
         let stop = tokio::task::spawn_local(async move { drain::stop(&gw).await });
         eventually("leaving", || !fleet.router.gw.is_ready()).await;
         conn.write(&Call::get("/safe/b").bytes()).await.unwrap();
-        let got = Got::read(&mut conn).await;
+        let got = CallResult::read(&mut conn).await;
         assert_eq!(got.status(), 200);
-        assert!(!got.head.unwrap().keep);
+        assert!(!got.head.unwrap().keep_alive);
         stop.await.unwrap();
     });
 }
 
 #[test]
-fn log_tells_cause() {
-    // An engineer has an id and the log: each of three failures must be found from it.
-    local(async {
+fn log_identifies_cause() {
+    // The log must identify the cause of a failure by request id, for three kinds of failure.
+    run_local(async {
         let fleet = Fleet::start(1, 300).await;
         fleet.targets[0].fail(&[TargetFault::CutsStream(2), TargetFault::LosesAnswer]);
         let cut = Call::get("/stream/a").id("cut").tokens(100, 20);
-        assert!(!cut.send(fleet.router.front).await.whole);
+        assert!(!cut.send(fleet.router.front).await.is_complete);
         assert_eq!(Call::get("/once/a").id("lost").send(fleet.router.front).await.status(), 502);
         let big = Call::get("/stream/a").id("dear").tokens(1_000, 20);
         assert!([402, 503].contains(&big.send(fleet.router.front).await.status()));
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -11,7 +11,7 @@
 use kingcupwall::standin::gateway_target::{FATAL_BODY, StandinTarget, TargetFault};
 use rstest::rstest;
 
-use crate::gatedir::{Call, Got, eventually, local};
+use crate::gateway_fleet::{Call, CallResult, eventually, run_local};
 
 /// Number of crashes that quarantine a request, plus the attempts allowed to reach a target after
 /// that.
@@ -69,7 +69,7 @@
     }
 
     /// Sends the fatal request once more, to the routers in turn.
-    async fn send_fatal(&self, n: usize) -> Got {
+    async fn send_fatal(&self, n: usize) -> CallResult {
         let call = Call::get("/safe/fatal").id(&format!("f{n}")).body("fatal");
         let got = call.send(self.routers[n % self.routers.len()].front).await;
         // Callers retry after a longer time than datagrams between routers take.
@@ -83,7 +83,7 @@
     // Guards against a fatal request that crashes all targets because its caller retries it under
     // new ids. Limits per id and per service don't apply to these, and failures recorded per target
     // don't show the cause. Only the fingerprint is the same in all attempts.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let mut last = None;
         for n in 0..2 * MAX_ENDED_TARGETS {
@@ -104,7 +104,7 @@
 fn fatal_request_after_restart_of_all_routers() {
     // Guards against losing the recorded crashes when all routers are killed at the same time,
     // twice: their successors would send the fatal request to the remaining targets.
-    local(async {
+    run_local(async {
         let mut fleet = Fleet::start().await;
         for n in 0..MAX_ENDED_TARGETS {
             fleet.send_fatal(n).await;
@@ -126,7 +126,7 @@
 fn fatal_request_at_other_router() {
     // Guards against a router that accepts a fatal request again after another router has
     // quarantined it.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let [first, second] = &fleet.routers[..] else { panic!("two routers") };
         while Call::get("/safe/fatal").body("fatal").send(first.front).await.status() != 503 {}
@@ -146,7 +146,7 @@
 fn fatal_request_with_concurrent_streams() {
     // Guards against quarantining requests that ran on the same targets as a fatal one. Their
     // streams break off with each of its crashes, and their callers retry them each time.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let front = fleet.routers[0].front;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(10)));
@@ -155,7 +155,7 @@
             let call = call.body(&format!("stream {n}"));
             for _ in 0..20 {
                 let got = call.send(front).await;
-                if got.status() == 200 && got.whole {
+                if got.status() == 200 && got.is_complete {
                     return true;
                 }
                 assert_ne!(got.header("Retry-After"), Some("3600.000"));
@@ -178,7 +178,7 @@
 #[test]
 fn lost_answers_are_no_crashes() {
     // Guards against quarantining a request without a crash, after three of its answers were lost.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         for n in 0..MAX_ENDED_TARGETS {
             fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::LosesAnswer]));
@@ -193,7 +193,7 @@
 fn fatal_request_of_disconnected_callers() {
     // Guards against missing crashes when callers disconnect before their target ends. The router
     // has closed the connection by then, and only the next request is refused a connection.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let front = fleet.routers[0].front;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(30)));
@@ -205,7 +205,7 @@
             tokio::select! {
                 () = eventually("the start of the run", || fleet.fatal_runs() > ran) => (),
                 // A quarantined request is answered at once.
-                _ = conn.has_more() => (),
+                _ = conn.wait_for_data() => (),
             }
             drop(conn);
             if fleet.fatal_runs() == ran {
@@ -227,7 +227,7 @@
 fn crashes_during_completed_requests() {
     // Guards against quarantining a frequent request because targets end now and then while running
     // it, although each time the next target answers it completely.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         fleet.earn_retries().await;
         let front = fleet.routers[0].front;
@@ -239,7 +239,7 @@
             eventually("the start of the run", || fleet.targets.iter().any(|t| has_it(&t))).await;
             fleet.targets.iter().find(has_it).unwrap().end();
             let got = got.await.unwrap();
-            assert_eq!((got.status(), got.whole), (200, true));
+            assert_eq!((got.status(), got.is_complete), (200, true));
         }
         assert!(fleet.routers[0].gw.stats.targets_ended.get() >= MAX_ENDED_TARGETS as u64);
     });
@@ -249,7 +249,7 @@
 fn fatal_request_not_retried_in_quarantine() {
     // Guards against retrying a request at a fourth target within the same attempt. The router's
     // own retry follows the third crash at once, before it is known to be a crash.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         fleet.earn_retries().await;
         for n in 0..2 * MAX_ENDED_TARGETS {
@@ -267,7 +267,7 @@
 fn target_end_by_entry_state(#[case] state: &str, #[case] counted: u64) {
     // Guards against recording a crash when a target stops as announced and a long answer breaks
     // off. An entry that lapsed during a store outage is no announcement.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let gw = &fleet.routers[0].gw;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(10)));
@@ -287,7 +287,7 @@
         }
         target.end();
         let got = got.await.unwrap();
-        assert!(got.status() == 502 || !got.whole);
+        assert!(got.status() == 502 || !got.is_complete);
         // Connections are refused by now, so the probe ends at once.
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(gw.stats.targets_ended.get(), counted);
@@ -298,14 +298,14 @@
 fn refused_connection_is_no_crash() {
     // Guards against quarantining requests because of a refused connection: targets at their
     // connection limit refuse one, and answers are lost long after that.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let front = fleet.routers[0].front;
         let targets = &fleet.routers[0].gw.targets;
         let refused = std::io::Error::from(std::io::ErrorKind::ConnectionRefused);
         for target in targets.all() {
-            target.life.connect_failed(&refused);
-            assert!(target.life.has_ended());
+            target.process_state.connect_failed(&refused);
+            assert!(target.process_state.has_ended());
         }
         for n in 0..MAX_ENDED_TARGETS {
             fleet.targets.iter().for_each(|t| t.fail(&[TargetFault::LosesAnswer]));
@@ -320,16 +320,16 @@
 fn crash_mid_stream() {
     // Guards against missing a crash that happens after some events of a stream. The failure then
     // shows while the answer is relayed, not while it is awaited.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(10)));
         let mut conn = Conn::dial(fleet.routers[0].front, Duration::from_secs(5)).await.unwrap();
         let call = Call::get("/stream/a").tokens(10, 1_000);
         conn.write(&call.bytes()).await.unwrap();
         // The answer has begun, and its first events have arrived.
-        assert!(conn.has_more().await.unwrap());
+        assert!(conn.wait_for_data().await.unwrap());
         fleet.targets.iter().find(|t| !t.runs().is_empty()).unwrap().end();
-        assert!(!Got::read(&mut conn).await.whole);
+        assert!(!CallResult::read(&mut conn).await.is_complete);
         let stats = &fleet.routers[0].gw.stats;
         eventually("recording the end of the target", || stats.targets_ended.get() == 1).await;
     });
@@ -339,7 +339,7 @@
 fn fatal_request_during_store_outage() {
     // Guards against each router letting a fatal request crash three targets during a store outage.
     // Rows cannot be written then, so crashes reach the other routers by datagram only.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let [first, second] = &fleet.routers[..] else { panic!("two routers") };
         fleet.routers.iter().for_each(|r| r.platform.rows.set_fault(Fault::Reject(503)));
@@ -352,13 +352,14 @@
 fn crash_reported_by_late_write() {
     // Guards against losing a crash because the last write of a killed router's row takes effect
     // only after its successor has read the row.
-    local(async {
+    run_local(async {
         let late = Duration::from_millis(1_500);
         let mut fleet = Fleet::start().await;
         fleet.routers[0].platform.rows.set_fault(Fault::Late(late));
         fleet.send_fatal(0).await;
-        let reported =
-            |r: &GatewayHost| r.gw.crashes.report(r.gw.keeper.store_now()).crashes.len() == 1;
+        let reported = |r: &GatewayHost| {
+            r.gw.crashes.report(r.gw.budget_shares.store_now()).crashes.len() == 1
+        };
         eventually("recording the crash", || reported(&fleet.routers[0])).await;
         // By then the write of the row has been sent.
         tokio::time::sleep(Duration::from_millis(700)).await;
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -15,7 +15,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep};
 
-use crate::gatedir::{Call, Fleet, eventually, local};
+use crate::gateway_fleet::{Call, Fleet, eventually, run_local};
 
 const DATE: &str = "Sun, 06 Nov 1994 08:49:37 GMT";
 const DATE_3_S_LATER: &str = "Sun, 06 Nov 1994 08:49:40 GMT";
@@ -28,7 +28,7 @@
 }
 
 fn read(status: u16, headers: &[(&str, &str)]) -> Notice {
-    Notice::read(LocalPlatform::new().names(), &head(status, headers))
+    Notice::read(LocalPlatform::new().header_names(), &head(status, headers))
 }
 
 fn delay(ms: u64) -> Option<RetryAfter> {
@@ -85,7 +85,7 @@
 
 #[test]
 fn log_has_notices() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].fail(&[TargetFault::FullUntil("0.1")]);
         Call::get("/once/a").send(fleet.router.front).await;
@@ -114,7 +114,7 @@
 /// second target.
 async fn start_after_notice(call: Call, faults: &[TargetFault], says_leaving: bool) -> Fleet {
     let mut fleet = Fleet::start(1, 1_000_000).await;
-    fleet.earn_retries().await;
+    fleet.fill_retry_budget().await;
     fleet.targets[0].set_says_leaving(says_leaving);
     fleet.targets[0].fail(faults);
     call.send(fleet.router.front).await;
@@ -145,7 +145,7 @@
     #[case] path: &'static str,
     #[case] faults: &'static [TargetFault],
 ) {
-    local(async {
+    run_local(async {
         let fleet = start_after_notice(Call::get(path).tokens(10, 10), faults, true).await;
         let before = fleet.targets[0].arrivals().len();
         send_further_requests(&fleet).await;
@@ -158,7 +158,7 @@
 #[case::renewed(false)]
 #[case::gone_and_back(true)]
 fn leaving_target_gets_no_requests_after_entry(#[case] gone: bool) {
-    local(async {
+    run_local(async {
         let fleet = start_after_notice(Call::get("/once/q"), &[], true).await;
         let (gw, target) = (fleet.router.gw.clone(), &fleet.targets[0]);
         if gone {
@@ -177,7 +177,7 @@
 /// Guards against callers that wait although all remaining targets are leaving.
 #[test]
 fn refused_at_once_when_all_targets_leave() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].set_says_leaving(true);
         Call::get("/once/a").send(fleet.router.front).await;
@@ -196,10 +196,10 @@
     #[case] after: &'static [&'static str],
     #[case] backoff_s: f64,
 ) {
-    local(async {
+    run_local(async {
         let faults: Vec<_> = after.iter().map(|s| TargetFault::FullUntil(s)).collect();
         let fleet = Fleet::start(2, 1_000_000).await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         let before = fleet.targets[0].arrivals().len();
         fleet.targets[0].fail(&faults);
         let backoff = Duration::from_secs_f64(backoff_s);
@@ -228,7 +228,7 @@
 /// Guards against callers that are told to retry while no target accepts requests.
 #[test]
 fn refusal_has_retry_after_of_target() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].fail(&[TargetFault::FullUntil("3")]);
         for n in 0..3 {
@@ -244,7 +244,7 @@
 /// Guards against reuse of a connection that the target closes with its refusal.
 #[test]
 fn connection_not_reused_after_closing_refusal() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].fail(&[TargetFault::FullAndCloses]);
         let got = Call::get("/once/a").send(fleet.router.front).await;
@@ -258,7 +258,7 @@
 /// Guards against a log line for each answer that repeats a known notice.
 #[test]
 fn log_has_leaving_notice_once() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.targets[0].set_says_leaving(true);
         let calls = ["a", "b", "c"].map(|id| Call::get("/once/a").id(id));
@@ -271,7 +271,7 @@
 /// announced.
 #[test]
 fn leaving_target_end_is_no_crash() {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let target = &fleet.targets[0];
         target.set_event_gap(Duration::from_millis(20));
@@ -282,7 +282,7 @@
             target.end();
         };
         let (got, ()) = tokio::join!(call.send(fleet.router.front), ends);
-        assert!(!got.whole);
+        assert!(!got.is_complete);
         sleep(Duration::from_millis(50)).await;
         assert!(!fleet.router.log.take().contains("event=target_ended"));
     });
@@ -294,7 +294,7 @@
 #[case::announces_leaving(Notice { leaving: true, retry_after: None })]
 #[case::announces_backoff(Notice { leaving: false, retry_after: delay(3_000) })]
 fn request_not_sent_after_notice(#[case] notice: Notice) {
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let (gw, target) = (&fleet.router.gw, &fleet.targets[0]);
         let mut warming = parts(2, 1_000);
@@ -323,7 +323,7 @@
             let AdmissionMessage::Ask { number, .. } = ciborium::from_reader(word).unwrap() else {
                 panic!()
             };
-            gw.targets.all()[0].standing.apply_notice(notice, Instant::now());
+            gw.targets.all()[0].self_reported.apply_notice(notice, Instant::now());
             let mut word = Vec::new();
             let answer = AdmissionMessage::Answer { number, room_in_ms: None };
             ciborium::into_writer(&answer, &mut word).unwrap();
--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,6 +1,6 @@
 //! All integration tests, one crate.
 
-mod gatedir;
+mod gateway_fleet;
 mod lending_fleet;
 mod manager_host;
 mod test_allowance;
