--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -145,7 +145,7 @@
 ) -> Result<(RequestKey, bool)> {
     match header_text(headers, IDEMPOTENCY_KEY)? {
         Some(key) => Ok((key.parse()?, true)),
-        None => Ok((format!("auto-{}", node.session().new_run()).parse()?, false)),
+        None => Ok((format!("auto-{}", node.session().new_run_id()).parse()?, false)),
     }
 }
 
--- a/src/api/operator.rs
+++ b/src/api/operator.rs
@@ -85,7 +85,7 @@
                       "retries": get(&c.retries), "joined": get(&c.joined), "in_flight": in_flight,
                       "waiting": waiting },
         "ledger": { "pockets": totals.budgets, "holds": totals.holds, "pending_bills": totals.pending_bills,
-                    "queued_writes": node.session().committer.queued(), "copies_out": node.session().copies() },
+                    "queued_writes": node.session().committer.queued(), "copies_out": node.session().copy_count() },
     }))
     .into_response()
 }
--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -12,8 +12,8 @@
 
 use super::node::{Node, NodeParts};
 use super::peers::PeerAnswers;
-use super::session::{News, Session, SessionParts};
-use super::tasks::{LoanBook, start_all};
+use super::session::{Session, SessionEvent, SessionParts};
+use super::tasks::{Loans, start_all};
 use crate::budget::ledger::{HolderRow, HolderState};
 use crate::budget::sizing::Sizing;
 use crate::clock::Clock;
@@ -90,7 +90,7 @@
         log::warn!("start=waits for=configuration error={:?}", e.message);
         sleep(PAUSE).await;
     }
-    let (session, news) = first_session(&b, &cfg).await;
+    let (session, events) = first_session(&b, &cfg).await;
     let me = Entry {
         incarnation: session.incarnation.clone(),
         zone: b.settings.zone.clone(),
@@ -117,16 +117,16 @@
         lending: b.lending,
         sizing: b.sizing,
     }));
-    let loans: Arc<LoanBook> = Arc::default();
+    let loans: Arc<Loans> = Arc::default();
     let answers = PeerAnswers { node: node.clone(), loans: loans.clone() };
-    let tasks = start_all(&node, &loans, news);
+    let tasks = start_all(&node, &loans, events);
     Booted { node, answers, tasks }
 }
 
 async fn first_session<P: Platform, E: Engine, M: Mesh>(
     b: &Boot<P, E, M>,
     cfg: &Arc<RwLock<Config>>,
-) -> (Arc<Session<P, M>>, mpsc::UnboundedReceiver<News>) {
+) -> (Arc<Session<P, M>>, mpsc::UnboundedReceiver<SessionEvent>) {
     loop {
         let parts = SessionParts {
             platform: b.platform.clone(),
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -9,7 +9,7 @@
 
 use super::gates::Visitor;
 use super::node::{Counts, Node};
-use super::session::{Held, Purpose, Session};
+use super::session::{HeldTokens, HoldSpec, Session};
 use crate::budget::ledger::Bill;
 use crate::engine::{Engine, Parts, RunUsage, StartRun};
 use crate::error::{Error, Kind, Result};
@@ -215,24 +215,24 @@
     job: &'a Job,
     deadline: Instant,
     tried: Vec<TargetId>,
-    held: Option<Reserved<P, M>>,
+    held: Option<Reservation<P, M>>,
 }
 
 /// A hold, and the incarnation that made it: a router that joined again meanwhile has another.
-pub struct Reserved<P: Platform, M: Mesh> {
+pub struct Reservation<P: Platform, M: Mesh> {
     /// The incarnation.
     pub session: Arc<Session<P, M>>,
     /// The hold.
-    pub held: Held,
+    pub held: HeldTokens,
     /// What it is for.
-    pub purpose: Purpose,
+    pub spec: HoldSpec,
 }
 
-impl<P: Platform, M: Mesh> Reserved<P, M> {
+impl<P: Platform, M: Mesh> Reservation<P, M> {
     /// Bills what was used.
     pub async fn settle(self, usage: RunUsage) {
         let cost = Tokens(usage.prompt_tokens).plus(Tokens(usage.tokens));
-        self.session.settle(self.held, &self.purpose, cost).await;
+        self.session.settle(self.held, &self.spec, cost).await;
     }
 
     /// Bills nothing: there was no answer.
@@ -245,16 +245,16 @@
     async fn run_to_end(&mut self) -> RunEnd {
         let late = |_| Error::new(Kind::Timeout, "the answer was not whole before its deadline");
         let ended = timeout_at(self.deadline, self.attempts()).await.map_err(late).flatten();
-        let reserved = self.held.take();
+        let reservation = self.held.take();
         match ended {
             Ok(usage) => {
-                if let Some(r) = reserved {
+                if let Some(r) = reservation {
                     r.settle(usage).await;
                 }
                 RunEnd::Complete(usage, self.run.digest())
             }
             Err(e) => {
-                self.clean_up(reserved, &e).await;
+                self.clean_up(reservation, &e).await;
                 RunEnd::Failed(e)
             }
         }
@@ -262,17 +262,17 @@
 
     /// A request without a whole answer costs nothing, except one that its caller left: that is
     /// billed as far as it ran.
-    async fn clean_up(&self, reserved: Option<Reserved<P, M>>, e: &Error) {
+    async fn clean_up(&self, reservation: Option<Reservation<P, M>>, e: &Error) {
         let stopped = match self.run.execution() {
             Some((id, target)) => self.stop_run(&id, &target).await,
             None => None,
         };
-        let Some(reserved) = reserved else { return };
+        let Some(reservation) = reservation else { return };
         match stopped {
             Some(usage) if e.kind == Kind::RunLost && usage.tokens > 0 => {
-                reserved.settle(usage).await
+                reservation.settle(usage).await
             }
-            _ => reserved.cancel().await,
+            _ => reservation.cancel().await,
         }
     }
 
@@ -287,7 +287,7 @@
 
     async fn attempts(&mut self) -> Result<RunUsage> {
         self.node.retries.lock().expect("never poisoned").earn();
-        let id = self.node.session().new_run();
+        let id = self.node.session().new_run_id();
         loop {
             let choice = self.choose()?;
             self.reserve(&id, &choice).await?;
@@ -346,9 +346,9 @@
 
     async fn reserve(&mut self, id: &RunId, choice: &Choice) -> Result<()> {
         if let Some(r) = &mut self.held {
-            r.purpose.target = choice.id.clone();
+            r.spec.target = choice.id.clone();
             let lost = |e: Error| Error::new(Kind::TargetFailed, e.message);
-            return r.session.move_to(&r.held, &r.purpose).await.map_err(lost);
+            return r.session.change_target(&r.held, &r.spec).await.map_err(lost);
         }
         let session = self.node.session();
         let bill = Bill {
@@ -359,10 +359,10 @@
             run: id.clone(),
             cost: Tokens::ZERO,
         };
-        let purpose = Purpose { amount: self.job.amount, bill, target: choice.id.clone() };
+        let spec = HoldSpec { amount: self.job.amount, bill, target: choice.id.clone() };
         let others = self.node.lenders_for(&self.run.organisation);
-        let held = reserve_patiently(self.node, &session, &purpose, &others).await?;
-        self.held = Some(Reserved { session, held, purpose });
+        let held = reserve_patiently(self.node, &session, &spec, &others).await?;
+        self.held = Some(Reservation { session, held, spec });
         Ok(())
     }
 
@@ -430,12 +430,12 @@
 pub async fn reserve_patiently<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
     session: &Arc<Session<P, M>>,
-    purpose: &Purpose,
+    spec: &HoldSpec,
     others: &[Entry],
-) -> Result<Held> {
+) -> Result<HeldTokens> {
     let mut attempt = 0;
     loop {
-        let refused = match session.reserve(purpose, others).await {
+        let refused = match session.reserve(spec, others).await {
             Ok(held) => return Ok(held),
             Err(e) => e,
         };
--- a/src/router/drive_call.rs
+++ b/src/router/drive_call.rs
@@ -7,10 +7,10 @@
 use compact_str::format_compact;
 use serde::{Deserialize, Serialize};
 
-use super::drive::{MAX_ATTEMPTS, Reserved, find_elsewhere, log_choice, reserve_patiently};
+use super::drive::{MAX_ATTEMPTS, Reservation, find_elsewhere, log_choice, reserve_patiently};
 use super::gates::Visitor;
 use super::node::{Counts, Node};
-use super::session::Purpose;
+use super::session::HoldSpec;
 use crate::budget::ledger::Bill;
 use crate::engine::{Engine, RunUsage, ServiceAnswer, ServiceCall};
 use crate::error::{Error, Kind, Result};
@@ -89,7 +89,7 @@
         Err(e) => Err(e),
         Ok(()) => {
             let entered = node.now();
-            let mut driver = Driver { node: &node, run: &run, job: &job, reserved: None };
+            let mut driver = Driver { node: &node, run: &run, job: &job, reservation: None };
             let end = driver.run_to_end().await;
             node.gates.leave(node.now(), &job.visitor, node.now().since(entered));
             end
@@ -118,13 +118,13 @@
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Run,
     job: &'a CallJob,
-    reserved: Option<Reserved<P, M>>,
+    reservation: Option<Reservation<P, M>>,
 }
 
 impl<P: Platform, E: Engine, M: Mesh> Driver<'_, P, E, M> {
     async fn run_to_end(&mut self) -> Result<ServiceAnswer> {
         let choice = self.choose(&[])?;
-        let id = self.node.session().new_run();
+        let id = self.node.session().new_run_id();
         self.reserve(&id, &choice.id).await?;
         let claimed = match self.job.repeatable {
             Repeatable::Yes => None,
@@ -145,7 +145,7 @@
     }
 
     async fn cancel_hold(&mut self) {
-        if let Some(r) = self.reserved.take() {
+        if let Some(r) = self.reservation.take() {
             r.cancel().await;
         }
     }
@@ -174,11 +174,11 @@
             run: id.clone(),
             cost: self.job.cost,
         };
-        let purpose = Purpose { amount: self.job.cost, bill, target: target.clone() };
+        let spec = HoldSpec { amount: self.job.cost, bill, target: target.clone() };
         let others = self.node.lenders_for(&self.run.organisation);
         let session = self.node.session();
-        let held = reserve_patiently(self.node, &session, &purpose, &others).await?;
-        self.reserved = Some(Reserved { session, held, purpose });
+        let held = reserve_patiently(self.node, &session, &spec, &others).await?;
+        self.reservation = Some(Reservation { session, held, spec });
         Ok(())
     }
 
@@ -314,7 +314,7 @@
         if let Some(version) = claimed {
             self.end_claim(version, certain_not_run, result.as_ref().ok()).await;
         }
-        let Some(r) = self.reserved.take() else { return result };
+        let Some(r) = self.reservation.take() else { return result };
         if result.is_ok() {
             r.settle(RunUsage { prompt_tokens: 0, tokens: self.job.cost.0 }).await;
         } else {
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::node::Node;
-use super::tasks::LoanBook;
+use super::tasks::Loans;
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{OrganisationId, RequestKey, Revision, Tokens};
@@ -17,7 +17,7 @@
     /// The node.
     pub node: Arc<Node<P, E, M>>,
     /// Holds lent to others.
-    pub loans: Arc<LoanBook>,
+    pub loans: Arc<Loans>,
 }
 
 impl<P: Platform, E: Engine, M: Mesh> Clone for PeerAnswers<P, E, M> {
@@ -86,30 +86,30 @@
                 }
                 let session = node.session();
                 let hold = session.lend(&budget, amount, copy.clone()).await?;
-                self.loans.lent(hold, copy);
+                self.loans.add_loan(hold, copy);
                 Ok(Reply::Held(hold))
             }
             Ask::Repay { lender, hold, bill } => {
                 // A loan of an incarnation that was sealed since is its witness's to settle. Taken
                 // for one of this incarnation's, it would free a hold whose run goes on.
                 let session = node.session();
-                let known = lender == session.incarnation && self.loans.repaid(hold).is_some();
+                let known = lender == session.incarnation && self.loans.end_loan(hold).is_some();
                 log::debug!(
                     "loan=repaid hold={} known={known} bill={:?}",
                     hold.0,
                     bill.as_ref().map(|b| b.cost)
                 );
                 if known {
-                    session.repaid(hold, bill).await;
+                    session.end_loan(hold, bill).await;
                 }
                 Ok(Reply::Done)
             }
             Ask::Move { lender, hold, target } => {
                 let session = node.session();
-                let moved =
-                    self.loans.moved(hold, target).filter(|_| lender == session.incarnation);
+                let retargeted =
+                    self.loans.retarget(hold, target).filter(|_| lender == session.incarnation);
                 let settled = || Error::new(Kind::Fenced, "this loan is settled");
-                session.lent_moved(hold, moved.ok_or_else(settled)?).await?;
+                session.retarget_loan(hold, retargeted.ok_or_else(settled)?).await?;
                 Ok(Reply::Done)
             }
             Ask::Release(budget) => {
--- a/src/router/session.rs
+++ b/src/router/session.rs
@@ -27,17 +27,17 @@
 use crate::membership::wire::{Ask, Mesh, Reply};
 use crate::table::committer::Committer;
 use crate::table::{Mutation, Platform, Version};
-use loans::SearchGate;
+use loans::ReleaseGate;
 
 /// How long a request waits for a grant before other routers are asked.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time for which a router that did not answer is asked last.
-const SUSPICION: Duration = Duration::from_millis(2_000);
+const SUSPECT_PERIOD: Duration = Duration::from_millis(2_000);
 /// How long a request waits for another witness when the one there is does not answer.
-const NEW_WITNESS: Duration = Duration::from_millis(500);
+const WITNESS_CHANGE_TIMEOUT: Duration = Duration::from_millis(500);
 /// News of a session for its router.
 #[derive(Debug)]
-pub enum News {
+pub enum SessionEvent {
     /// The table has the bills of these holds.
     Recorded(Vec<HoldId>),
     /// The incarnation is sealed.
@@ -46,29 +46,29 @@
 
 /// Carries a session's news.
 #[derive(Clone, Debug)]
-pub struct NewsTx(pub mpsc::UnboundedSender<News>);
+pub struct SessionEventSender(pub mpsc::UnboundedSender<SessionEvent>);
 
-impl GrantListener for NewsTx {
+impl GrantListener for SessionEventSender {
     fn recorded(&self, holds: Vec<HoldId>) {
         // A router that is gone wants no news.
-        let _ = self.0.send(News::Recorded(holds));
+        let _ = self.0.send(SessionEvent::Recorded(holds));
     }
 
     fn fenced(&self) {
-        let _ = self.0.send(News::Fenced);
+        let _ = self.0.send(SessionEvent::Fenced);
     }
 }
 
 /// The routers that keep copies for this one.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Pair {
+pub struct WitnessPair {
     /// In another zone when there is one; settles everything after this router's death.
     pub witness: Entry,
     /// In the same zone when there is one, for the time when others cannot be reached.
     pub backup: Option<Entry>,
 }
 
-impl Pair {
+impl WitnessPair {
     /// Both.
     pub fn members(&self) -> impl Iterator<Item = &Entry> {
         std::iter::once(&self.witness).chain(&self.backup)
@@ -80,16 +80,16 @@
 // There is one of these in a process; a box would only make it harder to read.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Watch {
+pub enum WitnessAssignment {
     /// As the holder row says.
-    By(Option<Pair>),
+    Stable(Option<WitnessPair>),
     /// The holder row is being written, and may name either: both have to have each copy.
-    Moving(Option<Pair>, Option<Pair>),
+    Changing(Option<WitnessPair>, Option<WitnessPair>),
 }
 
 /// Tokens held for one request.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldTokens {
     /// Number of the hold at its holder.
     pub hold: HoldId,
     /// The router whose grant it is of; `None`: this one's.
@@ -98,7 +98,7 @@
 
 /// What a hold is for.
 #[derive(Clone, Debug)]
-pub struct Purpose {
+pub struct HoldSpec {
     /// The largest cost.
     pub amount: Tokens,
     /// The bill as it would be; its cost is not known yet.
@@ -107,7 +107,7 @@
     pub target: crate::ids::TargetId,
 }
 
-impl Purpose {
+impl HoldSpec {
     fn copy(&self, hold: HoldId) -> HoldCopy {
         HoldCopy {
             hold,
@@ -125,18 +125,18 @@
     pub incarnation: Incarnation,
     /// Its writes.
     pub committer: Committer,
-    keeper: ActorRef<GrantActor<P, NewsTx>>,
+    grant_actor: ActorRef<GrantActor<P, SessionEventSender>>,
     mesh: M,
-    watch: RwLock<Watch>,
+    assignment: RwLock<WitnessAssignment>,
     /// Routers that did not answer a copy; others are chosen without waiting for their death.
     suspects: Mutex<Vec<(Incarnation, Instant)>>,
-    changed: Notify,
+    witness_changed: Notify,
     row: Mutex<(HolderRow, Version)>,
     /// Copies that a witness must have: those of all holds and unrecorded bills.
     copies: Mutex<Vec<HoldCopy>>,
     next_run: AtomicU64,
     /// Budgets whose tokens were called home lately.
-    searched: Mutex<Vec<(BudgetId, Arc<SearchGate>)>>,
+    release_gates: Mutex<Vec<(BudgetId, Arc<ReleaseGate>)>>,
 }
 
 /// What a session is started with.
@@ -166,7 +166,7 @@
     /// `PlatformAway`, or `Conflict` for an incarnation that exists.
     pub async fn start(
         parts: SessionParts<P, M>,
-    ) -> Result<(Arc<Session<P, M>>, mpsc::UnboundedReceiver<News>)> {
+    ) -> Result<(Arc<Session<P, M>>, mpsc::UnboundedReceiver<SessionEvent>)> {
         let committer =
             Committer::start(parts.platform.clone(), &parts.incarnation, parts.commit_interval);
         let key = holder_key(&parts.incarnation);
@@ -177,35 +177,35 @@
             || Error::new(Kind::Conflict, format!("incarnation {} exists", parts.incarnation));
         let version = written.ok_or_else(exists)?;
         let (tx, rx) = mpsc::unbounded_channel();
-        let keeper = GrantActor::spawn(GrantActorArgs {
+        let grant_actor = GrantActor::spawn(GrantActorArgs {
             table: parts.platform,
             committer: committer.clone(),
             incarnation: parts.incarnation.clone(),
             version,
             cfg: parts.cfg,
             clock: parts.clock,
-            grant_listener: NewsTx(tx),
+            grant_listener: SessionEventSender(tx),
             sizing: parts.sizing,
             holders: 1,
         });
         let session = Session {
             incarnation: parts.incarnation,
             committer,
-            keeper,
+            grant_actor,
             mesh: parts.mesh,
-            watch: RwLock::new(Watch::By(None)),
+            assignment: RwLock::new(WitnessAssignment::Stable(None)),
             suspects: Mutex::default(),
-            changed: Notify::new(),
+            witness_changed: Notify::new(),
             row: Mutex::new((parts.row, version)),
             copies: Mutex::default(),
             next_run: AtomicU64::new(1),
-            searched: Mutex::default(),
+            release_gates: Mutex::default(),
         };
         Ok((Arc::new(session), rx))
     }
 
     /// A name for a new run.
-    pub fn new_run(&self) -> RunId {
+    pub fn new_run_id(&self) -> RunId {
         let n = self.next_run.fetch_add(1, Ordering::Relaxed);
         format!("{}.{n}", self.incarnation)
             .parse()
@@ -213,8 +213,8 @@
     }
 
     /// Who keeps the copies.
-    pub fn watch(&self) -> Watch {
-        self.watch.read().expect("never poisoned").clone()
+    pub fn assignment(&self) -> WitnessAssignment {
+        self.assignment.read().expect("never poisoned").clone()
     }
 
     /// Holds tokens and has the hold covered, here or at one of `others`.
@@ -222,36 +222,40 @@
     /// # Errors
     /// `BudgetExhausted` when nobody asked has room; `PlatformAway` when the ledger could not be
     /// asked, or no cover could be had; `Fenced` when this incarnation was superseded.
-    pub async fn reserve(self: &Arc<Self>, purpose: &Purpose, others: &[Entry]) -> Result<Held> {
-        let own = match self.hold(&purpose.bill.budget, purpose.amount, true).await {
-            Ok(hold) => self.cover_or_cancel(hold, purpose).await,
+    pub async fn reserve(
+        self: &Arc<Self>,
+        spec: &HoldSpec,
+        others: &[Entry],
+    ) -> Result<HeldTokens> {
+        let own = match self.hold(&spec.bill.budget, spec.amount, true).await {
+            Ok(hold) => self.protect_or_cancel(hold, spec).await,
             Err(e) => Err(e),
         };
         let refused = match own {
-            Ok(hold) => return Ok(Held { hold, lender: None }),
+            Ok(hold) => return Ok(HeldTokens { hold, lender: None }),
             Err(e) => e,
         };
-        let budget = &purpose.bill.budget;
-        let mut free = self.ask_free(budget, others).await;
+        let budget = &spec.bill.budget;
+        let mut free = self.query_free_tokens(budget, others).await;
         free.sort_by_key(|(tokens, _)| std::cmp::Reverse(*tokens));
-        for (_, lender) in free.iter().filter(|(tokens, _)| *tokens >= purpose.amount) {
-            if let Some(held) = self.borrow(purpose, lender).await {
+        for (_, lender) in free.iter().filter(|(tokens, _)| *tokens >= spec.amount) {
+            if let Some(held) = self.borrow(spec, lender).await {
                 return Ok(held);
             }
         }
         let own = self.usage(budget.clone()).await;
-        let scattered =
+        let total_free =
             free.iter().fold(own.free.plus(own.left), |sum, (tokens, _)| sum.plus(*tokens));
-        if refused.kind != Kind::BudgetExhausted || scattered < purpose.amount {
+        if refused.kind != Kind::BudgetExhausted || total_free < spec.amount {
             return Err(refused);
         }
-        self.call_home(budget, others).await;
-        let hold = self.hold(budget, purpose.amount, true).await?;
-        Ok(Held { hold: self.cover_or_cancel(hold, purpose).await?, lender: None })
+        self.request_release(budget, others).await;
+        let hold = self.hold(budget, spec.amount, true).await?;
+        Ok(HeldTokens { hold: self.protect_or_cancel(hold, spec).await?, lender: None })
     }
 
     /// What others have free of a budget.
-    async fn ask_free(&self, budget: &BudgetId, others: &[Entry]) -> Vec<(Tokens, Entry)> {
+    async fn query_free_tokens(&self, budget: &BudgetId, others: &[Entry]) -> Vec<(Tokens, Entry)> {
         let asked = others.iter().map(|o| self.mesh.ask(o, Ask::Free(budget.clone())));
         let replies = futures_util::future::join_all(asked).await;
         let free = |(reply, other): (Result<Reply>, &Entry)| match reply {
@@ -276,32 +280,32 @@
         let session = self.clone();
         // The verdict may come after the request stopped waiting: then the hold is undone here.
         tokio::spawn(async move {
-            let verdict = session.keeper.ask(msg).await;
-            let late = tx.send(verdict.map_err(flatten)).err();
+            let verdict = session.grant_actor.ask(msg).await;
+            let late = tx.send(verdict.map_err(into_error)).err();
             if let Some(Ok(hold)) = late {
-                session.keeper_cancel(hold).await;
+                session.tell_cancel(hold).await;
             }
         });
         let away = || Error::new(Kind::PlatformAway, "the ledger did not answer in time");
-        tokio::time::timeout(PATIENCE, rx).await.map_err(|_| away())?.map_err(|_| away())?
+        tokio::time::timeout(GRANT_TIMEOUT, rx).await.map_err(|_| away())?.map_err(|_| away())?
     }
 
-    async fn keeper_cancel(&self, hold: HoldId) {
+    async fn tell_cancel(&self, hold: HoldId) {
         // A keeper that is gone holds nothing.
-        let _ = self.keeper.tell(CancelHold(hold)).await;
+        let _ = self.grant_actor.tell(CancelHold(hold)).await;
     }
 
-    async fn cover_or_cancel(&self, hold: HoldId, purpose: &Purpose) -> Result<HoldId> {
-        match self.cover(purpose.copy(hold)).await {
+    async fn protect_or_cancel(&self, hold: HoldId, spec: &HoldSpec) -> Result<HoldId> {
+        match self.protect(spec.copy(hold)).await {
             Ok(()) => Ok(hold),
             Err(e) => {
-                self.undo(hold).await;
+                self.cancel_own(hold).await;
                 Err(e)
             }
         }
     }
 
-    fn remember(&self, copy: &HoldCopy) {
+    fn upsert_copy(&self, copy: &HoldCopy) {
         let mut copies = self.copies.lock().expect("never poisoned");
         match copies.binary_search_by(|c| c.hold.cmp(&copy.hold)) {
             Ok(place) => copies[place] = copy.clone(),
@@ -314,20 +318,21 @@
     ///
     /// # Errors
     /// `Fenced` when this incarnation is sealed, `PlatformAway` when there is no cover.
-    pub async fn cover(&self, copy: HoldCopy) -> Result<()> {
+    pub async fn protect(&self, copy: HoldCopy) -> Result<()> {
         let (hold, run, amount) = (copy.hold, copy.bill.run.clone(), copy.amount);
-        let changed = self.changed.notified();
-        let first = match self.send_copy(copy.clone()).await {
+        let witness_changed = self.witness_changed.notified();
+        let first = match self.replicate(copy.clone()).await {
             Ok(()) => return Ok(()),
             Err(e) if e.kind == Kind::Fenced => return Err(e),
             Err(e) => e,
         };
-        if let Ok(true) = self.keeper.ask(MoveToSolo(hold)).await {
+        if let Ok(true) = self.grant_actor.ask(MoveToSolo(hold)).await {
             log::info!("cover=solo run={run} hold={} amount={amount}", hold.0);
             return Ok(());
         }
-        let new_witness = tokio::time::timeout(NEW_WITNESS, changed).await.is_ok();
-        if new_witness && self.send_copy(copy).await.is_ok() {
+        let new_witness =
+            tokio::time::timeout(WITNESS_CHANGE_TIMEOUT, witness_changed).await.is_ok();
+        if new_witness && self.replicate(copy).await.is_ok() {
             log::info!("cover=late run={run} hold={}", hold.0);
             return Ok(());
         }
@@ -339,20 +344,20 @@
     ///
     /// The copy is remembered before it is looked up who keeps copies. A change of witness does
     /// it the other way round, so no copy falls between the two.
-    async fn send_copy(&self, copy: HoldCopy) -> Result<()> {
-        self.remember(&copy);
+    async fn replicate(&self, copy: HoldCopy) -> Result<()> {
+        self.upsert_copy(&copy);
         let copies = vec![copy];
-        match self.watch() {
-            Watch::By(pair) => self.give(pair.as_ref(), copies).await,
-            Watch::Moving(from, to) => {
-                self.give(from.as_ref(), copies.clone()).await?;
-                self.give(to.as_ref(), copies).await
+        match self.assignment() {
+            WitnessAssignment::Stable(pair) => self.send_to_pair(pair.as_ref(), copies).await,
+            WitnessAssignment::Changing(from, to) => {
+                self.send_to_pair(from.as_ref(), copies.clone()).await?;
+                self.send_to_pair(to.as_ref(), copies).await
             }
         }
     }
 
     /// Gives copies to one of a pair: a reclaim needs the seals of both, so either is enough.
-    async fn give(&self, pair: Option<&Pair>, copies: Vec<HoldCopy>) -> Result<()> {
+    async fn send_to_pair(&self, pair: Option<&WitnessPair>, copies: Vec<HoldCopy>) -> Result<()> {
         let Some(pair) = pair else { return Ok(()) };
         let mut members: Vec<&Entry> = pair.members().collect();
         let suspects = self.suspects();
@@ -367,7 +372,7 @@
             match self.mesh.ask(member, ask).await {
                 Ok(_) => return Ok(()),
                 Err(e) if e.kind == Kind::Fenced => {
-                    let _ = self.keeper.tell(Fence).await;
+                    let _ = self.grant_actor.tell(Fence).await;
                     return Err(e);
                 }
                 Err(e) => last = e,
@@ -382,20 +387,20 @@
     /// Routers that did not answer a copy a short time ago.
     pub fn suspects(&self) -> Vec<Incarnation> {
         let mut suspects = self.suspects.lock().expect("never poisoned");
-        suspects.retain(|(_, at)| at.elapsed() < SUSPICION);
+        suspects.retain(|(_, at)| at.elapsed() < SUSPECT_PERIOD);
         suspects.iter().map(|(s, _)| s.clone()).collect()
     }
 
     /// A hold whose request never ran.
-    pub async fn undo(&self, hold: HoldId) {
-        self.keeper_cancel(hold).await;
+    pub async fn cancel_own(&self, hold: HoldId) {
+        self.tell_cancel(hold).await;
         self.forget(&[hold]).await;
     }
 
     /// Gives a hold back, wherever it is.
-    pub async fn cancel(self: &Arc<Self>, held: Held) {
+    pub async fn cancel(self: &Arc<Self>, held: HeldTokens) {
         match held.lender {
-            None => self.undo(held.hold).await,
+            None => self.cancel_own(held.hold).await,
             Some(lender) => self.repay(lender, held.hold, None),
         }
     }
@@ -404,35 +409,35 @@
     ///
     /// # Errors
     /// As [`Session::cover`].
-    pub async fn move_to(&self, held: &Held, purpose: &Purpose) -> Result<()> {
+    pub async fn change_target(&self, held: &HeldTokens, spec: &HoldSpec) -> Result<()> {
         let Some(lender) = &held.lender else {
-            return self.cover(purpose.copy(held.hold)).await;
+            return self.protect(spec.copy(held.hold)).await;
         };
         // The lender settles by asking the target it knows of. Untold, it would hear there that
         // the run never was, and lend the tokens again.
-        let target = purpose.target.clone();
+        let target = spec.target.clone();
         let ask = Ask::Move { lender: lender.incarnation.clone(), hold: held.hold, target };
         self.mesh.ask(lender, ask).await.map(drop)
     }
 
     /// Settles a hold with its bill. When this returns, the bill survives this router.
-    pub async fn settle(self: &Arc<Self>, held: Held, purpose: &Purpose, cost: Tokens) {
-        let bill = Bill { cost, ..purpose.bill.clone() };
+    pub async fn settle(self: &Arc<Self>, held: HeldTokens, spec: &HoldSpec, cost: Tokens) {
+        let bill = Bill { cost, ..spec.bill.clone() };
         if let Some(lender) = held.lender {
             return self.repay(lender, held.hold, Some(bill));
         }
-        let mut copy = purpose.copy(held.hold);
+        let mut copy = spec.copy(held.hold);
         copy.bill = bill.clone();
         copy.ended = true;
-        copy.amount = Tokens(purpose.amount.0.max(cost.0));
+        copy.amount = Tokens(spec.amount.0.max(cost.0));
         // Without a reply the witness still has the hold, and learns the cost from the target.
-        let _ = self.send_copy(copy).await;
-        match self.keeper.ask(SettleHold { hold: held.hold, bill }).await {
+        let _ = self.replicate(copy).await;
+        match self.grant_actor.ask(SettleHold { hold: held.hold, bill }).await {
             Ok(excess) if excess > Tokens::ZERO => {
-                log::warn!("bill=capped run={} excess={excess}", purpose.bill.run);
+                log::warn!("bill=capped run={} excess={excess}", spec.bill.run);
             }
             Ok(_) => {}
-            Err(e) => log::warn!("bill=left_to_witness run={} error={e:?}", purpose.bill.run),
+            Err(e) => log::warn!("bill=left_to_witness run={} error={e:?}", spec.bill.run),
         }
     }
 
@@ -442,11 +447,11 @@
             let mut copies = self.copies.lock().expect("never poisoned");
             copies.retain(|c| !holds.contains(&c.hold));
         }
-        let pair = match self.watch() {
-            Watch::By(pair) | Watch::Moving(_, pair) => pair,
+        let pair = match self.assignment() {
+            WitnessAssignment::Stable(pair) | WitnessAssignment::Changing(_, pair) => pair,
         };
         let ask = || Ask::Forget { holder: self.incarnation.clone(), holds: holds.to_vec() };
-        let members: Vec<Entry> = pair.iter().flat_map(Pair::members).cloned().collect();
+        let members: Vec<Entry> = pair.iter().flat_map(WitnessPair::members).cloned().collect();
         // A copy too many costs nothing while this router lives.
         let _ =
             futures_util::future::join_all(members.iter().map(|m| self.mesh.ask(m, ask()))).await;
@@ -463,12 +468,12 @@
     /// # Errors
     /// `Fenced` when this incarnation was sealed meanwhile; `Io` or `Timeout` when the new ones
     /// cannot be reached.
-    pub async fn choose_witness(&self, to: Option<Pair>) -> Result<()> {
-        let Watch::By(from) = self.watch() else { return Ok(()) };
-        self.set_watch(Watch::Moving(from.clone(), to.clone()));
+    pub async fn choose_witness(&self, to: Option<WitnessPair>) -> Result<()> {
+        let WitnessAssignment::Stable(from) = self.assignment() else { return Ok(()) };
+        self.set_assignment(WitnessAssignment::Changing(from.clone(), to.clone()));
         let copies = self.copies.lock().expect("never poisoned").clone();
-        if let Err(e) = self.give(to.as_ref(), copies).await {
-            self.set_watch(Watch::By(from));
+        if let Err(e) = self.send_to_pair(to.as_ref(), copies).await {
+            self.set_assignment(WitnessAssignment::Stable(from));
             return Err(e);
         }
         let (mut row, version) = self.row.lock().expect("never poisoned").clone();
@@ -477,21 +482,21 @@
         let key = holder_key(&self.incarnation);
         let m = Mutation::default().guard(key.clone(), Some(version)).put(key, &row);
         let Some(version) = self.committer.write(m).await? else {
-            let _ = self.keeper.tell(Fence).await;
+            let _ = self.grant_actor.tell(Fence).await;
             return Err(Error::new(Kind::Fenced, "the holder row was sealed"));
         };
         let named = |n: &Option<Incarnation>| n.as_ref().map_or("-".to_string(), |i| i.to_string());
         let (witness, backup) = (named(&row.witness), named(&row.backup));
         log::info!("witness=chosen holder={} witness={witness} backup={backup}", self.incarnation);
         *self.row.lock().expect("never poisoned") = (row, version);
-        let _ = self.keeper.tell(HolderRowVersion(version)).await;
-        self.set_watch(Watch::By(to));
-        self.changed.notify_waiters();
+        let _ = self.grant_actor.tell(HolderRowVersion(version)).await;
+        self.set_assignment(WitnessAssignment::Stable(to));
+        self.witness_changed.notify_waiters();
         Ok(())
     }
 
-    fn set_watch(&self, watch: Watch) {
-        *self.watch.write().expect("never poisoned") = watch;
+    fn set_assignment(&self, assignment: WitnessAssignment) {
+        *self.assignment.write().expect("never poisoned") = assignment;
     }
 
     /// Marks the incarnation as left, after everything was given back.
@@ -509,36 +514,36 @@
 
     /// Gives back what is free of one budget.
     pub async fn release(&self, budget: BudgetId) {
-        let _ = self.keeper.tell(Release(budget)).await;
+        let _ = self.grant_actor.tell(Release(budget)).await;
     }
 
     /// Gives back everything that is free.
     pub async fn release_all(&self) {
-        let _ = self.keeper.tell(ReleaseAll).await;
+        let _ = self.grant_actor.tell(ReleaseAll).await;
     }
 
     /// Tells the keeper how many routers there are, and how many hold parts of one budget.
-    pub async fn set_holders(&self, routers: u64, holders: u64) {
-        let _ = self.keeper.tell(SetRouterCounts { routers, holders }).await;
+    pub async fn set_router_counts(&self, routers: u64, holders: u64) {
+        let _ = self.grant_actor.tell(SetRouterCounts { routers, holders }).await;
     }
 
     /// What is held of a budget.
     pub async fn usage(&self, budget: BudgetId) -> Usage {
-        self.keeper.ask(GetUsage(budget)).await.unwrap_or_default()
+        self.grant_actor.ask(GetUsage(budget)).await.unwrap_or_default()
     }
 
     /// Counts over all budgets.
     pub async fn totals(&self) -> GrantTotals {
-        self.keeper.ask(GetTotals).await.unwrap_or_default()
+        self.grant_actor.ask(GetTotals).await.unwrap_or_default()
     }
 
     /// Copies that a witness should have.
-    pub fn copies(&self) -> usize {
+    pub fn copy_count(&self) -> usize {
         self.copies.lock().expect("never poisoned").len()
     }
 }
 
-fn flatten(e: SendError<RequestHold, Error>) -> Error {
+fn into_error(e: SendError<RequestHold, Error>) -> Error {
     match e {
         SendError::HandlerError(e) => e,
         _ => Error::new(Kind::Fenced, "the keeper of this incarnation is gone"),
--- a/src/router/session/loans.rs
+++ b/src/router/session/loans.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use super::{Held, Purpose, Session};
+use super::{HeldTokens, HoldSpec, Session};
 use crate::budget::actor::SettleHold;
 use crate::budget::holder::HoldId;
 use crate::budget::ledger::Bill;
@@ -17,68 +17,70 @@
 use crate::table::Platform;
 
 /// Least time between two calls for the tokens of one budget.
-const SEARCH_PAUSE: Duration = Duration::from_millis(250);
+const MIN_RELEASE_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause between attempts to repay a borrowed hold.
-const REPAY_PAUSE: Duration = Duration::from_millis(200);
+const REPAY_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// Attempts to repay a borrowed hold: two minutes in all. Then the failure is logged, and the hold
 /// stays with the lender.
-const REPAY_ATTEMPTS: u32 = 600;
+const MAX_REPAY_ATTEMPTS: u32 = 600;
 
 /// Lets one call for a budget's tokens through at a time; who comes while one is due shares it.
 #[derive(Debug, Default)]
-pub(super) struct SearchGate {
-    began: tokio::sync::Mutex<Option<Instant>>,
+pub(super) struct ReleaseGate {
+    last_started: tokio::sync::Mutex<Option<Instant>>,
 }
 
-impl SearchGate {
+impl ReleaseGate {
     fn is_recent(&self) -> bool {
-        self.began.try_lock().is_ok_and(|at| at.is_some_and(|at| at.elapsed() < SEARCH_PAUSE))
+        self.last_started
+            .try_lock()
+            .is_ok_and(|at| at.is_some_and(|at| at.elapsed() < MIN_RELEASE_INTERVAL))
     }
 }
 
 impl<P: Platform, M: Mesh> Session<P, M> {
-    pub(super) async fn borrow(&self, purpose: &Purpose, lender: &Entry) -> Option<Held> {
+    pub(super) async fn borrow(&self, spec: &HoldSpec, lender: &Entry) -> Option<HeldTokens> {
         let ask = Ask::Borrow {
-            budget: purpose.bill.budget.clone(),
-            amount: purpose.amount,
-            copy: purpose.copy(HoldId(0)),
+            budget: spec.bill.budget.clone(),
+            amount: spec.amount,
+            copy: spec.copy(HoldId(0)),
         };
         let Ok(Reply::Held(hold)) = self.mesh.ask(lender, ask).await else { return None };
         log::info!(
             "borrow=held run={} budget={} from={}",
-            purpose.bill.run,
-            purpose.bill.budget,
+            spec.bill.run,
+            spec.bill.budget,
             lender.incarnation
         );
-        Some(Held { hold, lender: Some(lender.clone()) })
+        Some(HeldTokens { hold, lender: Some(lender.clone()) })
     }
 
     /// Asks others to give back what they have free of a budget, so that its last tokens are not
     /// lost in pockets too small for any request. Requests that need it at the same time share
     /// one call, and calls keep a distance: an exhausted budget must not cost the table a write
     /// for each request that it refuses.
-    pub(super) async fn call_home(&self, budget: &BudgetId, others: &[Entry]) {
+    pub(super) async fn request_release(&self, budget: &BudgetId, others: &[Entry]) {
         let gate = {
-            let mut searched = self.searched.lock().expect("never poisoned");
-            searched.retain(|(_, gate)| Arc::strong_count(gate) > 1 || gate.is_recent());
-            match searched.iter().find(|(b, _)| b == budget) {
+            let mut release_gates = self.release_gates.lock().expect("never poisoned");
+            release_gates.retain(|(_, gate)| Arc::strong_count(gate) > 1 || gate.is_recent());
+            match release_gates.iter().find(|(b, _)| b == budget) {
                 Some((_, gate)) => gate.clone(),
                 None => {
-                    let gate: Arc<SearchGate> = Arc::default();
-                    searched.push((budget.clone(), gate.clone()));
+                    let gate: Arc<ReleaseGate> = Arc::default();
+                    release_gates.push((budget.clone(), gate.clone()));
                     gate
                 }
             }
         };
         let arrived = Instant::now();
-        let mut began = gate.began.lock().await;
-        if began.is_some_and(|at| at >= arrived) {
+        let mut last_started = gate.last_started.lock().await;
+        if last_started.is_some_and(|at| at >= arrived) {
             return;
         }
-        if let Some(at) = *began {
-            tokio::time::sleep_until(at + SEARCH_PAUSE).await;
+        if let Some(at) = *last_started {
+            tokio::time::sleep_until(at + MIN_RELEASE_INTERVAL).await;
         }
-        *began = Some(Instant::now());
+        *last_started = Some(Instant::now());
         let asked = others.iter().map(|o| self.mesh.ask(o, Ask::Release(budget.clone())));
         futures_util::future::join_all(asked).await;
     }
@@ -88,7 +90,7 @@
     pub(super) fn repay(self: &Arc<Self>, lender: Entry, hold: HoldId, bill: Option<Bill>) {
         let mesh = self.mesh.clone();
         tokio::spawn(async move {
-            for _ in 0..REPAY_ATTEMPTS {
+            for _ in 0..MAX_REPAY_ATTEMPTS {
                 if mesh
                     .ask(
                         &lender,
@@ -99,7 +101,7 @@
                 {
                     return;
                 }
-                tokio::time::sleep(REPAY_PAUSE).await;
+                tokio::time::sleep(REPAY_RETRY_INTERVAL).await;
             }
             log::error!("repay=given_up lender={} hold={}", lender.incarnation, hold.0);
         });
@@ -117,8 +119,8 @@
     ) -> Result<HoldId> {
         let hold = self.hold(budget, amount, false).await?;
         copy.hold = hold;
-        if let Err(e) = self.cover(copy).await {
-            self.undo(hold).await;
+        if let Err(e) = self.protect(copy).await {
+            self.cancel_own(hold).await;
             return Err(e);
         }
         Ok(hold)
@@ -128,18 +130,18 @@
     ///
     /// # Errors
     /// As [`Session::cover`].
-    pub async fn lent_moved(&self, hold: HoldId, mut copy: HoldCopy) -> Result<()> {
+    pub async fn retarget_loan(&self, hold: HoldId, mut copy: HoldCopy) -> Result<()> {
         copy.hold = hold;
-        self.cover(copy).await
+        self.protect(copy).await
     }
 
     /// A lent hold's run ended.
-    pub async fn repaid(self: &Arc<Self>, hold: HoldId, bill: Option<Bill>) {
+    pub async fn end_loan(self: &Arc<Self>, hold: HoldId, bill: Option<Bill>) {
         match bill {
-            None => self.undo(hold).await,
+            None => self.cancel_own(hold).await,
             Some(bill) => {
                 let msg = SettleHold { hold, bill };
-                let _ = self.keeper.ask(msg).await;
+                let _ = self.grant_actor.ask(msg).await;
             }
         }
     }
--- a/src/router/tasks.rs
+++ b/src/router/tasks.rs
@@ -9,7 +9,7 @@
 
 use super::boot::new_incarnation;
 use super::node::Node;
-use super::session::{News, Pair, Session, SessionParts, Watch};
+use super::session::{Session, SessionEvent, SessionParts, WitnessAssignment, WitnessPair};
 use crate::budget::holder::HoldId;
 use crate::budget::ledger::{HOLDERS_PREFIX, HolderRow, HolderState};
 use crate::budget::witness::HoldCopy;
@@ -49,20 +49,20 @@
 
 /// Holds lent to other routers.
 #[derive(Debug, Default)]
-pub struct LoanBook(Mutex<Vec<Loan>>);
+pub struct Loans(Mutex<Vec<Loan>>);
 
-impl LoanBook {
+impl Loans {
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Loan>> {
         self.0.lock().expect("no code panics while it holds the loans")
     }
 
     /// A hold was lent.
-    pub fn lent(&self, hold: HoldId, copy: HoldCopy) {
+    pub fn add_loan(&self, hold: HoldId, copy: HoldCopy) {
         self.lock().push(Loan { hold, copy, settling: false });
     }
 
     /// A lent hold's run goes to another target; `None` when the loan is settled or about to be.
-    pub fn moved(&self, hold: HoldId, target: TargetId) -> Option<HoldCopy> {
+    pub fn retarget(&self, hold: HoldId, target: TargetId) -> Option<HoldCopy> {
         let mut loans = self.lock();
         let loan = loans.iter_mut().find(|l| l.hold == hold && !l.settling)?;
         loan.copy.target = target;
@@ -70,7 +70,7 @@
     }
 
     /// A lent hold is dealt with; `None` when it was already.
-    pub fn repaid(&self, hold: HoldId) -> Option<HoldCopy> {
+    pub fn end_loan(&self, hold: HoldId) -> Option<HoldCopy> {
         let mut loans = self.lock();
         let place = loans.iter().position(|l| l.hold == hold)?;
         Some(loans.swap_remove(place).copy)
@@ -95,8 +95,8 @@
 /// Starts all tasks. They end when the set is dropped.
 pub fn start_all<P: Platform, E: Engine, M: Mesh>(
     node: &Shared<P, E, M>,
-    loans: &Arc<LoanBook>,
-    news: mpsc::UnboundedReceiver<News>,
+    loans: &Arc<Loans>,
+    events: mpsc::UnboundedReceiver<SessionEvent>,
 ) -> tokio::task::JoinSet<()> {
     let mut set = tokio::task::JoinSet::new();
     set.spawn(beat(node.clone()));
@@ -105,7 +105,7 @@
     set.spawn(poll_reports(node.clone()));
     set.spawn(poll_holders(node.clone()));
     set.spawn(care(node.clone(), loans.clone()));
-    set.spawn(hear_news(node.clone(), loans.clone(), news));
+    set.spawn(handle_session_events(node.clone(), loans.clone(), events));
     set
 }
 
@@ -136,7 +136,7 @@
         let mut chosen: Vec<Entry> =
             (0..FANOUT.min(to.len())).map(|i| to[(turn + i) % n].clone()).collect();
         turn = (turn + FANOUT) % n;
-        if let Watch::By(Some(pair)) = node.session().watch() {
+        if let WitnessAssignment::Stable(Some(pair)) = node.session().assignment() {
             let missing = |m: &&Entry| !chosen.iter().any(|c| c.incarnation == m.incarnation);
             let missing: Vec<Entry> = pair.members().filter(missing).cloned().collect();
             chosen.extend(missing);
@@ -326,7 +326,7 @@
 }
 
 /// Looks after the witness, dead wards, loans to the dead, and old requests.
-async fn care<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>, loans: Arc<LoanBook>) {
+async fn care<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>, loans: Arc<Loans>) {
     let mut ticks = every(CARE);
     let reclaimed = Reclaimed::default();
     loop {
@@ -337,7 +337,7 @@
         // An organisation is named so many routers; only these hold parts of its budgets.
         let width = node.cfg.read().expect("never poisoned").fleet.entry_width as usize;
         let serving = live.iter().filter(|e| !e.leaving).count();
-        node.session().set_holders(serving as u64, serving.min(width) as u64).await;
+        node.session().set_router_counts(serving as u64, serving.min(width) as u64).await;
         care_witness(&node, &live).await;
         reclaim_dead(&node, &reclaimed);
         settle_loans(&node, &loans);
@@ -346,7 +346,7 @@
 
 async fn care_witness<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, live: &[Entry]) {
     let session = node.session();
-    let Watch::By(now) = session.watch() else { return };
+    let WitnessAssignment::Stable(now) = session.assignment() else { return };
     let me = node.lock_view().me().clone();
     let suspects = session.suspects();
     let trusted = |e: &&Entry| !suspects.contains(&e.incarnation);
@@ -361,7 +361,7 @@
     }
     let to = witness(&trusted, &me).map(|w| {
         let backup = backup(&trusted, &me, w).cloned();
-        Pair { witness: w.clone(), backup }
+        WitnessPair { witness: w.clone(), backup }
     });
     // Nobody to turn to: whom the row names is better than nobody.
     if to.is_none() && !live.is_empty() && now.is_some() && trusted.len() < live.len() {
@@ -407,7 +407,7 @@
 
 /// A borrower that died cannot repay: the lender follows the run to its end itself. It must not
 /// stop it: a borrower that is only cut off still streams the answer to its caller.
-fn settle_loans<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, loans: &Arc<LoanBook>) {
+fn settle_loans<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, loans: &Arc<Loans>) {
     for (hold, copy) in loans.all() {
         let run = copy.bill.run.as_str();
         let borrower = run.rsplit_once('.').and_then(|(b, _)| b.parse::<Incarnation>().ok());
@@ -423,29 +423,29 @@
         tokio::spawn(async move {
             let session = node.session();
             let Some(bill) = node.reclaimer().outcome(&copy).await else { return };
-            if loans.repaid(hold).is_some() {
+            if loans.end_loan(hold).is_some() {
                 log::info!("loan=settled run={} billed={}", copy.bill.run, bill.is_some());
-                session.repaid(hold, bill).await;
+                session.end_loan(hold, bill).await;
             }
         });
     }
 }
 
 /// Tells the witness what the table has, and joins again when this incarnation was sealed.
-async fn hear_news<P: Platform, E: Engine, M: Mesh>(
+async fn handle_session_events<P: Platform, E: Engine, M: Mesh>(
     node: Shared<P, E, M>,
-    loans: Arc<LoanBook>,
-    mut news: mpsc::UnboundedReceiver<News>,
+    loans: Arc<Loans>,
+    mut events: mpsc::UnboundedReceiver<SessionEvent>,
 ) {
     loop {
-        match news.recv().await {
-            Some(News::Recorded(holds)) => {
+        match events.recv().await {
+            Some(SessionEvent::Recorded(holds)) => {
                 let session = node.session();
                 tokio::spawn(async move { session.forget(&holds).await });
             }
-            Some(News::Fenced) => {
+            Some(SessionEvent::Fenced) => {
                 loans.clear();
-                news = rejoin(&node).await;
+                events = rejoin(&node).await;
             }
             None => return,
         }
@@ -456,7 +456,7 @@
 /// settle, and a new one starts with nothing. Running streams go on.
 async fn rejoin<P: Platform, E: Engine, M: Mesh>(
     node: &Shared<P, E, M>,
-) -> mpsc::UnboundedReceiver<News> {
+) -> mpsc::UnboundedReceiver<SessionEvent> {
     loop {
         let incarnation = new_incarnation(&node.settings.instance);
         let me = node.lock_view().me().clone();
@@ -478,14 +478,14 @@
             sizing: node.sizing,
         };
         match Session::start(parts).await {
-            Ok((session, news)) => {
+            Ok((session, events)) => {
                 node.set_session(session);
                 node.lock_view().update_me(|e| {
                     e.incarnation = incarnation.clone();
                     e.beat = 0;
                 });
                 log::warn!("rejoin=done incarnation={incarnation}");
-                return news;
+                return events;
             }
             Err(e) if e.kind == Kind::Conflict => {}
             Err(e) => log::warn!("rejoin=waits error={:?}", e.message),
