--- a/src/api/chat.rs
+++ b/src/api/chat.rs
@@ -9,10 +9,12 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use super::sse::{EventId, Rolling, check_resume, first_progress, respond, usage_body};
+use super::sse::{
+    EventId, PrefixDigest, check_resume, stream_response, usage_body, wait_for_progress,
+};
 use super::{
-    App, BUDGET, Body, IDEMPOTENCY_KEY, LAST_EVENT_ID, check_open, header_text, organisation,
-    priority, request_key, whole,
+    BUDGET, BodyResult, IDEMPOTENCY_KEY, LAST_EVENT_ID, NodeState, full_body, check_accepting,
+    header_text, organisation, priority, request_key,
 };
 use crate::config::{Config, Organisation, Service, ServiceKind};
 use crate::engine::Engine;
@@ -20,8 +22,8 @@
 use crate::ids::{BudgetId, Digest, RequestKey, ServiceId, Tokens};
 use crate::membership::wire::Mesh;
 use crate::request::runs::{Run, RunEnd};
-use crate::router::drive::{Job, open_run};
-use crate::router::gates::Visitor;
+use crate::router::drive::{ModelJob, open_run};
+use crate::router::gates::AdmissionRequest;
 use crate::router::node::{Counts, Node};
 use crate::table::Platform;
 
@@ -52,9 +54,9 @@
 
 /// Handles a chat request.
 pub async fn complete<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
+    State(node): NodeState<P, E, M>,
     headers: HeaderMap,
-    body: Body,
+    body: BodyResult,
 ) -> Response {
     Counts::add(&node.counts.requests);
     try_complete(node, headers, body).await.unwrap_or_else(IntoResponse::into_response)
@@ -63,31 +65,38 @@
 async fn try_complete<P: Platform, E: Engine, M: Mesh>(
     node: Arc<Node<P, E, M>>,
     headers: HeaderMap,
-    body: Body,
+    body: BodyResult,
 ) -> Result<Response> {
     let org = organisation(&node, &headers)?;
-    let body = whole(body)?;
+    let body = full_body(body)?;
     let bad = |e: serde_json::Error| Error::new(Kind::BadRequest, format!("body: {e}"));
     let req: ChatRequest = serde_json::from_slice(&body).map_err(bad)?;
-    let (key, own_key) = request_key(&node, &headers)?;
+    let (key, key_from_caller) = request_key(&node, &headers)?;
     let resume = header_text(&headers, LAST_EVENT_ID)?.map(EventId::parse).transpose()?;
     let (job, budget) = {
         let cfg = node.cfg.read().expect("never poisoned");
-        prepare(&cfg, &org, &req, priority(&headers)?, header_text(&headers, BUDGET)?, own_key)?
+        prepare(
+            &cfg,
+            &org,
+            &req,
+            priority(&headers)?,
+            header_text(&headers, BUDGET)?,
+            key_from_caller,
+        )?
     };
-    let service = job.visitor.service.to_string();
-    let run = open(&node, &org, key.clone(), content(&req), budget, job)?;
+    let service = job.admission.service.to_string();
+    let run = open(&node, &org, key.clone(), content_digest(&req), budget, job)?;
     let mut rx = run.follow();
     let from = resume.map_or(0, |r| r.tokens);
-    first_progress(&run, &mut rx, from).await;
+    wait_for_progress(&run, &mut rx, from).await;
     let mut resp = match (run.view(0).end, req.stream) {
         // A stream that failed before its first token is a plain refusal.
         (Some(RunEnd::Failed(e)), _) if run.len() <= from => e.into_response(),
         (_, true) => {
-            let rolling = resume.map(|at| check_resume(&run, at)).transpose()?;
-            respond(run, rx, rolling.unwrap_or_else(Rolling::default), service)
+            let prefix = resume.map(|at| check_resume(&run, at)).transpose()?;
+            stream_response(run, rx, prefix.unwrap_or_else(PrefixDigest::default), service)
         }
-        (_, false) => whole_answer(&run, rx, &service).await,
+        (_, false) => buffered_answer(&run, rx, &service).await,
     };
     if let Ok(value) = HeaderValue::from_str(key.as_str()) {
         resp.headers_mut().insert(IDEMPOTENCY_KEY, value);
@@ -96,7 +105,7 @@
 }
 
 /// Digest of what makes two requests the same.
-fn content(req: &ChatRequest) -> Digest {
+fn content_digest(req: &ChatRequest) -> Digest {
     let limit = req.max_tokens.map_or(String::new(), |n| n.to_string());
     Digest::of(format!("{}\n{limit}\n{}", req.model, req.prompt()).as_bytes())
 }
@@ -107,8 +116,8 @@
     req: &ChatRequest,
     priority: u8,
     budget: Option<&str>,
-    own_key: bool,
-) -> Result<(Job, BudgetId)> {
+    key_from_caller: bool,
+) -> Result<(ModelJob, BudgetId)> {
     let unknown = || Error::new(Kind::NotFound, "no such model");
     let id: ServiceId = req.model.parse().map_err(|_| unknown())?;
     let service = cfg.service(&id).ok_or_else(unknown)?;
@@ -125,21 +134,21 @@
         return Err(Error::new(Kind::BadRequest, message));
     }
     let prompt_tokens = (prompt.len() as u64).div_ceil(*bytes_per_token);
-    let job = Job {
-        visitor: visitor(org, service, priority),
+    let job = ModelJob {
+        admission: admission(org, service, priority),
         model: model.clone(),
         amount: Tokens(prompt_tokens).plus(Tokens(limit)),
         prompt,
         max_tokens: limit,
         deadline: service.deadline.duration(),
-        own_key,
+        key_from_caller,
     };
     Ok((job, choose_budget(cfg, org, service, budget)?))
 }
 
 /// Who wants through the gate.
-pub fn visitor(org: &Organisation, service: &Service, priority: u8) -> Visitor {
-    Visitor {
+pub fn admission(org: &Organisation, service: &Service, priority: u8) -> AdmissionRequest {
+    AdmissionRequest {
         service: service.id.clone(),
         organisation: org.id.clone(),
         weight: org.weight,
@@ -183,17 +192,17 @@
     key: RequestKey,
     content: Digest,
     budget: BudgetId,
-    job: Job,
+    job: ModelJob,
 ) -> Result<Arc<Run>> {
     let known = node.lock_runs().get(&org.id, &key).is_some();
     if !known {
-        check_open(node)?;
+        check_accepting(node)?;
     }
     let new = Run::new(org.id.clone(), key, content, budget);
     open_run(node, new, job)
 }
 
-async fn whole_answer(
+async fn buffered_answer(
     run: &Run,
     mut rx: tokio::sync::watch::Receiver<u64>,
     service: &str,
--- a/src/api/entry.rs
+++ b/src/api/entry.rs
@@ -6,7 +6,7 @@
 use axum::response::{IntoResponse, Response};
 use serde::{Deserialize, Serialize};
 
-use super::{App, organisation};
+use super::{NodeState, organisation};
 use crate::engine::Engine;
 use crate::error::Result;
 use crate::ids::ZoneId;
@@ -18,7 +18,7 @@
 /// The caller's place.
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub struct Near {
+pub struct EntryQuery {
     zone: Option<String>,
 }
 
@@ -34,21 +34,21 @@
 
 /// Handles a question for addresses.
 pub async fn entry<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
-    Query(near): Query<Near>,
+    State(node): NodeState<P, E, M>,
+    Query(query): Query<EntryQuery>,
     headers: HeaderMap,
 ) -> Response {
-    try_entry(&node, &near, &headers)
+    try_entry(&node, &query, &headers)
         .map_or_else(IntoResponse::into_response, |a| Json(a).into_response())
 }
 
 fn try_entry<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
-    near: &Near,
+    query: &EntryQuery,
     headers: &HeaderMap,
 ) -> Result<EntryAnswer> {
     let org = organisation(node, headers)?;
-    let zone: Option<ZoneId> = near.zone.as_deref().map(str::parse).transpose()?;
+    let zone: Option<ZoneId> = query.zone.as_deref().map(str::parse).transpose()?;
     let fleet = node.cfg.read().expect("never poisoned").fleet.clone();
     let entries = answer(&node.live(), &org.id, fleet.entry_width as usize, zone.as_ref());
     let addresses = entries.into_iter().map(|e| e.api.to_string()).collect();
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -26,9 +26,9 @@
 use crate::table::Platform;
 
 /// Bytes of a request body at most.
-pub const MAX_BODY: usize = 4 << 20;
+pub const MAX_BODY_BYTES: usize = 4 << 20;
 /// Bytes of an operator's submission at most.
-const MAX_SUBMISSION: usize = 256 << 20;
+const MAX_SUBMISSION_BYTES: usize = 256 << 20;
 /// Header with the caller's key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Header with the place to resume a stream from.
@@ -41,9 +41,9 @@
 pub const DEFAULT_PRIORITY: u8 = 5;
 
 /// The node behind all handlers.
-pub type App<P, E, M> = State<Arc<Node<P, E, M>>>;
+pub type NodeState<P, E, M> = State<Arc<Node<P, E, M>>>;
 /// A body as it was read, or why not.
-pub type Body = std::result::Result<Bytes, BytesRejection>;
+pub type BodyResult = std::result::Result<Bytes, BytesRejection>;
 
 /// All paths.
 pub fn api_app<P: Platform, E: Engine, M: Mesh>(node: Arc<Node<P, E, M>>) -> axum::Router {
@@ -53,12 +53,12 @@
         .route("/operator/config", get(operator::config::<P, E, M>))
         .route("/operator/revisions", get(operator::revisions::<P, E, M>))
         .route("/operator/submit", post(operator::submit_edits::<P, E, M>))
-        .layer(axum::extract::DefaultBodyLimit::max(MAX_SUBMISSION));
+        .layer(axum::extract::DefaultBodyLimit::max(MAX_SUBMISSION_BYTES));
     axum::Router::new()
         .route("/v1/chat/completions", post(chat::complete::<P, E, M>))
         .route("/v1/services/{service}/{*path}", post(service::call::<P, E, M>))
         .route("/v1/entry", get(entry::entry::<P, E, M>))
-        .layer(axum::extract::DefaultBodyLimit::max(MAX_BODY))
+        .layer(axum::extract::DefaultBodyLimit::max(MAX_BODY_BYTES))
         .merge(operator)
         .route("/healthz", get(|| async { "ok" }))
         .route("/readyz", get(readyz::<P, E, M>))
@@ -66,7 +66,7 @@
         .with_state(node)
 }
 
-async fn readyz<P: Platform, E: Engine, M: Mesh>(State(node): App<P, E, M>) -> Response {
+async fn readyz<P: Platform, E: Engine, M: Mesh>(State(node): NodeState<P, E, M>) -> Response {
     match node.is_ready() {
         true => "ready".into_response(),
         false => (StatusCode::SERVICE_UNAVAILABLE, "not ready").into_response(),
@@ -165,10 +165,10 @@
 ///
 /// # Errors
 /// `TooLarge` or `BadRequest`.
-pub fn whole(body: Body) -> Result<Bytes> {
+pub fn full_body(body: BodyResult) -> Result<Bytes> {
     body.map_err(|e| match e.status() {
         StatusCode::PAYLOAD_TOO_LARGE => {
-            Error::new(Kind::TooLarge, format!("a body holds {MAX_BODY} bytes at most"))
+            Error::new(Kind::TooLarge, format!("a body holds {MAX_BODY_BYTES} bytes at most"))
         }
         _ => Error::new(Kind::BadRequest, "the body could not be read"),
     })
@@ -178,7 +178,7 @@
 ///
 /// # Errors
 /// `Draining`.
-pub fn check_open<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>) -> Result<()> {
+pub fn check_accepting<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>) -> Result<()> {
     match node.refuses_new() {
         true => Err(Error::new(Kind::Draining, "this router drains; ask /v1/entry for others")),
         false => Ok(()),
--- a/src/api/operator.rs
+++ b/src/api/operator.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use super::{App, Body, bearer, whole};
+use super::{BodyResult, NodeState, bearer, full_body};
 use crate::budget::actor::versioned;
 use crate::budget::ledger::{BudgetRow, GrantRow, HolderState, Versioned, budget_key, grant_key};
 use crate::config::store::{Submission, read_revisions, submit};
@@ -18,7 +18,7 @@
 use crate::ids::{BudgetId, Digest, Incarnation, Revision, Tokens};
 use crate::membership::wire::Mesh;
 use crate::router::node::Node;
-use crate::router::tasks::{publish_revision, read_holders};
+use crate::router::tasks::{publish_revision, read_holder_rows};
 use crate::table::{Platform, RowKey};
 
 fn check_operator<P: Platform, E: Engine, M: Mesh>(
@@ -34,7 +34,7 @@
 
 /// `GET /operator/status`: routers, targets, revision, counts.
 pub async fn status<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
+    State(node): NodeState<P, E, M>,
     headers: HeaderMap,
 ) -> Response {
     if let Err(e) = check_operator(&node, &headers) {
@@ -93,7 +93,7 @@
 /// What one holder has of a budget.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct HolderPart {
+pub struct HolderUsage {
     /// The holder.
     pub holder: Incarnation,
     /// `live`, `left` or `sealed`, as its row says.
@@ -124,12 +124,12 @@
     /// Free to grant.
     pub free: Tokens,
     /// By holder.
-    pub holders: Vec<HolderPart>,
+    pub holders: Vec<HolderUsage>,
 }
 
 /// `GET /operator/budget/ORGANISATION`: its budgets, by holder.
 pub async fn budget<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
+    State(node): NodeState<P, E, M>,
     Path(organisation): Path<String>,
     headers: HeaderMap,
 ) -> Response {
@@ -153,7 +153,7 @@
     if budgets.is_empty() {
         return Err(Error::new(Kind::NotFound, format!("no budget of {organisation}")));
     }
-    let holders = read_holders(&node.platform).await?;
+    let holders = read_holder_rows(&node.platform).await?;
     let mut out = Vec::new();
     for (id, prepaid) in budgets {
         let mut keys: Vec<RowKey> = holders.iter().map(|(h, _)| grant_key(h, &id)).collect();
@@ -168,7 +168,7 @@
             if grant.version.is_some() {
                 let alive = node.lock_view().alive(now, holder);
                 let (granted, settled) = (grant.row.granted, grant.row.settled);
-                parts.push(HolderPart {
+                parts.push(HolderUsage {
                     holder: holder.clone(),
                     state: h.state,
                     alive,
@@ -190,12 +190,12 @@
     budget: BudgetId,
     prepaid: Tokens,
     row: BudgetRow,
-    holders: Vec<HolderPart>,
+    holders: Vec<HolderUsage>,
 ) -> BudgetReport {
-    let open = |p: &&HolderPart| p.alive && p.state == HolderState::Live;
-    let rest = |p: &HolderPart| p.granted.minus(p.settled);
-    let granted = sum(holders.iter().filter(open).map(rest));
-    let in_doubt = sum(holders.iter().filter(|p| !open(p)).map(rest));
+    let counts_as_granted = |p: &&HolderUsage| p.alive && p.state == HolderState::Live;
+    let unsettled = |p: &HolderUsage| p.granted.minus(p.settled);
+    let granted = sum(holders.iter().filter(counts_as_granted).map(unsettled));
+    let in_doubt = sum(holders.iter().filter(|p| !counts_as_granted(p)).map(unsettled));
     let settled = row.closed.plus(sum(holders.iter().map(|p| p.settled)));
     BudgetReport {
         budget,
@@ -210,7 +210,7 @@
 
 /// `GET /operator/config`: the revision in force and its text.
 pub async fn config<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
+    State(node): NodeState<P, E, M>,
     headers: HeaderMap,
 ) -> Response {
     if let Err(e) = check_operator(&node, &headers) {
@@ -225,15 +225,15 @@
 /// Where a listing starts.
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub struct After {
+pub struct RevisionsQuery {
     #[serde(default)]
     after: u64,
 }
 
 /// `GET /operator/revisions?after=N`: accepted revisions with their edits.
 pub async fn revisions<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
-    Query(after): Query<After>,
+    State(node): NodeState<P, E, M>,
+    Query(after): Query<RevisionsQuery>,
     headers: HeaderMap,
 ) -> Response {
     if let Err(e) = check_operator(&node, &headers) {
@@ -247,17 +247,18 @@
 
 /// `POST /operator/submit`: a submission.
 pub async fn submit_edits<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
+    State(node): NodeState<P, E, M>,
     headers: HeaderMap,
-    body: Body,
+    body: BodyResult,
 ) -> Response {
     if let Err(e) = check_operator(&node, &headers) {
         return e.into_response();
     }
-    let submission: Submission = match whole(body).and_then(|b| Ok(serde_json::from_slice(&b)?)) {
-        Ok(s) => s,
-        Err(e) => return e.into_response(),
-    };
+    let submission: Submission =
+        match full_body(body).and_then(|b| Ok(serde_json::from_slice(&b)?)) {
+            Ok(s) => s,
+            Err(e) => return e.into_response(),
+        };
     let result = {
         let mut follower = node.follower.lock().await;
         submit(&node.platform, &mut follower, &node.cfg, &submission).await
--- a/src/api/service.rs
+++ b/src/api/service.rs
@@ -6,10 +6,10 @@
 use axum::http::{HeaderMap, HeaderValue, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 
-use super::chat::{choose_budget, visitor};
+use super::chat::{admission, choose_budget};
 use super::{
-    App, BUDGET, Body, IDEMPOTENCY_KEY, check_open, header_text, organisation, priority,
-    request_key, whole,
+    BUDGET, BodyResult, IDEMPOTENCY_KEY, NodeState, full_body, check_accepting, header_text,
+    organisation, priority, request_key,
 };
 use crate::config::ServiceKind;
 use crate::engine::{Engine, ServiceAnswer};
@@ -24,10 +24,10 @@
 
 /// Handles a call.
 pub async fn call<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
+    State(node): NodeState<P, E, M>,
     Path((service, path)): Path<(String, String)>,
     headers: HeaderMap,
-    body: Body,
+    body: BodyResult,
 ) -> Response {
     Counts::add(&node.counts.requests);
     try_call(node, service, path, headers, body).await.unwrap_or_else(IntoResponse::into_response)
@@ -38,13 +38,13 @@
     service: String,
     path: String,
     headers: HeaderMap,
-    body: Body,
+    body: BodyResult,
 ) -> Result<Response> {
     let org = organisation(&node, &headers)?;
-    let body = whole(body)?;
+    let body = full_body(body)?;
     let body = String::from_utf8(body.to_vec())
         .map_err(|_| Error::new(Kind::BadRequest, "the body must be UTF-8"))?;
-    let (key, own_key) = request_key(&node, &headers)?;
+    let (key, key_from_caller) = request_key(&node, &headers)?;
     let content = Digest::of(format!("{service}\n{path}\n{body}").as_bytes());
     let (job, budget) = {
         let cfg = node.cfg.read().expect("never poisoned");
@@ -53,12 +53,12 @@
         let service = cfg.service(&id).ok_or_else(unknown)?;
         let ServiceKind::Plain { cost, repeatable } = &service.kind else { return Err(unknown()) };
         let may_repeat = repeatable.iter().any(|r| r.as_str() == path);
-        if !may_repeat && !own_key {
+        if !may_repeat && !key_from_caller {
             let message = "a call that must not be repeated needs an Idempotency-Key";
             return Err(Error::new(Kind::BadRequest, message));
         }
         let job = CallJob {
-            visitor: visitor(&org, service, priority(&headers)?),
+            admission: admission(&org, service, priority(&headers)?),
             path,
             body,
             cost: *cost,
@@ -68,18 +68,19 @@
         (job, choose_budget(&cfg, &org, service, header_text(&headers, BUDGET)?)?)
     };
     if node.lock_runs().get(&org.id, &key).is_none() {
-        check_open(&node)?;
+        check_accepting(&node)?;
     }
     let new = Run::new(org.id.clone(), key.clone(), content, budget);
     let run = open_call(&node, new, job)?;
-    let mut resp = wait(&run).await.map_or_else(IntoResponse::into_response, plain);
+    let mut resp =
+        wait_for_end(&run).await.map_or_else(IntoResponse::into_response, service_response);
     if let Ok(value) = HeaderValue::from_str(key.as_str()) {
         resp.headers_mut().insert(IDEMPOTENCY_KEY, value);
     }
     Ok(resp)
 }
 
-async fn wait(run: &Run) -> Result<ServiceAnswer> {
+async fn wait_for_end(run: &Run) -> Result<ServiceAnswer> {
     let mut rx = run.follow();
     loop {
         rx.borrow_and_update();
@@ -97,7 +98,7 @@
     }
 }
 
-fn plain(answer: ServiceAnswer) -> Response {
+fn service_response(answer: ServiceAnswer) -> Response {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     (status, [(header::CONTENT_TYPE, "application/json")], answer.body).into_response()
 }
--- a/src/api/sse.rs
+++ b/src/api/sse.rs
@@ -44,12 +44,12 @@
 
 /// Digest of an answer's text so far.
 #[derive(Clone, Debug, Default)]
-pub struct Rolling {
+pub struct PrefixDigest {
     hasher: blake3::Hasher,
     tokens: usize,
 }
 
-impl Rolling {
+impl PrefixDigest {
     /// Adds tokens.
     pub fn extend(&mut self, tokens: &[CompactString]) {
         for t in tokens {
@@ -68,7 +68,7 @@
 }
 
 /// Waits until a run shows something past `from`, or ends.
-pub async fn first_progress(run: &Run, rx: &mut watch::Receiver<u64>, from: usize) {
+pub async fn wait_for_progress(run: &Run, rx: &mut watch::Receiver<u64>, from: usize) {
     loop {
         rx.borrow_and_update();
         if run.len() > from || run.has_ended() {
@@ -84,12 +84,12 @@
 ///
 /// # Errors
 /// `RunLost` when it does not: the caller has to ask again from the start.
-pub fn check_resume(run: &Run, at: EventId) -> Result<Rolling> {
+pub fn check_resume(run: &Run, at: EventId) -> Result<PrefixDigest> {
     let view = run.view(0);
-    let mut rolling = Rolling::default();
-    rolling.extend(view.tokens.get(..at.tokens).unwrap_or_default());
-    if rolling.id() == at {
-        return Ok(rolling);
+    let mut prefix = PrefixDigest::default();
+    prefix.extend(view.tokens.get(..at.tokens).unwrap_or_default());
+    if prefix.id() == at {
+        return Ok(prefix);
     }
     Err(Error::new(
         Kind::RunLost,
@@ -97,29 +97,29 @@
     ))
 }
 
-struct State {
+struct EventStream {
     run: Arc<Run>,
     rx: watch::Receiver<u64>,
-    rolling: Rolling,
+    prefix: PrefixDigest,
     service: String,
-    over: bool,
+    stream_ended: bool,
 }
 
 /// The rest of an answer as a stream of events.
-pub fn respond(
+pub fn stream_response(
     run: Arc<Run>,
     rx: watch::Receiver<u64>,
-    rolling: Rolling,
+    prefix: PrefixDigest,
     service: String,
 ) -> Response {
-    let state = State { run, rx, rolling, service, over: false };
+    let state = EventStream { run, rx, prefix, service, stream_ended: false };
     let events = stream::unfold(state, |mut s| async move {
-        if s.over {
+        if s.stream_ended {
             return None;
         }
         loop {
             s.rx.borrow_and_update();
-            let view = s.run.view(s.rolling.tokens);
+            let view = s.run.view(s.prefix.tokens);
             if !view.tokens.is_empty() || view.end.is_some() {
                 let text = s.render(&view.tokens, view.end);
                 return Some((Ok::<_, std::io::Error>(Bytes::from(text)), s));
@@ -130,12 +130,12 @@
     ([(header::CONTENT_TYPE, "text/event-stream")], Body::from_stream(events)).into_response()
 }
 
-impl State {
+impl EventStream {
     fn render(&mut self, tokens: &[CompactString], end: Option<RunEnd>) -> String {
         let mut out = String::new();
         if !tokens.is_empty() {
-            self.rolling.extend(tokens);
-            let EventId { tokens: n, digest } = self.rolling.id();
+            self.prefix.extend(tokens);
+            let EventId { tokens: n, digest } = self.prefix.id();
             let chunk = json!({
                 "object": "chat.completion.chunk",
                 "model": self.service,
@@ -144,7 +144,7 @@
             out += &format!("id: {n}-{digest:016x}\ndata: {chunk}\n\n");
         }
         let Some(end) = end else { return out };
-        self.over = true;
+        self.stream_ended = true;
         out += &match end {
             RunEnd::Complete(usage, digest) => {
                 let last = json!({
--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -11,9 +11,9 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::node::{Node, NodeParts};
-use super::peers::PeerAnswers;
+use super::peers::PeerHandler;
 use super::session::{Session, SessionEvent, SessionParts};
-use super::tasks::{Loans, start_all};
+use super::tasks::{Loans, start_tasks};
 use crate::budget::ledger::{HolderRow, HolderState};
 use crate::budget::sizing::Sizing;
 use crate::clock::Clock;
@@ -28,12 +28,12 @@
 use crate::table::Platform;
 
 /// Pause between attempts to reach the platform.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for the last write of a holder that leaves.
-const LEAVE: Duration = Duration::from_secs(2);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a node is started with.
-pub struct Boot<P, E, M> {
+pub struct BootOptions<P, E, M> {
     /// Its settings.
     pub settings: Settings,
     /// The platform.
@@ -59,11 +59,11 @@
 }
 
 /// A node at work.
-pub struct Booted<P: Platform, E: Engine, M: Mesh> {
+pub struct BootedNode<P: Platform, E: Engine, M: Mesh> {
     /// The node.
     pub node: Arc<Node<P, E, M>>,
     /// Answers other routers.
-    pub answers: PeerAnswers<P, E, M>,
+    pub peer_handler: PeerHandler<P, E, M>,
     /// Its tasks; they end when this is dropped.
     pub tasks: JoinSet<()>,
 }
@@ -83,19 +83,21 @@
 
 /// Starts a node. It waits for the platform: without the configuration's head and a holder row
 /// there is nothing that it may serve.
-pub async fn boot<P: Platform, E: Engine, M: Mesh>(b: Boot<P, E, M>) -> Booted<P, E, M> {
+pub async fn boot<P: Platform, E: Engine, M: Mesh>(
+    options: BootOptions<P, E, M>,
+) -> BootedNode<P, E, M> {
     let cfg: Arc<RwLock<Config>> = Arc::default();
     let mut follower = Follower::default();
-    while let Err(e) = follower.catch_up(&b.platform, &cfg).await {
+    while let Err(e) = follower.catch_up(&options.platform, &cfg).await {
         log::warn!("start=waits for=configuration error={:?}", e.message);
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
-    let (session, events) = first_session(&b, &cfg).await;
+    let (session, events) = first_session(&options, &cfg).await;
     let me = Entry {
         incarnation: session.incarnation.clone(),
-        zone: b.settings.zone.clone(),
-        api: b.api,
-        peer: b.peer,
+        zone: options.settings.zone.clone(),
+        api: options.api,
+        peer: options.peer,
         beat: 0,
         leaving: false,
         revision: follower.head().revision,
@@ -103,60 +105,63 @@
     };
     let seed = Digest::of(session.incarnation.as_str().as_bytes()).word();
     let node = Arc::new(Node::new(NodeParts {
-        clock: b.clock,
-        platform: b.platform,
-        engine: b.engine,
-        mesh: b.mesh,
+        clock: options.clock,
+        platform: options.platform,
+        engine: options.engine,
+        mesh: options.mesh,
         cfg,
         follower,
-        view: View::new(me, b.settings.dead_after),
-        picker: Picker::new(b.policy, b.settings.zone.clone(), seed),
+        view: View::new(me, options.settings.dead_after),
+        picker: Picker::new(options.policy, options.settings.zone.clone(), seed),
         session,
-        metrics: b.metrics,
-        settings: b.settings,
-        lending: b.lending,
-        sizing: b.sizing,
+        metrics: options.metrics,
+        settings: options.settings,
+        lending: options.lending,
+        sizing: options.sizing,
     }));
     let loans: Arc<Loans> = Arc::default();
-    let answers = PeerAnswers { node: node.clone(), loans: loans.clone() };
-    let tasks = start_all(&node, &loans, events);
-    Booted { node, answers, tasks }
+    let peer_handler = PeerHandler { node: node.clone(), loans: loans.clone() };
+    let tasks = start_tasks(&node, &loans, events);
+    BootedNode { node, peer_handler, tasks }
 }
 
 async fn first_session<P: Platform, E: Engine, M: Mesh>(
-    b: &Boot<P, E, M>,
+    options: &BootOptions<P, E, M>,
     cfg: &Arc<RwLock<Config>>,
 ) -> (Arc<Session<P, M>>, mpsc::UnboundedReceiver<SessionEvent>) {
     loop {
         let parts = SessionParts {
-            platform: b.platform.clone(),
-            mesh: b.mesh.clone(),
-            incarnation: new_incarnation(&b.settings.instance),
+            platform: options.platform.clone(),
+            mesh: options.mesh.clone(),
+            incarnation: new_incarnation(&options.settings.instance),
             row: HolderRow {
-                zone: b.settings.zone.clone(),
-                api: b.api.clone(),
-                peer: b.peer.clone(),
+                zone: options.settings.zone.clone(),
+                api: options.api.clone(),
+                peer: options.peer.clone(),
                 witness: None,
                 backup: None,
                 state: HolderState::Live,
             },
             cfg: cfg.clone(),
-            clock: b.clock,
-            commit_interval: b.settings.commit_interval.duration(),
-            sizing: b.sizing,
+            clock: options.clock,
+            commit_interval: options.settings.commit_interval.duration(),
+            sizing: options.sizing,
         };
         match Session::start(parts).await {
             Ok(started) => return started,
             Err(e) => log::warn!("start=waits for=holder_row error={:?}", e.message),
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
 /// Gives grants back, flushes bills, and leaves. What is not done by `limit` is left to the
 /// witness.
-pub async fn give_back<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>, limit: Instant) {
-    const LOOK: Duration = Duration::from_millis(100);
+pub async fn release_and_leave<P: Platform, E: Engine, M: Mesh>(
+    node: &Node<P, E, M>,
+    limit: Instant,
+) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(100);
     let session = node.session();
     loop {
         session.release_all().await;
@@ -165,9 +170,9 @@
         if empty || Instant::now() >= limit {
             break;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    if !matches!(timeout(LEAVE, session.leave()).await, Ok(Ok(()))) {
+    if !matches!(timeout(LEAVE_TIMEOUT, session.leave()).await, Ok(Ok(()))) {
         log::warn!("drain=left_to_witness incarnation={}", session.incarnation);
     }
 }
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::gates::Visitor;
+use super::gates::AdmissionRequest;
 use super::node::{Counts, Node};
 use super::session::{HeldTokens, HoldSpec, Session};
 use crate::budget::ledger::Bill;
@@ -27,25 +27,25 @@
 /// Resumptions of a broken stream at the same target before another is tried.
 const MAX_RESUMES: u32 = 2;
 /// Silence after which a stream is taken for broken.
-const SILENCE: Duration = Duration::from_secs(4);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time without any caller after which a request is cancelled.
-const LINGER: Duration = Duration::from_secs(20);
+const NO_CALLER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Questions whether a request that another router admitted has started.
-const FIND_ATTEMPTS: u32 = 40;
+const MAX_FIND_ATTEMPTS: u32 = 40;
 /// Pause between them.
-const FIND_PAUSE: Duration = Duration::from_millis(50);
+const FIND_INTERVAL: Duration = Duration::from_millis(50);
 /// Further attempts to hold tokens while a router's are in doubt.
-const DOUBT_ATTEMPTS: u32 = 6;
+const MAX_SUSPECT_RETRIES: u32 = 6;
 /// Pause between them.
-const DOUBT_PAUSE: Duration = Duration::from_millis(500);
+const SUSPECT_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Bytes of the prompt that make up its prefix for affinity.
-const PREFIX: usize = 1_024;
+const AFFINITY_PREFIX_BYTES: usize = 1_024;
 
 /// A model request.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct ModelJob {
     /// Who may pass the gate.
-    pub visitor: Visitor,
+    pub admission: AdmissionRequest,
     /// The model.
     pub model: CompactString,
     /// The prompt.
@@ -57,29 +57,29 @@
     /// When the answer must be whole.
     pub deadline: Duration,
     /// Whether the caller chose the key, so that others may know it.
-    pub own_key: bool,
+    pub key_from_caller: bool,
 }
 
 /// Digest of the leading part of a prompt.
-pub fn prefix_of(prompt: &str) -> u64 {
-    if prompt.len() < PREFIX / 4 {
+pub fn prompt_prefix_digest(prompt: &str) -> u64 {
+    if prompt.len() < AFFINITY_PREFIX_BYTES / 4 {
         0
     } else {
-        Digest::of(&prompt.as_bytes()[..prompt.len().min(PREFIX)]).word()
+        Digest::of(&prompt.as_bytes()[..prompt.len().min(AFFINITY_PREFIX_BYTES)]).word()
     }
 }
 
 /// Asks the routers that may know a key.
-pub async fn find_elsewhere<P: Platform, E: Engine, M: Mesh>(
+pub async fn find_at_peers<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
     organisation: &OrganisationId,
     key: &RequestKey,
 ) -> Option<Found> {
     // This router may itself keep the copy of a dead one.
-    if let Some(found) = node.found_copy(organisation, key) {
+    if let Some(found) = node.find_copy(organisation, key) {
         return Some(found);
     }
-    let others = node.others_for(organisation);
+    let others = node.budget_peers(organisation);
     let ask = || Ask::Find { organisation: organisation.clone(), key: key.clone() };
     let replies =
         futures_util::future::join_all(others.iter().map(|o| node.mesh.ask(o, ask()))).await;
@@ -98,7 +98,7 @@
 pub fn open_run<P: Platform, E: Engine, M: Mesh>(
     node: &Arc<Node<P, E, M>>,
     new: Run,
-    job: Job,
+    job: ModelJob,
 ) -> Result<Arc<Run>> {
     node.open(new, |run| drive(node.clone(), run, job))
 }
@@ -107,21 +107,21 @@
 pub async fn drive<P: Platform, E: Engine, M: Mesh>(
     node: Arc<Node<P, E, M>>,
     run: Arc<Run>,
-    job: Job,
+    job: ModelJob,
 ) {
-    if job.own_key && join_elsewhere(&node, &run, &job).await {
+    if job.key_from_caller && join_at_peer(&node, &run, &job).await {
         return;
     }
     let began = node.now();
-    if let Err(e) = node.gates.enter(began, &job.visitor).await {
+    if let Err(e) = node.gates.enter(began, &job.admission).await {
         return refuse(&node, &run, e);
     }
     let entered = node.now();
     let deadline = Instant::now() + job.deadline;
-    let mut attempt =
-        Attempt { node: &node, run: &run, job: &job, deadline, tried: Vec::new(), held: None };
-    let end = attempt.run_to_end().await;
-    node.gates.leave(node.now(), &job.visitor, node.now().since(entered));
+    let mut driver =
+        RunDriver { node: &node, run: &run, job: &job, deadline, tried: Vec::new(), held: None };
+    let end = driver.run_to_end().await;
+    node.gates.leave(node.now(), &job.admission, node.now().since(entered));
     Counts::add(match &end {
         RunEnd::Failed(_) => &node.counts.refused,
         _ => &node.counts.answered,
@@ -147,13 +147,13 @@
 }
 
 /// Joins a run that another router admitted. Whether the request is dealt with.
-async fn join_elsewhere<P: Platform, E: Engine, M: Mesh>(
+async fn join_at_peer<P: Platform, E: Engine, M: Mesh>(
     node: &Arc<Node<P, E, M>>,
     run: &Run,
-    job: &Job,
+    job: &ModelJob,
 ) -> bool {
-    for _ in 0..FIND_ATTEMPTS {
-        let Some(found) = find_elsewhere(node, &run.organisation, &run.key).await else {
+    for _ in 0..MAX_FIND_ATTEMPTS {
+        let Some(found) = find_at_peers(node, &run.organisation, &run.key).await else {
             return false;
         };
         if found.content != run.content {
@@ -162,19 +162,19 @@
             return true;
         }
         if let Some((id, target)) = found.run
-            && let Some(usage) = follow(node, run, &id, &target, job.deadline).await
+            && let Some(usage) = follow_run(node, run, &id, &target, job.deadline).await
         {
             Counts::add(&node.counts.joined);
             Counts::add(&node.counts.answered);
             run.end(RunEnd::Complete(usage, run.digest()));
             return true;
         }
-        tokio::time::sleep(FIND_PAUSE).await;
+        tokio::time::sleep(FIND_INTERVAL).await;
     }
     false
 }
 
-async fn follow<P: Platform, E: Engine, M: Mesh>(
+async fn follow_run<P: Platform, E: Engine, M: Mesh>(
     node: &Arc<Node<P, E, M>>,
     run: &Run,
     id: &RunId,
@@ -193,26 +193,27 @@
 
 /// Reads a stream to its end.
 async fn read_parts<S: Parts>(run: &Run, id: &RunId, parts: &mut S) -> Result<RunUsage> {
-    let mut alone = Instant::now();
+    let mut last_followed = Instant::now();
     loop {
         let broke = || Error::new(Kind::TargetFailed, "the stream broke off");
         let silent = |_| Error::new(Kind::TargetFailed, "the target went silent");
-        let part = timeout(SILENCE, parts.next()).await.map_err(silent)??.ok_or_else(broke)?;
+        let part =
+            timeout(STREAM_IDLE_TIMEOUT, parts.next()).await.map_err(silent)??.ok_or_else(broke)?;
         if let PieceResult::Complete(usage) = run.append_part(id, part)? {
             return Ok(usage);
         }
         if run.followers() > 0 {
-            alone = Instant::now();
-        } else if alone.elapsed() > LINGER {
+            last_followed = Instant::now();
+        } else if last_followed.elapsed() > NO_CALLER_TIMEOUT {
             return Err(Error::new(Kind::RunLost, "nobody waits for the answer"));
         }
     }
 }
 
-struct Attempt<'a, P: Platform, E: Engine, M: Mesh> {
+struct RunDriver<'a, P: Platform, E: Engine, M: Mesh> {
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Arc<Run>,
-    job: &'a Job,
+    job: &'a ModelJob,
     deadline: Instant,
     tried: Vec<TargetId>,
     held: Option<Reservation<P, M>>,
@@ -241,10 +242,10 @@
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Attempt<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> RunDriver<'_, P, E, M> {
     async fn run_to_end(&mut self) -> RunEnd {
         let late = |_| Error::new(Kind::Timeout, "the answer was not whole before its deadline");
-        let ended = timeout_at(self.deadline, self.attempts()).await.map_err(late).flatten();
+        let ended = timeout_at(self.deadline, self.try_targets()).await.map_err(late).flatten();
         let reservation = self.held.take();
         match ended {
             Ok(usage) => {
@@ -285,14 +286,14 @@
         }
     }
 
-    async fn attempts(&mut self) -> Result<RunUsage> {
+    async fn try_targets(&mut self) -> Result<RunUsage> {
         self.node.retries.lock().expect("never poisoned").earn();
         let id = self.node.session().new_run_id();
         loop {
             let choice = self.choose()?;
             self.reserve(&id, &choice).await?;
             self.run.dispatched(&id, &choice.id);
-            let (stage, e) = match self.attempt(&id, &choice).await {
+            let (stage, e) = match self.dispatch_to(&id, &choice).await {
                 Ok(usage) => return Ok(usage),
                 Err(failed) => failed,
             };
@@ -324,20 +325,23 @@
 
     fn choose(&self) -> Result<Choice> {
         let now = self.node.now();
-        let prefix = prefix_of(&self.job.prompt);
+        let prefix = prompt_prefix_digest(&self.job.prompt);
         let mut picker = self.node.lock_picker();
         let choice = picker.pick(now, &self.job.model, prefix, &self.tried);
         // Every target was tried: one of them is better than none.
         let choice = choice.or_else(|| picker.pick(now, &self.job.model, prefix, &[]));
         drop(picker);
         let none = || {
-            Error::new(Kind::NoTarget, format!("no target serves {} now", self.job.visitor.service))
+            Error::new(
+                Kind::NoTarget,
+                format!("no target serves {} now", self.job.admission.service),
+            )
         };
         let choice = choice.ok_or_else(none)?;
         log_choice(
             &self.run.organisation,
             &self.run.key,
-            &self.job.visitor,
+            &self.job.admission,
             &choice,
             self.tried.len() + 1,
         );
@@ -361,19 +365,19 @@
         };
         let spec = HoldSpec { amount: self.job.amount, bill, target: choice.id.clone() };
         let others = self.node.lenders_for(&self.run.organisation);
-        let held = reserve_patiently(self.node, &session, &spec, &others).await?;
+        let held = reserve_with_retry(self.node, &session, &spec, &others).await?;
         self.held = Some(Reservation { session, held, spec });
         Ok(())
     }
 
     /// One dispatch, with resumptions of its stream.
-    async fn attempt(
+    async fn dispatch_to(
         &self,
         id: &RunId,
         choice: &Choice,
     ) -> std::result::Result<RunUsage, (Stage, Error)> {
         self.node.lock_picker().started(self.node.now(), &choice.id);
-        let mut guard = InFlight { node: self.node, target: choice.id.clone(), ok: false };
+        let mut guard = InFlightGuard { node: self.node, target: choice.id.clone(), ok: false };
         let result = self.stream(id, choice).await;
         guard.ok = result.is_ok();
         result
@@ -389,10 +393,15 @@
             model: self.job.model.clone(),
             prompt: self.job.prompt.clone(),
             max_tokens: self.job.max_tokens,
-            priority: self.job.visitor.priority,
+            priority: self.job.admission.priority,
             so_far: self.run.tokens(),
         };
-        let mut parts = match timeout(SILENCE, self.node.engine.start(&choice.addr, &start)).await {
+        let mut parts = match timeout(
+            STREAM_IDLE_TIMEOUT,
+            self.node.engine.start(&choice.addr, &start),
+        )
+        .await
+        {
             Ok(started) => started.map_err(|e| (Stage::Dispatched, e))?,
             Err(_) => {
                 return Err((
@@ -427,7 +436,7 @@
 ///
 /// # Errors
 /// As [`Session::reserve`].
-pub async fn reserve_patiently<P: Platform, E: Engine, M: Mesh>(
+pub async fn reserve_with_retry<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
     session: &Arc<Session<P, M>>,
     spec: &HoldSpec,
@@ -440,27 +449,27 @@
             Err(e) => e,
         };
         attempt += 1;
-        let doubtful = node.lock_view().has_doubtful(node.now());
-        if refused.kind != Kind::BudgetExhausted || !doubtful || attempt > DOUBT_ATTEMPTS {
-            return Err(superseded(refused));
+        let has_suspect = node.lock_view().has_doubtful(node.now());
+        if refused.kind != Kind::BudgetExhausted || !has_suspect || attempt > MAX_SUSPECT_RETRIES {
+            return Err(fenced_as_platform_away(refused));
         }
-        tokio::time::sleep(DOUBT_PAUSE).await;
+        tokio::time::sleep(SUSPECT_RETRY_INTERVAL).await;
     }
 }
 
 /// To a caller, a router that was superseded is one that cannot reach the ledger for a moment.
-pub fn superseded(e: Error) -> Error {
+pub fn fenced_as_platform_away(e: Error) -> Error {
     if e.kind == Kind::Fenced { Error::new(Kind::PlatformAway, e.message) } else { e }
 }
 
 /// Counts a run at its target, whatever way it ends.
-struct InFlight<'a, P: Platform, E: Engine, M: Mesh> {
+struct InFlightGuard<'a, P: Platform, E: Engine, M: Mesh> {
     node: &'a Node<P, E, M>,
     target: TargetId,
     ok: bool,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Drop for InFlight<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> Drop for InFlightGuard<'_, P, E, M> {
     fn drop(&mut self) {
         self.node.lock_picker().ended(self.node.now(), &self.target, self.ok);
     }
@@ -470,7 +479,7 @@
 pub fn log_choice(
     organisation: &OrganisationId,
     key: &RequestKey,
-    v: &Visitor,
+    v: &AdmissionRequest,
     c: &Choice,
     attempt: usize,
 ) {
--- a/src/router/drive_call.rs
+++ b/src/router/drive_call.rs
@@ -7,8 +7,8 @@
 use compact_str::format_compact;
 use serde::{Deserialize, Serialize};
 
-use super::drive::{MAX_ATTEMPTS, Reservation, find_elsewhere, log_choice, reserve_patiently};
-use super::gates::Visitor;
+use super::drive::{MAX_ATTEMPTS, Reservation, find_at_peers, log_choice, reserve_with_retry};
+use super::gates::AdmissionRequest;
 use super::node::{Counts, Node};
 use super::session::HoldSpec;
 use crate::budget::ledger::Bill;
@@ -22,19 +22,19 @@
 use crate::table::{Mutation, Platform, RowKey, Version, read_one};
 
 /// Bytes of an answer that the claim's row keeps for replays.
-const MAX_KEPT: usize = 16 * 1024;
+const MAX_KEPT_ANSWER_BYTES: usize = 16 * 1024;
 /// Time for a claim; past that the caller is told "not run".
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Questions to the router that runs the same call.
-const JOIN_ATTEMPTS: u32 = 100;
+const MAX_JOIN_ATTEMPTS: u32 = 100;
 /// Pause between them.
-const JOIN_PAUSE: Duration = Duration::from_millis(50);
+const JOIN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A call.
 #[derive(Clone, Debug)]
 pub struct CallJob {
     /// Who may pass the gate.
-    pub visitor: Visitor,
+    pub admission: AdmissionRequest,
     /// Path below the service.
     pub path: String,
     /// The body as it came.
@@ -85,13 +85,13 @@
     job: CallJob,
 ) {
     let began = node.now();
-    let end = match node.gates.enter(began, &job.visitor).await {
+    let end = match node.gates.enter(began, &job.admission).await {
         Err(e) => Err(e),
         Ok(()) => {
             let entered = node.now();
-            let mut driver = Driver { node: &node, run: &run, job: &job, reservation: None };
+            let mut driver = CallDriver { node: &node, run: &run, job: &job, reservation: None };
             let end = driver.run_to_end().await;
-            node.gates.leave(node.now(), &job.visitor, node.now().since(entered));
+            node.gates.leave(node.now(), &job.admission, node.now().since(entered));
             end
         }
     };
@@ -114,14 +114,14 @@
     }
 }
 
-struct Driver<'a, P: Platform, E: Engine, M: Mesh> {
+struct CallDriver<'a, P: Platform, E: Engine, M: Mesh> {
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Run,
     job: &'a CallJob,
     reservation: Option<Reservation<P, M>>,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Driver<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> CallDriver<'_, P, E, M> {
     async fn run_to_end(&mut self) -> Result<ServiceAnswer> {
         let choice = self.choose(&[])?;
         let id = self.node.session().new_run_id();
@@ -129,8 +129,8 @@
         let claimed = match self.job.repeatable {
             Repeatable::Yes => None,
             Repeatable::No => match self.claim().await {
-                Ok(Claimed::Mine(version)) => Some(version),
-                Ok(Claimed::Replay(answer)) => {
+                Ok(ClaimResult::Acquired(version)) => Some(version),
+                Ok(ClaimResult::Replay(answer)) => {
                     self.cancel_hold().await;
                     return Ok(answer);
                 }
@@ -151,14 +151,14 @@
     }
 
     fn choose(&self, tried: &[TargetId]) -> Result<Choice> {
-        let service = self.job.visitor.service.as_str();
+        let service = self.job.admission.service.as_str();
         let none = || Error::new(Kind::NoTarget, format!("no target serves {service} now"));
         let choice =
             self.node.lock_picker().pick(self.node.now(), service, 0, tried).ok_or_else(none)?;
         log_choice(
             &self.run.organisation,
             &self.run.key,
-            &self.job.visitor,
+            &self.job.admission,
             &choice,
             tried.len() + 1,
         );
@@ -177,7 +177,7 @@
         let spec = HoldSpec { amount: self.job.cost, bill, target: target.clone() };
         let others = self.node.lenders_for(&self.run.organisation);
         let session = self.node.session();
-        let held = reserve_patiently(self.node, &session, &spec, &others).await?;
+        let held = reserve_with_retry(self.node, &session, &spec, &others).await?;
         self.reservation = Some(Reservation { session, held, spec });
         Ok(())
     }
@@ -191,7 +191,7 @@
     /// Guards against two dispatches of one call over retries, crashes and routers: only who
     /// inserted the row may dispatch. A claim whose answer is late is deleted when it comes,
     /// because its caller was told "not run".
-    async fn claim(&self) -> Result<Claimed> {
+    async fn claim(&self) -> Result<ClaimResult> {
         let session = self.node.session();
         let row = ClaimRow {
             content: self.run.content,
@@ -212,20 +212,20 @@
         let away = || Error::new(Kind::PlatformAway, "the call could not be claimed in time");
         let written = tokio::time::timeout(CLAIM_TIMEOUT, rx).await;
         match written.map_err(|_| away())?.map_err(|_| away())?? {
-            Some(version) => Ok(Claimed::Mine(version)),
-            None => self.claimed_before().await.map(Claimed::Replay),
+            Some(version) => Ok(ClaimResult::Acquired(version)),
+            None => self.await_earlier_claim().await.map(ClaimResult::Replay),
         }
     }
 
     /// Somebody claimed the key before: its answer, or the wait for it, or "unknown".
-    async fn claimed_before(&self) -> Result<ServiceAnswer> {
+    async fn await_earlier_claim(&self) -> Result<ServiceAnswer> {
         let unknown = || {
             Error::new(
                 Kind::OutcomeUnknown,
                 "the call was dispatched before, and its end is not known",
             )
         };
-        for _ in 0..JOIN_ATTEMPTS {
+        for _ in 0..MAX_JOIN_ATTEMPTS {
             let Some(row) = read_one(&self.node.platform, self.claim_key()).await? else {
                 return Err(Error::new(
                     Kind::NoTarget,
@@ -240,10 +240,10 @@
             if let ClaimState::Done(answer) = row.state {
                 return answer.ok_or_else(unknown);
             }
-            let found = find_elsewhere(self.node, &self.run.organisation, &self.run.key).await;
+            let found = find_at_peers(self.node, &self.run.organisation, &self.run.key).await;
             match found {
                 Some(f) if f.service.is_some() => return f.service.ok_or_else(unknown),
-                Some(_) if self.is_alive(&row.owner) => tokio::time::sleep(JOIN_PAUSE).await,
+                Some(_) if self.is_alive(&row.owner) => tokio::time::sleep(JOIN_INTERVAL).await,
                 // Its owner is gone: nobody will ever know more, so the caller learns it now.
                 _ => return Err(unknown()),
             }
@@ -289,7 +289,7 @@
         let call = ServiceCall {
             run: id.clone(),
             key: self.run.key.clone(),
-            service: self.job.visitor.service.as_str().into(),
+            service: self.job.admission.service.as_str().into(),
             path: self.job.path.clone(),
             body: self.job.body.clone(),
         };
@@ -330,7 +330,7 @@
         let m = match (not_run, answer) {
             (true, _) => m.delete(key),
             (false, Some(answer)) => {
-                let kept = (answer.body.len() <= MAX_KEPT).then(|| answer.clone());
+                let kept = (answer.body.len() <= MAX_KEPT_ANSWER_BYTES).then(|| answer.clone());
                 let owner = session.incarnation.clone();
                 m.put(
                     key,
@@ -353,7 +353,7 @@
     }
 }
 
-enum Claimed {
-    Mine(Version),
+enum ClaimResult {
+    Acquired(Version),
     Replay(ServiceAnswer),
 }
--- a/src/router/gates.rs
+++ b/src/router/gates.rs
@@ -9,12 +9,12 @@
 use crate::route::gate::{Gate, GateDecision, Ticket};
 
 /// Longest time in a queue.
-pub const MAX_WAIT: Millis = Millis(10_000);
+pub const MAX_QUEUE_WAIT: Millis = Millis(10_000);
 /// Requests in flight before a service's targets are known.
-const FIRST_CAPACITY: u32 = 8;
+const INITIAL_CAPACITY: u32 = 8;
 
 #[derive(Debug)]
-struct Door {
+struct ServiceGate {
     service: ServiceId,
     gate: Gate,
     waiting: Vec<(Ticket, oneshot::Sender<()>)>,
@@ -22,11 +22,11 @@
 
 /// All gates.
 #[derive(Debug, Default)]
-pub struct Gates(Mutex<Vec<Door>>);
+pub struct Gates(Mutex<Vec<ServiceGate>>);
 
 /// Who wants in.
 #[derive(Clone, Debug)]
-pub struct Visitor {
+pub struct AdmissionRequest {
     /// The service.
     pub service: ServiceId,
     /// The organisation.
@@ -40,56 +40,72 @@
 }
 
 impl Gates {
-    fn lock(&self) -> MutexGuard<'_, Vec<Door>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<ServiceGate>> {
         self.0.lock().expect("no code panics while it holds the gates")
     }
 
-    fn door<'a>(doors: &'a mut Vec<Door>, service: &ServiceId) -> &'a mut Door {
-        let place = doors.binary_search_by(|d| d.service.cmp(service)).unwrap_or_else(|place| {
-            let gate = Gate::new(FIRST_CAPACITY, MAX_WAIT);
-            doors.insert(place, Door { service: service.clone(), gate, waiting: Vec::new() });
-            place
-        });
-        &mut doors[place]
+    fn service_gate<'a>(
+        service_gates: &'a mut Vec<ServiceGate>,
+        service: &ServiceId,
+    ) -> &'a mut ServiceGate {
+        let index =
+            service_gates.binary_search_by(|d| d.service.cmp(service)).unwrap_or_else(|index| {
+                let gate = Gate::new(INITIAL_CAPACITY, MAX_QUEUE_WAIT);
+                service_gates.insert(
+                    index,
+                    ServiceGate { service: service.clone(), gate, waiting: Vec::new() },
+                );
+                index
+            });
+        &mut service_gates[index]
     }
 
     /// Sets how many requests of a service may be in flight.
     pub fn set_capacity(&self, now: Millis, service: &ServiceId, capacity: u32) {
-        let mut doors = self.lock();
-        let door = Self::door(&mut doors, service);
-        door.gate.set_capacity(capacity);
-        let called = door.gate.start_waiting(now);
-        wake(&mut door.waiting, called);
+        let mut service_gates = self.lock();
+        let service_gate = Self::service_gate(&mut service_gates, service);
+        service_gate.gate.set_capacity(capacity);
+        let admitted = service_gate.gate.start_waiting(now);
+        wake_admitted(&mut service_gate.waiting, admitted);
     }
 
     /// Passes, waits, or is refused.
     ///
     /// # Errors
     /// `OrganisationLimit` or `Shed`.
-    pub async fn enter(&self, now: Millis, v: &Visitor) -> Result<()> {
+    pub async fn enter(&self, now: Millis, request: &AdmissionRequest) -> Result<()> {
         let (ticket, rx) = {
-            let mut doors = self.lock();
-            let door = Self::door(&mut doors, &v.service);
-            match door.gate.enter(now, &v.organisation, v.weight, v.limit, v.priority) {
+            let mut service_gates = self.lock();
+            let service_gate = Self::service_gate(&mut service_gates, &request.service);
+            match service_gate.gate.enter(
+                now,
+                &request.organisation,
+                request.weight,
+                request.limit,
+                request.priority,
+            ) {
                 GateDecision::Pass => return Ok(()),
-                GateDecision::Refused(kind) => return Err(refused(kind)),
+                GateDecision::Refused(kind) => return Err(refusal_error(kind)),
                 GateDecision::Wait(ticket) => {
                     let (tx, rx) = oneshot::channel();
-                    door.waiting.push((ticket, tx));
+                    service_gate.waiting.push((ticket, tx));
                     (ticket, rx)
                 }
             }
         };
-        if tokio::time::timeout(MAX_WAIT.duration(), rx).await.is_ok_and(|called| called.is_ok()) {
+        if tokio::time::timeout(MAX_QUEUE_WAIT.duration(), rx)
+            .await
+            .is_ok_and(|admitted| admitted.is_ok())
+        {
             return Ok(());
         }
-        let mut doors = self.lock();
-        let door = Self::door(&mut doors, &v.service);
-        match door.waiting.iter().position(|(t, _)| *t == ticket) {
-            Some(place) => {
-                door.waiting.remove(place);
-                door.gate.cancel(ticket);
-                Err(refused(Kind::Shed))
+        let mut service_gates = self.lock();
+        let service_gate = Self::service_gate(&mut service_gates, &request.service);
+        match service_gate.waiting.iter().position(|(t, _)| *t == ticket) {
+            Some(index) => {
+                service_gate.waiting.remove(index);
+                service_gate.gate.cancel(ticket);
+                Err(refusal_error(Kind::Shed))
             }
             // Called in the same moment: it is in.
             None => Ok(()),
@@ -97,31 +113,31 @@
     }
 
     /// A request that passed is over.
-    pub fn leave(&self, now: Millis, v: &Visitor, service_time: Millis) {
-        let mut doors = self.lock();
-        let door = Self::door(&mut doors, &v.service);
-        let called = door.gate.leave(now, &v.organisation, service_time);
-        wake(&mut door.waiting, called);
+    pub fn leave(&self, now: Millis, request: &AdmissionRequest, service_time: Millis) {
+        let mut service_gates = self.lock();
+        let service_gate = Self::service_gate(&mut service_gates, &request.service);
+        let admitted = service_gate.gate.leave(now, &request.organisation, service_time);
+        wake_admitted(&mut service_gate.waiting, admitted);
     }
 
     /// Requests in flight and waiting, over all services.
     pub fn load(&self) -> (u32, usize) {
-        let doors = self.lock();
-        doors.iter().map(|d| d.gate.load()).fold((0, 0), |a, l| (a.0 + l.0, a.1 + l.1))
+        let service_gates = self.lock();
+        service_gates.iter().map(|d| d.gate.load()).fold((0, 0), |a, l| (a.0 + l.0, a.1 + l.1))
     }
 }
 
-fn wake(waiting: &mut Vec<(Ticket, oneshot::Sender<()>)>, called: Vec<Ticket>) {
-    for ticket in called {
-        if let Ok(place) = waiting.binary_search_by(|(t, _)| t.cmp(&ticket)) {
-            let (_, tx) = waiting.remove(place);
+fn wake_admitted(waiting: &mut Vec<(Ticket, oneshot::Sender<()>)>, admitted: Vec<Ticket>) {
+    for ticket in admitted {
+        if let Ok(index) = waiting.binary_search_by(|(t, _)| t.cmp(&ticket)) {
+            let (_, tx) = waiting.remove(index);
             // Whoever stopped waiting finds its ticket gone, and counts as in.
             let _ = tx.send(());
         }
     }
 }
 
-fn refused(kind: Kind) -> Error {
+fn refusal_error(kind: Kind) -> Error {
     let message = match kind {
         Kind::OrganisationLimit => "this organisation has too many requests in flight or waiting",
         _ => "the service is loaded beyond what can be served in time",
--- a/src/router/node.rs
+++ b/src/router/node.rs
@@ -37,12 +37,12 @@
 
 /// Asks backups over the links between routers.
 #[derive(Clone, Debug)]
-pub struct MeshSeals<M: Mesh> {
+pub struct MeshBackupSealer<M: Mesh> {
     mesh: M,
     known: Vec<Entry>,
 }
 
-impl<M: Mesh> BackupSealer for MeshSeals<M> {
+impl<M: Mesh> BackupSealer for MeshBackupSealer<M> {
     async fn seal_at(&self, backup: &Incarnation, holder: &Incarnation) -> Result<Vec<HoldCopy>> {
         let unknown = || Error::new(Kind::Io, format!("backup {backup} is not known"));
         let to = self.known.iter().find(|e| e.incarnation == *backup).ok_or_else(unknown)?;
@@ -90,7 +90,7 @@
     /// Copies of other routers' holds.
     pub witness: Arc<Mutex<Witness>>,
     session: RwLock<Arc<Session<P, M>>>,
-    past: Mutex<Vec<Incarnation>>,
+    past_incarnations: Mutex<Vec<Incarnation>>,
     draining: AtomicBool,
     refusing: AtomicBool,
     ready: AtomicBool,
@@ -177,7 +177,7 @@
             runs: Mutex::default(),
             witness: Arc::default(),
             session: RwLock::new(parts.session),
-            past: Mutex::default(),
+            past_incarnations: Mutex::default(),
             draining: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
             ready: AtomicBool::new(false),
@@ -200,7 +200,10 @@
 
     /// Replaces the incarnation after it was sealed.
     pub fn set_session(&self, session: Arc<Session<P, M>>) {
-        self.past.lock().expect("never poisoned").push(self.session().incarnation.clone());
+        self.past_incarnations
+            .lock()
+            .expect("never poisoned")
+            .push(self.session().incarnation.clone());
         *self.session.write().expect("never poisoned") = session;
     }
 
@@ -211,8 +214,8 @@
     ///
     /// # Errors
     /// `Io`, as for a router that is not there.
-    pub fn check_keeper(&self, keeper: &Incarnation) -> Result<()> {
-        let was = self.past.lock().expect("never poisoned").contains(keeper);
+    pub fn check_own_incarnation(&self, keeper: &Incarnation) -> Result<()> {
+        let was = self.past_incarnations.lock().expect("never poisoned").contains(keeper);
         let other = || Error::new(Kind::Io, format!("{keeper} is not here any more"));
         (was || self.session().incarnation == *keeper).then_some(()).ok_or_else(other)
     }
@@ -287,7 +290,7 @@
     }
 
     /// The other routers that may hold parts of an organisation's budgets, its home first.
-    pub fn others_for(&self, organisation: &OrganisationId) -> Vec<Entry> {
+    pub fn budget_peers(&self, organisation: &OrganisationId) -> Vec<Entry> {
         let width = self.cfg.read().expect("never poisoned").fleet.entry_width as usize;
         let me = self.lock_view().me().incarnation.clone();
         let live = self.live();
@@ -297,22 +300,22 @@
     }
 
     /// What this router keeps for another one about a request.
-    pub fn found_copy(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Found> {
+    pub fn find_copy(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Found> {
         let witness = self.witness.lock().expect("no code panics while it holds the witness");
         witness.find(organisation, key).map(Found::of_copy)
     }
 
     /// The routers to borrow from.
     pub fn lenders_for(&self, organisation: &OrganisationId) -> Vec<Entry> {
-        if self.lending { self.others_for(organisation) } else { Vec::new() }
+        if self.lending { self.budget_peers(organisation) } else { Vec::new() }
     }
 
     /// A reclaimer for dead wards.
-    pub fn reclaimer(&self) -> Reclaimer<P, E, PickerAddresses, MeshSeals<M>> {
+    pub fn reclaimer(&self) -> Reclaimer<P, E, PickerAddresses, MeshBackupSealer<M>> {
         let session = self.session();
         let known = self.lock_view().known(self.now()).into_iter().map(|(e, _)| e).collect();
         Reclaimer {
-            sealer: MeshSeals { mesh: self.mesh.clone(), known },
+            sealer: MeshBackupSealer { mesh: self.mesh.clone(), known },
             table: self.platform.clone(),
             committer: session.committer.clone(),
             engine: self.engine.clone(),
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -13,26 +13,26 @@
 use crate::table::Platform;
 
 /// Answers questions about a node.
-pub struct PeerAnswers<P: Platform, E: Engine, M: Mesh> {
+pub struct PeerHandler<P: Platform, E: Engine, M: Mesh> {
     /// The node.
     pub node: Arc<Node<P, E, M>>,
     /// Holds lent to others.
     pub loans: Arc<Loans>,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Clone for PeerAnswers<P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> Clone for PeerHandler<P, E, M> {
     fn clone(&self) -> Self {
-        PeerAnswers { node: self.node.clone(), loans: self.loans.clone() }
+        PeerHandler { node: self.node.clone(), loans: self.loans.clone() }
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Answerer for PeerAnswers<P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> Answerer for PeerHandler<P, E, M> {
     async fn answer(&self, ask: Ask) -> Reply {
         self.try_answer(ask).await.unwrap_or_else(Reply::from)
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> PeerAnswers<P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> PeerHandler<P, E, M> {
     async fn try_answer(&self, ask: Ask) -> Result<Reply> {
         let node = &self.node;
         match ask {
@@ -49,7 +49,7 @@
                 Ok(Reply::Beat(mine))
             }
             Ask::Keep { keeper, holder, copies } => {
-                node.check_keeper(&keeper)?;
+                node.check_own_incarnation(&keeper)?;
                 let mut witness =
                     node.witness.lock().expect("no code panics while it holds the witness");
                 // An empty message, too, has to be refused for a sealed holder.
@@ -65,7 +65,7 @@
                 Ok(Reply::Done)
             }
             Ask::Seal { keeper, holder } => {
-                node.check_keeper(&keeper)?;
+                node.check_own_incarnation(&keeper)?;
                 log::info!("witness=seal holder={holder} role=backup");
                 let mut witness =
                     node.witness.lock().expect("no code panics while it holds the witness");
@@ -129,9 +129,9 @@
     /// A run of this router, or one whose copy it keeps.
     fn find(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Found> {
         if let Some(run) = self.node.lock_runs().get(organisation, key) {
-            return found(&run);
+            return found_from_run(&run);
         }
-        self.node.found_copy(organisation, key)
+        self.node.find_copy(organisation, key)
     }
 
     async fn revisions(&self, from: Revision) -> Vec<crate::config::revision::RevisionRow> {
@@ -139,7 +139,7 @@
     }
 }
 
-fn found(run: &Arc<Run>) -> Option<Found> {
+fn found_from_run(run: &Arc<Run>) -> Option<Found> {
     let view = run.view(usize::MAX);
     let service = match view.end {
         // What failed here is no reason to fail elsewhere.
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -7,7 +7,7 @@
 use cadence::{NopMetricSink, QueuingMetricSink, StatsdClient, UdpMetricSink};
 use tokio::task::{JoinHandle, JoinSet};
 
-use super::boot::{Boot, Booted, boot, give_back};
+use super::boot::{BootOptions, BootedNode, boot, release_and_leave};
 use super::node::Node;
 use crate::api::api_app;
 use crate::clock::Clock;
@@ -20,9 +20,9 @@
 use crate::table::http::HttpPlatform;
 
 /// Pause between looks at what still runs during a drain.
-const DRAIN_PAUSE: Duration = Duration::from_millis(100);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest drain. Answers that run longer are left to the witness.
-const MAX_DRAIN: Duration = Duration::from_secs(180);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(180);
 
 /// The node that the daemon runs.
 pub type HttpNode = Node<HttpPlatform, HttpEngine, Links>;
@@ -68,7 +68,7 @@
         let peer_listener = std::net::TcpListener::bind(settings.peer_listen)?;
         let peer = peer_listener.local_addr()?;
 
-        let booted = boot(Boot {
+        let booted = boot(BootOptions {
             metrics: metrics(&settings)?,
             platform: HttpPlatform::new(&settings.platform)?,
             engine: HttpEngine::new()?,
@@ -82,8 +82,8 @@
             settings,
         })
         .await;
-        let Booted { node, answers, tasks } = booted;
-        let peer_task = listen(peer_listener, secrets.clone(), link_counts.clone(), answers)?;
+        let BootedNode { node, peer_handler, tasks } = booted;
+        let peer_task = listen(peer_listener, secrets.clone(), link_counts.clone(), peer_handler)?;
         let served = Served::start_on(api_listener, api_app(node.clone()))?;
         log::info!(
             "router=started incarnation={} api={api} peer={peer}",
@@ -101,12 +101,12 @@
         let lifetime = node.cfg.read().expect("never poisoned").fleet.entry_lifetime.duration();
         tokio::time::sleep(lifetime).await;
         node.refuse_new();
-        let limit = tokio::time::Instant::now() + MAX_DRAIN;
+        let limit = tokio::time::Instant::now() + DRAIN_TIMEOUT;
         while node.lock_runs().running() > 0 && tokio::time::Instant::now() < limit {
-            tokio::time::sleep(DRAIN_PAUSE).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.served.stop().await;
-        give_back(&node, limit).await;
+        release_and_leave(&node, limit).await;
         log::info!("drain=done incarnation={}", node.session().incarnation);
         self.tasks.abort_all();
         self.peer_task.abort();
--- a/src/router/tasks.rs
+++ b/src/router/tasks.rs
@@ -24,20 +24,20 @@
 use crate::table::{InstanceState, Platform, scan_all};
 
 /// Others that get each heartbeat besides the witness.
-const FANOUT: usize = 3;
+const HEARTBEAT_FANOUT: usize = 3;
 /// Pause between looks at the instance list.
-const LIST_POLL: Duration = Duration::from_millis(500);
+const INSTANCE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause between looks at the holder rows.
-const HOLDERS_POLL: Duration = Duration::from_secs(5);
+const HOLDER_POLL_INTERVAL: Duration = Duration::from_secs(5);
 /// Pause between looks at witness, wards and loans.
-const CARE: Duration = Duration::from_millis(100);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause before a reclaim that could not be finished is tried again.
-const RECLAIM_PAUSE: Duration = Duration::from_millis(500);
+const RECLAIM_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Room at the gate beyond the targets' batches, in percent.
-const OVERCOMMIT: u64 = 125;
+const OVERCOMMIT_PERCENT: u64 = 125;
 
 /// A node of any kind.
-pub type Shared<P, E, M> = Arc<Node<P, E, M>>;
+pub type SharedNode<P, E, M> = Arc<Node<P, E, M>>;
 
 /// One hold lent to another router.
 #[derive(Clone, Debug)]
@@ -93,32 +93,32 @@
 }
 
 /// Starts all tasks. They end when the set is dropped.
-pub fn start_all<P: Platform, E: Engine, M: Mesh>(
-    node: &Shared<P, E, M>,
+pub fn start_tasks<P: Platform, E: Engine, M: Mesh>(
+    node: &SharedNode<P, E, M>,
     loans: &Arc<Loans>,
     events: mpsc::UnboundedReceiver<SessionEvent>,
 ) -> tokio::task::JoinSet<()> {
     let mut set = tokio::task::JoinSet::new();
-    set.spawn(beat(node.clone()));
+    set.spawn(send_heartbeats(node.clone()));
     set.spawn(follow_config(node.clone()));
-    set.spawn(poll_list(node.clone()));
-    set.spawn(poll_reports(node.clone()));
-    set.spawn(poll_holders(node.clone()));
-    set.spawn(care(node.clone(), loans.clone()));
+    set.spawn(poll_instances(node.clone()));
+    set.spawn(poll_load_reports(node.clone()));
+    set.spawn(poll_holder_rows(node.clone()));
+    set.spawn(maintain(node.clone(), loans.clone()));
     set.spawn(handle_session_events(node.clone(), loans.clone(), events));
     set
 }
 
-fn every(period: Duration) -> tokio::time::Interval {
+fn ticker(period: Duration) -> tokio::time::Interval {
     let mut ticks = interval(period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks
 }
 
 /// Heartbeats: to the witness and a few others in turn. Bounded whatever the size of the fleet.
-async fn beat<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
-    let mut ticks = every(node.settings.heartbeat.duration());
-    let mut turn = 0;
+async fn send_heartbeats<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
+    let mut ticks = ticker(node.settings.heartbeat.duration());
+    let mut offset = 0;
     loop {
         ticks.tick().await;
         let now = node.now();
@@ -134,8 +134,8 @@
         let candidate = node.lock_view().next_candidate(now);
         let n = to.len().max(1);
         let mut chosen: Vec<Entry> =
-            (0..FANOUT.min(to.len())).map(|i| to[(turn + i) % n].clone()).collect();
-        turn = (turn + FANOUT) % n;
+            (0..HEARTBEAT_FANOUT.min(to.len())).map(|i| to[(offset + i) % n].clone()).collect();
+        offset = (offset + HEARTBEAT_FANOUT) % n;
         if let WitnessAssignment::Stable(Some(pair)) = node.session().assignment() {
             let missing = |m: &&Entry| !chosen.iter().any(|c| c.incarnation == m.incarnation);
             let missing: Vec<Entry> = pair.members().filter(missing).cloned().collect();
@@ -143,13 +143,13 @@
         }
         chosen.extend(candidate);
         for peer in chosen {
-            tokio::spawn(beat_one(node.clone(), peer, entries.clone()));
+            tokio::spawn(send_heartbeat(node.clone(), peer, entries.clone()));
         }
     }
 }
 
-async fn beat_one<P: Platform, E: Engine, M: Mesh>(
-    node: Shared<P, E, M>,
+async fn send_heartbeat<P: Platform, E: Engine, M: Mesh>(
+    node: SharedNode<P, E, M>,
     peer: Entry,
     entries: Vec<Entry>,
 ) {
@@ -161,13 +161,13 @@
 
 /// Follows the configuration: by polling its head, at once when another router runs a newer
 /// revision, and from other routers while the platform is away.
-async fn follow_config<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
+async fn follow_config<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
     loop {
         let before = node.follower.lock().await.head().revision;
         let result = node.follower.lock().await.catch_up(&node.platform, &node.cfg).await;
         if let Err(e) = result {
             log::warn!("config=behind revision={before} error={:?}", e.message);
-            from_peers(&node).await;
+            fetch_from_peers(&node).await;
         }
         publish_revision(&node).await;
         let _ = tokio::time::timeout(
@@ -179,7 +179,7 @@
 }
 
 /// Tells the others which revision is in force here.
-pub async fn publish_revision<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>) {
+pub async fn publish_revision<P: Platform, E: Engine, M: Mesh>(node: &SharedNode<P, E, M>) {
     let revision = node.follower.lock().await.head().revision;
     let mut view = node.lock_view();
     if view.me().revision < revision {
@@ -188,7 +188,7 @@
     }
 }
 
-async fn from_peers<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>) {
+async fn fetch_from_peers<P: Platform, E: Engine, M: Mesh>(node: &SharedNode<P, E, M>) {
     let have = node.follower.lock().await.head().revision;
     let ahead: Vec<Entry> = node.live().into_iter().filter(|e| e.revision > have).collect();
     for peer in ahead {
@@ -205,8 +205,8 @@
 }
 
 /// Targets, from the instance list. A list that cannot be read, or is empty, changes nothing.
-async fn poll_list<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
-    let mut ticks = every(LIST_POLL);
+async fn poll_instances<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
+    let mut ticks = ticker(INSTANCE_POLL_INTERVAL);
     loop {
         ticks.tick().await;
         let list = match node.platform.list().await {
@@ -227,8 +227,8 @@
 }
 
 /// Load reports, each target in turn. At many targets a report is asked for less often.
-async fn poll_reports<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
-    let mut ticks = every(node.settings.report_poll.duration());
+async fn poll_load_reports<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
+    let mut ticks = ticker(node.settings.report_poll.duration());
     loop {
         ticks.tick().await;
         let targets: Vec<_> =
@@ -242,7 +242,7 @@
                     node.lock_picker().targets().iter().any(|t| t.id == id && t.leaving);
                 if report.leaving && !known_leaving {
                     log::info!("target=leaving id={id} source=report");
-                    tell_leaving(&node, &id);
+                    announce_leaving(&node, &id);
                 }
                 let now = node.now();
                 node.lock_picker().reported(now, &id, report);
@@ -256,8 +256,8 @@
     }
 }
 
-fn tell_leaving<P: Platform, E: Engine, M: Mesh>(
-    node: &Shared<P, E, M>,
+fn announce_leaving<P: Platform, E: Engine, M: Mesh>(
+    node: &SharedNode<P, E, M>,
     id: &crate::ids::TargetId,
 ) {
     for peer in node.live() {
@@ -269,7 +269,7 @@
 }
 
 /// Each router lets through its share of what the targets can take, and a little more.
-fn set_capacities<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>) {
+fn set_capacities<P: Platform, E: Engine, M: Mesh>(node: &SharedNode<P, E, M>) {
     let now = node.now();
     let routers = node.live().iter().filter(|e| !e.leaving).count().max(1) as u64;
     let services: Vec<_> = {
@@ -283,23 +283,23 @@
     node.lock_picker().set_routers(routers);
     for (service, name) in services {
         let slots = u64::from(node.lock_picker().slots(now, &name));
-        let capacity = (slots * OVERCOMMIT / 100).div_ceil(routers).max(1) as u32;
+        let capacity = (slots * OVERCOMMIT_PERCENT / 100).div_ceil(routers).max(1) as u32;
         node.gates.set_capacity(now, &service, capacity);
     }
 }
 
 /// Other routers, from the holder rows: how they find each other first, and how one that lost
 /// touch with all others finds them again.
-async fn poll_holders<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
+async fn poll_holder_rows<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
     loop {
-        if let Ok(rows) = read_holders(&node.platform).await {
+        if let Ok(rows) = read_holder_rows(&node.platform).await {
             let (live, gone): (Vec<_>, Vec<_>) =
                 rows.into_iter().partition(|(_, row)| row.state == HolderState::Live);
             let mut view = node.lock_view();
             gone.iter().for_each(|(incarnation, _)| view.remove(incarnation));
-            view.set_candidates(live.into_iter().map(|(i, row)| entry_of(i, row)).collect());
+            view.set_candidates(live.into_iter().map(|(i, row)| entry_from_row(i, row)).collect());
         }
-        sleep(HOLDERS_POLL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
+        sleep(HOLDER_POLL_INTERVAL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
     }
 }
 
@@ -307,12 +307,12 @@
 ///
 /// # Errors
 /// `PlatformAway`, or `BadFormat` for a row that cannot be read.
-pub async fn read_holders<P: Platform>(platform: &P) -> Result<Vec<(Incarnation, HolderRow)>> {
+pub async fn read_holder_rows<P: Platform>(platform: &P) -> Result<Vec<(Incarnation, HolderRow)>> {
     let rows = scan_all(platform, HOLDERS_PREFIX).await?;
     rows.iter().map(|r| Ok((r.key[HOLDERS_PREFIX.len()..].parse()?, r.decode()?))).collect()
 }
 
-fn entry_of(incarnation: Incarnation, row: HolderRow) -> Entry {
+fn entry_from_row(incarnation: Incarnation, row: HolderRow) -> Entry {
     Entry {
         incarnation,
         zone: row.zone,
@@ -326,8 +326,8 @@
 }
 
 /// Looks after the witness, dead wards, loans to the dead, and old requests.
-async fn care<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>, loans: Arc<Loans>) {
-    let mut ticks = every(CARE);
+async fn maintain<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>, loans: Arc<Loans>) {
+    let mut ticks = ticker(MAINTENANCE_INTERVAL);
     let reclaimed = Reclaimed::default();
     loop {
         ticks.tick().await;
@@ -338,33 +338,37 @@
         let width = node.cfg.read().expect("never poisoned").fleet.entry_width as usize;
         let serving = live.iter().filter(|e| !e.leaving).count();
         node.session().set_router_counts(serving as u64, serving.min(width) as u64).await;
-        care_witness(&node, &live).await;
-        reclaim_dead(&node, &reclaimed);
-        settle_loans(&node, &loans);
+        maintain_witness(&node, &live).await;
+        reclaim_dead_holders(&node, &reclaimed);
+        settle_dead_borrowers(&node, &loans);
     }
 }
 
-async fn care_witness<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, live: &[Entry]) {
+async fn maintain_witness<P: Platform, E: Engine, M: Mesh>(
+    node: &SharedNode<P, E, M>,
+    live: &[Entry],
+) {
     let session = node.session();
-    let WitnessAssignment::Stable(now) = session.assignment() else { return };
+    let WitnessAssignment::Stable(current) = session.assignment() else { return };
     let me = node.lock_view().me().clone();
     let suspects = session.suspects();
-    let trusted = |e: &&Entry| !suspects.contains(&e.incarnation);
-    let trusted: Vec<Entry> = live.iter().filter(trusted).cloned().collect();
-    let stays = |m: &Entry| trusted.iter().any(|e| e.incarnation == m.incarnation && !e.leaving);
-    let well = match &now {
-        None => trusted.len() < 2,
-        Some(pair) => pair.members().all(stays) && (pair.backup.is_some() || trusted.len() < 3),
+    let responsive = |e: &&Entry| !suspects.contains(&e.incarnation);
+    let responsive: Vec<Entry> = live.iter().filter(responsive).cloned().collect();
+    let usable =
+        |m: &Entry| responsive.iter().any(|e| e.incarnation == m.incarnation && !e.leaving);
+    let healthy = match &current {
+        None => responsive.len() < 2,
+        Some(pair) => pair.members().all(usable) && (pair.backup.is_some() || responsive.len() < 3),
     };
-    if well || node.is_draining() {
+    if healthy || node.is_draining() {
         return;
     }
-    let to = witness(&trusted, &me).map(|w| {
-        let backup = backup(&trusted, &me, w).cloned();
+    let to = witness(&responsive, &me).map(|w| {
+        let backup = backup(&responsive, &me, w).cloned();
         WitnessPair { witness: w.clone(), backup }
     });
     // Nobody to turn to: whom the row names is better than nobody.
-    if to.is_none() && !live.is_empty() && now.is_some() && trusted.len() < live.len() {
+    if to.is_none() && !live.is_empty() && current.is_some() && responsive.len() < live.len() {
         return;
     }
     tokio::spawn(async move {
@@ -379,14 +383,17 @@
 
 /// Each dead ward is reclaimed by a task of its own: one whose backup cannot be reached must not
 /// keep this router from caring for its own witness.
-fn reclaim_dead<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, reclaimed: &Reclaimed) {
+fn reclaim_dead_holders<P: Platform, E: Engine, M: Mesh>(
+    node: &SharedNode<P, E, M>,
+    reclaimed: &Reclaimed,
+) {
     let now = node.now();
-    let wards = node.witness.lock().expect("no code panics while it holds the witness").holders();
+    let watched = node.witness.lock().expect("no code panics while it holds the witness").holders();
     let dead: Vec<Incarnation> = {
         let view = node.lock_view();
         let mut started = reclaimed.lock().expect("never poisoned");
         let dead = |w: &Incarnation| view.knows(w) && !view.alive(now, w) && !started.contains(w);
-        let dead: Vec<Incarnation> = wards.into_iter().filter(dead).collect();
+        let dead: Vec<Incarnation> = watched.into_iter().filter(dead).collect();
         started.extend(dead.iter().cloned());
         dead
     };
@@ -396,7 +403,7 @@
             let done = node.reclaimer().reclaim(&holder).await;
             if let Err(e) = &done {
                 log::warn!("reclaim=waits holder={holder} error={:?}", e.message);
-                sleep(RECLAIM_PAUSE).await;
+                sleep(RECLAIM_RETRY_DELAY).await;
             }
             if !matches!(done, Ok(true)) {
                 reclaimed.lock().expect("never poisoned").retain(|r| *r != holder);
@@ -407,7 +414,10 @@
 
 /// A borrower that died cannot repay: the lender follows the run to its end itself. It must not
 /// stop it: a borrower that is only cut off still streams the answer to its caller.
-fn settle_loans<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, loans: &Arc<Loans>) {
+fn settle_dead_borrowers<P: Platform, E: Engine, M: Mesh>(
+    node: &SharedNode<P, E, M>,
+    loans: &Arc<Loans>,
+) {
     for (hold, copy) in loans.all() {
         let run = copy.bill.run.as_str();
         let borrower = run.rsplit_once('.').and_then(|(b, _)| b.parse::<Incarnation>().ok());
@@ -433,7 +443,7 @@
 
 /// Tells the witness what the table has, and joins again when this incarnation was sealed.
 async fn handle_session_events<P: Platform, E: Engine, M: Mesh>(
-    node: Shared<P, E, M>,
+    node: SharedNode<P, E, M>,
     loans: Arc<Loans>,
     mut events: mpsc::UnboundedReceiver<SessionEvent>,
 ) {
@@ -455,7 +465,7 @@
 /// A wrong suspicion or a long pause ended this incarnation: what it held is its witness's to
 /// settle, and a new one starts with nothing. Running streams go on.
 async fn rejoin<P: Platform, E: Engine, M: Mesh>(
-    node: &Shared<P, E, M>,
+    node: &SharedNode<P, E, M>,
 ) -> mpsc::UnboundedReceiver<SessionEvent> {
     loop {
         let incarnation = new_incarnation(&node.settings.instance);
@@ -490,6 +500,6 @@
             Err(e) if e.kind == Kind::Conflict => {}
             Err(e) => log::warn!("rejoin=waits error={:?}", e.message),
         }
-        sleep(CARE).await;
+        sleep(MAINTENANCE_INTERVAL).await;
     }
 }
--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -12,7 +12,7 @@
 use super::fleet::{loopback, router_settings};
 use super::local::{LocalNode, Net, Process};
 use crate::api::DEFAULT_PRIORITY;
-use crate::api::chat::{choose_budget, visitor};
+use crate::api::chat::{admission, choose_budget};
 use crate::budget::sizing::Sizing;
 use crate::clock::Clock;
 use crate::config::revision::{Document, Edit, parse_edits};
@@ -25,8 +25,8 @@
 use crate::request::runs::{Run, RunEnd};
 use crate::request::stage::Repeatable;
 use crate::route::picker::Policy;
-use crate::router::boot::{Boot, Booted, boot};
-use crate::router::drive::{Job, open_run};
+use crate::router::boot::{BootOptions, BootedNode, boot};
+use crate::router::drive::{ModelJob, open_run};
 use crate::router::drive_call::{CallJob, open_call};
 
 /// What a fleet is made of.
@@ -156,7 +156,7 @@
         let (at, platform, engine, mesh) = self.net.add_router(&peer, zone);
         let mut settings = router_settings(loopback(), &format!("r{n}"), zone);
         settings.heartbeat = Millis(200);
-        let booted = boot(Boot {
+        let booted = boot(BootOptions {
             settings,
             platform,
             engine,
@@ -170,8 +170,8 @@
             metrics: StatsdClient::from_sink("local", NopMetricSink),
         })
         .await;
-        let Booted { node, answers, tasks } = booted;
-        self.net.set_answers(at, answers);
+        let BootedNode { node, peer_handler, tasks } = booted;
+        self.net.set_answers(at, peer_handler);
         self.places.push(Place { at, node, zone: zone.clone(), tasks });
         n
     }
@@ -301,7 +301,7 @@
         node: &LocalNode,
         service: &str,
         req: &LocalRequest,
-    ) -> Result<(Job, crate::ids::BudgetId)> {
+    ) -> Result<(ModelJob, crate::ids::BudgetId)> {
         let cfg = node.cfg.read().expect("never poisoned");
         let none = || Error::new(Kind::NotFound, "no such service or organisation");
         let service = cfg.service(&service.parse::<ServiceId>()?).ok_or_else(none)?;
@@ -310,14 +310,14 @@
             return Err(none());
         };
         let prompt_tokens = (req.prompt.len() as u64).div_ceil(*bytes_per_token);
-        let job = Job {
-            visitor: visitor(org, service, DEFAULT_PRIORITY),
+        let job = ModelJob {
+            admission: admission(org, service, DEFAULT_PRIORITY),
             model: model.clone(),
             prompt: req.prompt.clone(),
             max_tokens: req.max_tokens,
             amount: Tokens(prompt_tokens).plus(Tokens(req.max_tokens)),
             deadline: service.deadline.duration(),
-            own_key: true,
+            key_from_caller: true,
         };
         Ok((job, choose_budget(&cfg, org, service, None)?))
     }
@@ -438,7 +438,7 @@
             let org = cfg.organisation(organisation).ok_or_else(none)?;
             let ServiceKind::Plain { cost, .. } = &service.kind else { return Err(none()) };
             let job = CallJob {
-                visitor: visitor(org, service, DEFAULT_PRIORITY),
+                admission: admission(org, service, DEFAULT_PRIORITY),
                 path: "file".into(),
                 body: "body".into(),
                 cost: *cost,
--- a/tests/test_api.rs
+++ b/tests/test_api.rs
@@ -16,13 +16,13 @@
 
 use crate::workdir::name;
 
-struct Town {
+struct TestFleet {
     platform: PlatformHost,
     target: TargetHost,
     router: RouterHost,
 }
 
-async fn town() -> Town {
+async fn start_fleet() -> TestFleet {
     let platform = PlatformHost::start(PlatformLimits::default()).await.unwrap();
     let zone: ZoneId = name("a");
     let serves = vec!["m".into(), "filing".into()];
@@ -38,7 +38,7 @@
     );
     submit_first(router.api, &text).await.unwrap();
     router.ready().await;
-    Town { platform, target, router }
+    TestFleet { platform, target, router }
 }
 
 fn http() -> reqwest::Client {
@@ -58,7 +58,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn chat_bad_input() {
     // Whatever a caller sends, it gets the right kind of refusal, and the router lives.
-    let t = town().await;
+    let t = start_fleet().await;
     let url = format!("http://{}/v1/chat/completions", t.router.api);
     let post = |body: Vec<u8>| http().post(&url).bearer_auth("key").body(body);
     let json = |v: Value| post(v.to_string().into_bytes());
@@ -104,7 +104,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn chat_key_reused_and_replayed() {
-    let t = town().await;
+    let t = start_fleet().await;
     let url = format!("http://{}/v1/chat/completions", t.router.api);
     let send = |body: Value| {
         http().post(&url).bearer_auth("key").header(IDEMPOTENCY_KEY, "k1").json(&body).send()
@@ -127,7 +127,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn chat_faulty_target(#[case] faults: TargetFaults, #[case] whole: bool) {
     // A caller gets a cut answer for a whole one, or words twice, or another caller's words.
-    let t = town().await;
+    let t = start_fleet().await;
     t.target.target.set_faults(faults);
     let caller = Caller::new(vec![t.router.api.to_string()], "key", None).unwrap();
     let call = ChatCall {
@@ -144,8 +144,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn service_needs_key() {
-    let t = town().await;
+async fn service_without_key() {
+    let t = start_fleet().await;
     let post = |path: &str| {
         http().post(format!("http://{}/v1/services/filing/{path}", t.router.api)).bearer_auth("key")
     };
@@ -163,7 +163,7 @@
 async fn stop_drains_open_stream() {
     // A planned stop cuts an answer short.
     // The router is told to stop with a stream open: it finishes it, and leaves nothing held.
-    let t = town().await;
+    let t = start_fleet().await;
     let caller = Caller::new(vec![t.router.api.to_string()], "key", None).unwrap();
     let call = ChatCall {
         model: "chat".into(),
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn answer_table_is_closed() {
+fn answer_kinds_distinct() {
     // Every kind has a name of its own and a status that a caller can act on.
     let mut names: Vec<&str> = Kind::ALL.iter().map(|k| k.answer().name).collect();
     names.sort();
--- a/tests/test_budget_reclaim.rs
+++ b/tests/test_budget_reclaim.rs
@@ -17,12 +17,12 @@
 use kingcupwall::table::memory::{Faults, Memory};
 use kingcupwall::table::{Mutation, Outcome, Table, Txn, Version, read_one};
 
-use crate::workdir::{Anywhere, FakeBackup, FakeEngine, bill, name};
+use crate::workdir::{FakeBackup, FakeEngine, SameAddress, bill, name};
 
 struct World {
     memory: Memory,
     engine: FakeEngine,
-    reclaimer: Reclaimer<Memory, FakeEngine, Anywhere, FakeBackup>,
+    reclaimer: Reclaimer<Memory, FakeEngine, SameAddress, FakeBackup>,
     backup: FakeBackup,
     holder: Incarnation,
     budget: BudgetId,
@@ -64,7 +64,7 @@
         table: memory.clone(),
         committer: Committer::start(memory.clone(), &name("w@1"), Duration::from_millis(10)),
         engine: engine.clone(),
-        addresses: Anywhere,
+        addresses: SameAddress,
         witness: Arc::new(Mutex::new(Witness::default())),
         own_incarnation: name("w@1"),
     };
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -57,7 +57,7 @@
     }
 }
 
-fn right_answer(req: &LocalRequest) -> String {
+fn expected_answer(req: &LocalRequest) -> String {
     let n = natural_length(&req.prompt, req.max_tokens);
     (0..n).map(|i| expected_token(&req.prompt, i).to_string()).collect()
 }
@@ -68,7 +68,7 @@
 }
 
 /// Waits until the ledger has settled, then checks that it adds up.
-async fn settled(f: &LocalFleet) {
+async fn assert_ledger_settles(f: &LocalFleet) {
     sleep(Duration::from_secs(20)).await;
     assert!(ledger_adds_up(f).await.unwrap());
 }
@@ -90,9 +90,9 @@
     f.kill(first);
     assert_eq!(sent.await.unwrap().unwrap_err().kind, Kind::Io);
     let answer = caller.send("chat", &req, Duration::from_secs(30)).await.unwrap();
-    assert_eq!(answer.text, right_answer(&req));
+    assert_eq!(answer.text, expected_answer(&req));
     assert_eq!(f.net.target_counts().0, 1, "the run was joined, not started again");
-    settled(&f).await;
+    assert_ledger_settles(&f).await;
     assert_eq!(bills(&f).await.len(), 1);
 }
 
@@ -103,9 +103,9 @@
     let f = fleet(100_000).await;
     let (caller, req) = (f.caller(), long_request("k1"));
     let (a, b) = tokio::join!(caller.send_to(0, "chat", &req), caller.send_to(1, "chat", &req));
-    assert_eq!(a.unwrap().text, right_answer(&req));
-    assert_eq!(b.unwrap().text, right_answer(&req));
-    settled(&f).await;
+    assert_eq!(a.unwrap().text, expected_answer(&req));
+    assert_eq!(b.unwrap().text, expected_answer(&req));
+    assert_ledger_settles(&f).await;
     assert_eq!(bills(&f).await.len(), 1);
 }
 
@@ -143,8 +143,8 @@
         }
     }
     let answer = sent.await.unwrap().unwrap();
-    assert_eq!(answer.text, right_answer(&req));
-    settled(&f).await;
+    assert_eq!(answer.text, expected_answer(&req));
+    assert_ledger_settles(&f).await;
     assert_eq!(bills(&f).await.len(), 1);
 }
 
@@ -176,7 +176,7 @@
     let second = caller.call_at(1, "filing", &org(), &key, Repeatable::No).await.unwrap();
     assert_eq!(first, second);
     assert_eq!(f.net.calls(), vec![(key, 1)]);
-    settled(&f).await;
+    assert_ledger_settles(&f).await;
     assert_eq!(bills(&f).await.len(), 1);
 }
 
@@ -251,7 +251,7 @@
         async move { caller.send_to(0, "chat", &req).await }
     });
     sleep(Duration::from_millis(600)).await;
-    let before = f.places[0].node.session().incarnation.clone();
+    let old_incarnation = f.places[0].node.session().incarnation.clone();
     f.net.set_process(f.places[0].at, Process::Paused);
     sleep(Duration::from_secs(30)).await;
     assert!(sent.await.unwrap().is_err());
@@ -259,8 +259,8 @@
     for n in 0..40 {
         let _ = caller.send_to(n % 3, "chat", &long_request(&format!("after-{n}"))).await;
     }
-    assert_ne!(f.places[0].node.session().incarnation, before);
-    settled(&f).await;
+    assert_ne!(f.places[0].node.session().incarnation, old_incarnation);
+    assert_ledger_settles(&f).await;
     let spent: u64 = bills(&f).await.iter().map(|b| b.cost.0).sum();
     assert!(spent <= 3_000, "{spent}");
 }
@@ -283,7 +283,7 @@
     f.net.memory.set_faults(Faults::default());
     sleep(Duration::from_secs(4)).await;
     assert!(f.net.memory.counts().txns - writes < 30, "no stampede on return");
-    settled(&f).await;
+    assert_ledger_settles(&f).await;
     assert_eq!(bills(&f).await.len(), 60);
 }
 
--- a/tests/workdir.rs
+++ b/tests/workdir.rs
@@ -133,9 +133,9 @@
 
 /// Every target has an address.
 #[derive(Clone, Copy, Debug)]
-pub struct Anywhere;
+pub struct SameAddress;
 
-impl AddressLookup for Anywhere {
+impl AddressLookup for SameAddress {
     fn addr(&self, _: &TargetId) -> Option<CompactString> {
         Some(CompactString::const_new("127.0.0.1:1"))
     }
