--- a/src/api/chat.rs
+++ b/src/api/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`.
+//! `POST /v1/chat/completions`: model requests.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     EventId, PrefixDigest, check_resume, stream_response, usage_body, wait_for_progress,
 };
 use super::{
-    BUDGET, BodyResult, IDEMPOTENCY_KEY, LAST_EVENT_ID, NodeState, full_body, check_accepting,
+    BUDGET, BodyResult, IDEMPOTENCY_KEY, LAST_EVENT_ID, NodeState, check_accepting, full_body,
     header_text, organisation, priority, request_key,
 };
 use crate::config::{Config, Organisation, Service, ServiceKind};
@@ -27,7 +27,7 @@
 use crate::router::node::{Counts, Node};
 use crate::table::Platform;
 
-/// A chat request. Fields that are not known are ignored, as callers' libraries send many.
+/// Body of a chat request. Unknown fields are ignored because client libraries send many of them.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 struct ChatRequest {
@@ -74,7 +74,7 @@
     let (key, key_from_caller) = request_key(&node, &headers)?;
     let resume = header_text(&headers, LAST_EVENT_ID)?.map(EventId::parse).transpose()?;
     let (job, budget) = {
-        let cfg = node.cfg.read().expect("never poisoned");
+        let cfg = node.cfg.read().expect("the lock is never poisoned");
         prepare(
             &cfg,
             &org,
@@ -90,7 +90,8 @@
     let from = resume.map_or(0, |r| r.tokens);
     wait_for_progress(&run, &mut rx, from).await;
     let mut resp = match (run.view(0).end, req.stream) {
-        // A stream that failed before its first token is a plain refusal.
+        // A request that failed before its first new token gets an error response instead of a
+        // stream.
         (Some(RunEnd::Failed(e)), _) if run.len() <= from => e.into_response(),
         (_, true) => {
             let prefix = resume.map(|at| check_resume(&run, at)).transpose()?;
@@ -104,7 +105,7 @@
     Ok(resp)
 }
 
-/// Digest of what makes two requests the same.
+/// Returns a digest of the fields that must be equal in two requests with the same key.
 fn content_digest(req: &ChatRequest) -> Digest {
     let limit = req.max_tokens.map_or(String::new(), |n| n.to_string());
     Digest::of(format!("{}\n{limit}\n{}", req.model, req.prompt()).as_bytes())
@@ -146,7 +147,7 @@
     Ok((job, choose_budget(cfg, org, service, budget)?))
 }
 
-/// Who wants through the gate.
+/// Returns the parameters for admitting a request of an organisation.
 pub fn admission(org: &Organisation, service: &Service, priority: u8) -> AdmissionRequest {
     AdmissionRequest {
         service: service.id.clone(),
@@ -157,24 +158,26 @@
     }
 }
 
-/// The budget that pays: the one named, or the first that the service may draw on.
+/// Returns the budget that pays: the one that the caller named, or else the first that may pay for
+/// the service.
 ///
 /// # Errors
-/// `NotFound` for one that is not the organisation's or not for this service, `BudgetExhausted`
-/// when there is none at all.
+///
+/// Returns `NotFound` if the named budget does not belong to the organisation or may not pay for
+/// the service, or `BudgetExhausted` if no budget is named and none may pay for the service.
 pub fn choose_budget(
     cfg: &Config,
     org: &Organisation,
     service: &Service,
     named: Option<&str>,
 ) -> Result<BudgetId> {
-    let covers =
+    let may_pay =
         |b: &&crate::config::Budget| b.services.is_empty() || b.services.contains(&service.id);
     match named {
         Some(name) => {
             let own = cfg
                 .budgets_of(org.id.as_str())
-                .filter(covers)
+                .filter(may_pay)
                 .find(|b| b.id.as_str().ends_with(&format!("/{name}")));
             own.map(|b| b.id.clone())
                 .ok_or_else(|| Error::new(Kind::NotFound, "no such budget for this service"))
--- a/src/api/entry.rs
+++ b/src/api/entry.rs
@@ -1,4 +1,5 @@
-//! `GET /v1/entry`: which routers to call, and for how long that holds.
+//! `GET /v1/entry`: addresses of the routers that a caller should use, and how long they stay
+//! valid.
 
 use axum::Json;
 use axum::extract::{Query, State};
@@ -15,24 +16,24 @@
 use crate::router::node::Node;
 use crate::table::Platform;
 
-/// The caller's place.
+/// Query parameters of a caller.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub struct EntryQuery {
     zone: Option<String>,
 }
 
-/// An entry answer.
+/// Response to an entry request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct EntryAnswer {
-    /// `ip:port`, best first.
+    /// `ip:port` of the routers, best first.
     pub addresses: Vec<String>,
-    /// Milliseconds until it should be asked again.
+    /// Milliseconds after which the caller should ask again.
     pub lifetime_ms: u64,
 }
 
-/// Handles a question for addresses.
+/// Handles an entry request.
 pub async fn entry<P: Platform, E: Engine, M: Mesh>(
     State(node): NodeState<P, E, M>,
     Query(query): Query<EntryQuery>,
@@ -49,7 +50,7 @@
 ) -> Result<EntryAnswer> {
     let org = organisation(node, headers)?;
     let zone: Option<ZoneId> = query.zone.as_deref().map(str::parse).transpose()?;
-    let fleet = node.cfg.read().expect("never poisoned").fleet.clone();
+    let fleet = node.cfg.read().expect("the lock is never poisoned").fleet.clone();
     let entries = answer(&node.live(), &org.id, fleet.entry_width as usize, zone.as_ref());
     let addresses = entries.into_iter().map(|e| e.api.to_string()).collect();
     Ok(EntryAnswer { addresses, lifetime_ms: fleet.entry_lifetime.0 })
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP API towards callers and operators. `docs/API.md` is its description.
+//! HTTP API for callers and operators, documented in `docs/API.md`.
 
 pub mod chat;
 pub mod entry;
@@ -25,27 +25,27 @@
 use crate::router::node::Node;
 use crate::table::Platform;
 
-/// Bytes of a request body at most.
+/// Maximum size of a request body in bytes.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
-/// Bytes of an operator's submission at most.
+/// Maximum size of an operator's submission in bytes.
 const MAX_SUBMISSION_BYTES: usize = 256 << 20;
-/// Header with the caller's key.
+/// Request header with the caller's idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Header with the place to resume a stream from.
+/// Request header with the id of the last event received, to resume a stream after it.
 pub const LAST_EVENT_ID: &str = "last-event-id";
-/// Header with a request's priority, 0 to 9.
+/// Request header with the priority, 0 to 9.
 pub const PRIORITY: &str = "x-priority";
-/// Header with the budget that pays, when an organisation has several.
+/// Request header with the budget that pays, for organisations with several budgets.
 pub const BUDGET: &str = "x-budget";
-/// Priority unless the caller says otherwise.
+/// Priority of requests without the header.
 pub const DEFAULT_PRIORITY: u8 = 5;
 
-/// The node behind all handlers.
+/// Handler state: the shared node.
 pub type NodeState<P, E, M> = State<Arc<Node<P, E, M>>>;
-/// A body as it was read, or why not.
+/// Body of a request, or the reason why it could not be read.
 pub type BodyResult = std::result::Result<Bytes, BytesRejection>;
 
-/// All paths.
+/// Builds the router for all paths.
 pub fn api_app<P: Platform, E: Engine, M: Mesh>(node: Arc<Node<P, E, M>>) -> axum::Router {
     let operator = axum::Router::new()
         .route("/operator/status", get(operator::status::<P, E, M>))
@@ -76,7 +76,8 @@
 impl IntoResponse for Error {
     fn into_response(self) -> Response {
         let answer = self.kind.answer();
-        let status = StatusCode::from_u16(answer.status).expect("the table holds valid codes");
+        let status =
+            StatusCode::from_u16(answer.status).expect("all answers have valid status codes");
         let mut resp = (status, Json(error_body(&self))).into_response();
         if answer.retry_after > 0 {
             resp.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from(answer.retry_after));
@@ -85,7 +86,7 @@
     }
 }
 
-/// An error as JSON.
+/// Returns the JSON body for an error.
 pub fn error_body(e: &Error) -> serde_json::Value {
     let answer = e.kind.answer();
     let not_run = match answer.not_run {
@@ -101,19 +102,21 @@
     } })
 }
 
-/// A header as text.
+/// Returns a header as text.
 ///
 /// # Errors
-/// `BadRequest` for other characters than visible ASCII.
+///
+/// Returns `BadRequest` if the header has characters other than visible ASCII.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>> {
     let bad = |_| Error::new(Kind::BadRequest, format!("header {name} must be visible ASCII"));
     headers.get(name).map(HeaderValue::to_str).transpose().map_err(bad)
 }
 
-/// The bearer token of a request.
+/// Returns the bearer token of a request.
 ///
 /// # Errors
-/// `Unauthorized` when there is none.
+///
+/// Returns `Unauthorized` if there is none.
 pub fn bearer(headers: &HeaderMap) -> Result<&[u8]> {
     let none =
         || Error::new(Kind::Unauthorized, "a valid key is needed: Authorization: Bearer KEY");
@@ -121,24 +124,26 @@
     value.as_bytes().strip_prefix(b"Bearer ").ok_or_else(none)
 }
 
-/// The organisation that a request's key belongs to.
+/// Returns the organisation that the API key of a request belongs to.
 ///
 /// # Errors
-/// `Unauthorized`, the same for an absent and a wrong key.
+///
+/// Returns `Unauthorized`, with the same message for a missing and a wrong key.
 pub fn organisation<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
     headers: &HeaderMap,
 ) -> Result<Organisation> {
     let none =
         || Error::new(Kind::Unauthorized, "a valid key is needed: Authorization: Bearer KEY");
-    let cfg = node.cfg.read().expect("never poisoned");
+    let cfg = node.cfg.read().expect("the lock is never poisoned");
     cfg.organisation_by_key(bearer(headers)?).cloned().ok_or_else(none)
 }
 
-/// The caller's key, or a fresh one, and whether it is the caller's.
+/// Returns the caller's idempotency key, or a generated one, and whether it came from the caller.
 ///
 /// # Errors
-/// `BadRequest` for a malformed key.
+///
+/// Returns `BadRequest` if the key is malformed.
 pub fn request_key<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
     headers: &HeaderMap,
@@ -149,10 +154,11 @@
     }
 }
 
-/// The priority of a request.
+/// Returns the priority of a request.
 ///
 /// # Errors
-/// `BadRequest` for anything but a digit.
+///
+/// Returns `BadRequest` if the header is not a single digit.
 pub fn priority(headers: &HeaderMap) -> Result<u8> {
     let bad = || Error::new(Kind::BadRequest, format!("{PRIORITY} is a digit, 0 to 9"));
     match header_text(headers, PRIORITY)? {
@@ -161,10 +167,11 @@
     }
 }
 
-/// A body that was read whole.
+/// Returns the complete body of a request.
 ///
 /// # Errors
-/// `TooLarge` or `BadRequest`.
+///
+/// Returns `TooLarge` if the body exceeds the limit, or `BadRequest` if it could not be read.
 pub fn full_body(body: BodyResult) -> Result<Bytes> {
     body.map_err(|e| match e.status() {
         StatusCode::PAYLOAD_TOO_LARGE => {
@@ -174,10 +181,11 @@
     })
 }
 
-/// Refuses new work when the router drains for good.
+/// Checks that the router still accepts new requests.
 ///
 /// # Errors
-/// `Draining`.
+///
+/// Returns `Draining` if it does not.
 pub fn check_accepting<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>) -> Result<()> {
     match node.refuses_new() {
         true => Err(Error::new(Kind::Draining, "this router drains; ask /v1/entry for others")),
--- a/src/api/operator.rs
+++ b/src/api/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' API: status, budgets, the configuration and submissions.
+//! API for operators: status, budgets, configuration and submissions.
 
 use std::sync::atomic::Ordering;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// `GET /operator/status`: routers, targets, revision, counts.
+/// `GET /operator/status`: routers, targets, configuration revision and counters.
 pub async fn status<P: Platform, E: Engine, M: Mesh>(
     State(node): NodeState<P, E, M>,
     headers: HeaderMap,
@@ -90,44 +90,44 @@
     .into_response()
 }
 
-/// What one holder has of a budget.
+/// Usage of a budget by one holder.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct HolderUsage {
-    /// The holder.
+    /// Incarnation that holds the grant.
     pub holder: Incarnation,
-    /// `live`, `left` or `sealed`, as its row says.
+    /// State of the holder according to its row: `live`, `left` or `sealed`.
     pub state: HolderState,
-    /// Whether the asked router hears from it.
+    /// Whether the queried router receives heartbeats from the holder.
     pub alive: bool,
-    /// Its grant.
+    /// Size of the grant.
     pub granted: Tokens,
-    /// Recorded bills of it.
+    /// Cost of the recorded bills.
     pub settled: Tokens,
 }
 
-/// A budget as the ledger has it.
+/// A budget according to the ledger.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct BudgetReport {
-    /// The budget.
+    /// Id of the budget.
     pub budget: BudgetId,
-    /// Everything prepaid.
+    /// Prepaid amount.
     pub prepaid: Tokens,
-    /// Recorded cost.
+    /// Cost of all recorded bills.
     pub settled: Tokens,
-    /// Granted to live holders and not settled.
+    /// Unsettled part of the grants of live holders.
     pub granted: Tokens,
-    /// Granted to holders that are silent or sealed, and not settled: counted as spent until
-    /// evidence comes.
+    /// Unsettled part of the grants of holders that are silent or sealed. It counts as spent until
+    /// the outcomes of their runs are known.
     pub in_doubt: Tokens,
-    /// Free to grant.
+    /// Tokens that can still be granted.
     pub free: Tokens,
-    /// By holder.
+    /// Usage by holder.
     pub holders: Vec<HolderUsage>,
 }
 
-/// `GET /operator/budget/ORGANISATION`: its budgets, by holder.
+/// `GET /operator/budget/ORGANISATION`: the organisation's budgets, by holder.
 pub async fn budget<P: Platform, E: Engine, M: Mesh>(
     State(node): NodeState<P, E, M>,
     Path(organisation): Path<String>,
@@ -147,7 +147,7 @@
     organisation: &str,
 ) -> Result<Vec<BudgetReport>> {
     let budgets: Vec<(BudgetId, Tokens)> = {
-        let cfg = node.cfg.read().expect("never poisoned");
+        let cfg = node.cfg.read().expect("the lock is never poisoned");
         cfg.budgets_of(organisation).map(|b| (b.id.clone(), b.prepaid)).collect()
     };
     if budgets.is_empty() {
@@ -208,7 +208,7 @@
     }
 }
 
-/// `GET /operator/config`: the revision in force and its text.
+/// `GET /operator/config`: the active configuration revision and its text.
 pub async fn config<P: Platform, E: Engine, M: Mesh>(
     State(node): NodeState<P, E, M>,
     headers: HeaderMap,
@@ -222,7 +222,7 @@
         .into_response()
 }
 
-/// Where a listing starts.
+/// Query parameters for listing revisions.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub struct RevisionsQuery {
@@ -230,7 +230,7 @@
     after: u64,
 }
 
-/// `GET /operator/revisions?after=N`: accepted revisions with their edits.
+/// `GET /operator/revisions?after=N`: accepted revisions after `N`, with their edits.
 pub async fn revisions<P: Platform, E: Engine, M: Mesh>(
     State(node): NodeState<P, E, M>,
     Query(after): Query<RevisionsQuery>,
@@ -245,7 +245,7 @@
     }
 }
 
-/// `POST /operator/submit`: a submission.
+/// `POST /operator/submit`: submits a configuration change.
 pub async fn submit_edits<P: Platform, E: Engine, M: Mesh>(
     State(node): NodeState<P, E, M>,
     headers: HeaderMap,
@@ -254,11 +254,11 @@
     if let Err(e) = check_operator(&node, &headers) {
         return e.into_response();
     }
-    let submission: Submission =
-        match full_body(body).and_then(|b| Ok(serde_json::from_slice(&b)?)) {
-            Ok(s) => s,
-            Err(e) => return e.into_response(),
-        };
+    let submission: Submission = match full_body(body).and_then(|b| Ok(serde_json::from_slice(&b)?))
+    {
+        Ok(s) => s,
+        Err(e) => return e.into_response(),
+    };
     let result = {
         let mut follower = node.follower.lock().await;
         submit(&node.platform, &mut follower, &node.cfg, &submission).await
--- a/src/api/service.rs
+++ b/src/api/service.rs
@@ -8,7 +8,7 @@
 
 use super::chat::{admission, choose_budget};
 use super::{
-    BUDGET, BodyResult, IDEMPOTENCY_KEY, NodeState, full_body, check_accepting, header_text,
+    BUDGET, BodyResult, IDEMPOTENCY_KEY, NodeState, check_accepting, full_body, header_text,
     organisation, priority, request_key,
 };
 use crate::config::ServiceKind;
@@ -22,7 +22,7 @@
 use crate::router::node::{Counts, Node};
 use crate::table::Platform;
 
-/// Handles a call.
+/// Handles a call of a plain service.
 pub async fn call<P: Platform, E: Engine, M: Mesh>(
     State(node): NodeState<P, E, M>,
     Path((service, path)): Path<(String, String)>,
@@ -47,7 +47,7 @@
     let (key, key_from_caller) = request_key(&node, &headers)?;
     let content = Digest::of(format!("{service}\n{path}\n{body}").as_bytes());
     let (job, budget) = {
-        let cfg = node.cfg.read().expect("never poisoned");
+        let cfg = node.cfg.read().expect("the lock is never poisoned");
         let unknown = || Error::new(Kind::NotFound, "no such service");
         let id: ServiceId = service.parse().map_err(|_| unknown())?;
         let service = cfg.service(&id).ok_or_else(unknown)?;
--- a/src/api/sse.rs
+++ b/src/api/sse.rs
@@ -1,8 +1,8 @@
 //! Answers as server-sent events.
 //!
-//! An event's id is the number of tokens up to it and a digest of their text. A caller that
-//! resumes names the last id it has; the router checks that its own answer begins with the same
-//! text, so that two runs are never spliced.
+//! The id of an event is the number of tokens up to and including it, and a digest of their text. A
+//! caller that resumes sends the last id it received. The router checks that its own answer begins
+//! with the same text, so that the answers of two runs are never mixed.
 
 use std::sync::Arc;
 
@@ -18,20 +18,21 @@
 use crate::error::{Error, Kind, Result};
 use crate::request::runs::{Run, RunEnd};
 
-/// A place in an answer.
+/// Position in an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EventId {
-    /// Tokens before it.
+    /// Number of tokens before the position.
     pub tokens: usize,
-    /// Digest of their text.
+    /// Digest of the text of these tokens.
     pub digest: u64,
 }
 
 impl EventId {
-    /// Reads `tokens-digest`.
+    /// Parses an id of the form `TOKENS-DIGEST`, with the digest in hexadecimal.
     ///
     /// # Errors
-    /// `BadRequest` for anything else.
+    ///
+    /// Returns `BadRequest` if the text has any other form.
     pub fn parse(text: &str) -> Result<EventId> {
         let bad =
             || Error::new(Kind::BadRequest, "Last-Event-ID is the id of an event as it was sent");
@@ -42,7 +43,7 @@
     }
 }
 
-/// Digest of an answer's text so far.
+/// Incremental digest of the tokens of an answer.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixDigest {
     hasher: blake3::Hasher,
@@ -50,7 +51,7 @@
 }
 
 impl PrefixDigest {
-    /// Adds tokens.
+    /// Appends tokens.
     pub fn extend(&mut self, tokens: &[CompactString]) {
         for t in tokens {
             self.hasher.update(t.as_bytes());
@@ -58,7 +59,7 @@
         self.tokens += tokens.len();
     }
 
-    /// The id after the tokens so far.
+    /// Returns the id of the position after the tokens so far.
     pub fn id(&self) -> EventId {
         let hash = self.hasher.finalize();
         let digest =
@@ -67,7 +68,7 @@
     }
 }
 
-/// Waits until a run shows something past `from`, or ends.
+/// Waits until a run has tokens after the first `from`, or ends.
 pub async fn wait_for_progress(run: &Run, rx: &mut watch::Receiver<u64>, from: usize) {
     loop {
         rx.borrow_and_update();
@@ -80,10 +81,11 @@
     }
 }
 
-/// Checks that an answer begins with what a caller has.
+/// Checks that an answer begins with the tokens that a caller already has.
 ///
 /// # Errors
-/// `RunLost` when it does not: the caller has to ask again from the start.
+///
+/// Returns `RunLost` if it does not. The caller must then repeat the request from the start.
 pub fn check_resume(run: &Run, at: EventId) -> Result<PrefixDigest> {
     let view = run.view(0);
     let mut prefix = PrefixDigest::default();
@@ -105,7 +107,7 @@
     stream_ended: bool,
 }
 
-/// The rest of an answer as a stream of events.
+/// Streams the rest of an answer as events.
 pub fn stream_response(
     run: Arc<Run>,
     rx: watch::Receiver<u64>,
@@ -163,7 +165,7 @@
     }
 }
 
-/// Usage as callers know it.
+/// Returns the token counts as the field `usage` of an answer.
 pub fn usage_body(u: crate::engine::RunUsage) -> serde_json::Value {
     json!({
         "prompt_tokens": u.prompt_tokens,
--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -1,4 +1,4 @@
-//! Puts a node together over any platform, targets and links, and starts its tasks.
+//! Assembles a node over any platform, engine and mesh, and starts its tasks.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, RwLock};
@@ -27,62 +27,62 @@
 use crate::route::picker::{Picker, Policy};
 use crate::table::Platform;
 
-/// Pause between attempts to reach the platform.
+/// Interval between attempts to reach the platform.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for the last write of a holder that leaves.
+/// Time limit for the last write of a leaving holder.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a node is started with.
+/// Dependencies and options for starting a node.
 pub struct BootOptions<P, E, M> {
-    /// Its settings.
+    /// Settings of the router.
     pub settings: Settings,
-    /// The platform.
+    /// Client for the platform: table, object store and instance list.
     pub platform: P,
-    /// Targets.
+    /// Client for the targets.
     pub engine: E,
-    /// Other routers.
+    /// Links to the other routers.
     pub mesh: M,
-    /// Time.
+    /// Source of the current time.
     pub clock: Clock,
-    /// Its listener for callers.
+    /// Address of the listener for callers.
     pub api: CompactString,
-    /// Its listener for routers.
+    /// Address of the listener for other routers.
     pub peer: CompactString,
-    /// How targets are chosen.
+    /// Policy for choosing targets.
     pub policy: Policy,
-    /// Overrides the sizing of grants, for experiments.
+    /// Overrides the configured sizing of grants, for experiments.
     pub sizing: Option<Sizing>,
-    /// Whether it borrows from others, off only in experiments.
+    /// Whether the router borrows tokens from others; `false` only in experiments.
     pub lending: bool,
-    /// Metrics.
+    /// Client for metrics.
     pub metrics: StatsdClient,
 }
 
-/// A node at work.
+/// A started node.
 pub struct BootedNode<P: Platform, E: Engine, M: Mesh> {
     /// The node.
     pub node: Arc<Node<P, E, M>>,
-    /// Answers other routers.
+    /// Handler for messages from other routers.
     pub peer_handler: PeerHandler<P, E, M>,
-    /// Its tasks; they end when this is dropped.
+    /// Background tasks; they stop when this is dropped.
     pub tasks: JoinSet<()>,
 }
 
-/// A name that no other start ever had. Wall clock and process alone could repeat on instances
-/// that are restored, so random bits are part of it.
+/// Returns a name for a new incarnation, unique across all starts. Time and a counter could repeat
+/// on an instance that is restored from an image, so random bytes are included.
 pub fn new_incarnation(instance: &str) -> Incarnation {
     static COUNT: AtomicU64 = AtomicU64::new(0);
     let n = COUNT.fetch_add(1, Ordering::Relaxed);
     let micros = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros());
     let mut salt = [0; 16];
-    getrandom::fill(&mut salt).expect("the system has random bytes");
+    getrandom::fill(&mut salt).expect("the random number generator of the system works");
     let word = Digest::of(&[&salt[..], &micros.to_le_bytes(), &n.to_le_bytes()].concat()).word();
     let name = format!("{instance}@{word:016x}");
-    name.parse().expect("settings checked the instance's name")
+    name.parse().expect("the settings validate the instance name")
 }
 
-/// Starts a node. It waits for the platform: without the configuration's head and a holder row
-/// there is nothing that it may serve.
+/// Starts a node. Waits until the platform is available, because a router cannot serve anything
+/// without the head of the configuration and a holder row.
 pub async fn boot<P: Platform, E: Engine, M: Mesh>(
     options: BootOptions<P, E, M>,
 ) -> BootedNode<P, E, M> {
@@ -155,8 +155,8 @@
     }
 }
 
-/// Gives grants back, flushes bills, and leaves. What is not done by `limit` is left to the
-/// witness.
+/// Releases all grants, flushes the bills and marks the incarnation as left. Whatever is not done
+/// by `limit` is left to the witness.
 pub async fn release_and_leave<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
     limit: Instant,
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -1,4 +1,4 @@
-//! Drives one model request from admission to its bill.
+//! Drives one model request from admission until it is billed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,45 +22,47 @@
 use crate::route::picker::Choice;
 use crate::table::Platform;
 
-/// Attempts of one request at most, resumptions at the same target not counted.
+/// Maximum number of attempts for one request. Resumptions at the same target are not counted.
 pub const MAX_ATTEMPTS: usize = 5;
-/// Resumptions of a broken stream at the same target before another is tried.
+/// Maximum number of times that a broken stream is resumed at the same target before another target
+/// is tried.
 const MAX_RESUMES: u32 = 2;
-/// Silence after which a stream is taken for broken.
+/// Time without data after which a stream, or a dispatch without a reply, counts as failed.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time without any caller after which a request is cancelled.
+/// Time without any following caller after which a request is canceled.
 const NO_CALLER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Questions whether a request that another router admitted has started.
+/// Maximum number of queries for whether a request admitted by another router has started.
 const MAX_FIND_ATTEMPTS: u32 = 40;
-/// Pause between them.
+/// Interval between these queries.
 const FIND_INTERVAL: Duration = Duration::from_millis(50);
-/// Further attempts to hold tokens while a router's are in doubt.
+/// Maximum number of retries of a reservation while a router is suspected to be dead and its tokens
+/// may be reclaimed.
 const MAX_SUSPECT_RETRIES: u32 = 6;
-/// Pause between them.
+/// Interval between these retries.
 const SUSPECT_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Bytes of the prompt that make up its prefix for affinity.
+/// Length of the prompt prefix, in bytes, that decides which target a request has affinity to.
 const AFFINITY_PREFIX_BYTES: usize = 1_024;
 
-/// A model request.
+/// A model request, ready to be driven.
 #[derive(Clone, Debug)]
 pub struct ModelJob {
-    /// Who may pass the gate.
+    /// Parameters for admission.
     pub admission: AdmissionRequest,
-    /// The model.
+    /// Name of the model at the targets.
     pub model: CompactString,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Answer tokens at most.
+    /// Maximum number of answer tokens.
     pub max_tokens: u64,
-    /// The largest cost.
+    /// Largest possible cost.
     pub amount: Tokens,
-    /// When the answer must be whole.
+    /// Time limit for the complete answer.
     pub deadline: Duration,
-    /// Whether the caller chose the key, so that others may know it.
+    /// Whether the caller chose the idempotency key, so that other routers may already know it.
     pub key_from_caller: bool,
 }
 
-/// Digest of the leading part of a prompt.
+/// Returns a digest of the first bytes of a prompt, or 0 if the prompt is too short for affinity.
 pub fn prompt_prefix_digest(prompt: &str) -> u64 {
     if prompt.len() < AFFINITY_PREFIX_BYTES / 4 {
         0
@@ -69,13 +71,13 @@
     }
 }
 
-/// Asks the routers that may know a key.
+/// Asks the routers that may know a request with this key. Prefers an answer that names a run.
 pub async fn find_at_peers<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
     organisation: &OrganisationId,
     key: &RequestKey,
 ) -> Option<Found> {
-    // This router may itself keep the copy of a dead one.
+    // This router may itself be the witness of a dead router and have its copy.
     if let Some(found) = node.find_copy(organisation, key) {
         return Some(found);
     }
@@ -91,10 +93,11 @@
     (!found.is_empty()).then(|| found.swap_remove(started))
 }
 
-/// Finds the request of that key, or starts the new one.
+/// Returns the request with the same key, or starts driving `new`.
 ///
 /// # Errors
-/// `KeyReused` when the key belongs to other content.
+///
+/// Returns `KeyReused` if the key belongs to a request with other content.
 pub fn open_run<P: Platform, E: Engine, M: Mesh>(
     node: &Arc<Node<P, E, M>>,
     new: Run,
@@ -103,7 +106,7 @@
     node.open(new, |run| drive(node.clone(), run, job))
 }
 
-/// Drives `run` to its end. Whatever happens, its callers are told.
+/// Drives `run` until it ends. The end is always set, so that callers never wait forever.
 pub async fn drive<P: Platform, E: Engine, M: Mesh>(
     node: Arc<Node<P, E, M>>,
     run: Arc<Run>,
@@ -126,7 +129,7 @@
         RunEnd::Failed(_) => &node.counts.refused,
         _ => &node.counts.answered,
     });
-    // A metrics sink that fails must not fail a request.
+    // A failing metrics sink must not fail a request.
     let _ = node.metrics.time("request.total", node.now().since(began).0);
     if let RunEnd::Failed(e) = &end {
         log::info!(
@@ -146,7 +149,7 @@
     run.end(RunEnd::Failed(e));
 }
 
-/// Joins a run that another router admitted. Whether the request is dealt with.
+/// Joins a run that another router has admitted. Returns whether the request has ended.
 async fn join_at_peer<P: Platform, E: Engine, M: Mesh>(
     node: &Arc<Node<P, E, M>>,
     run: &Run,
@@ -191,7 +194,7 @@
     timeout(limit, read).await.ok()?.ok()
 }
 
-/// Reads a stream to its end.
+/// Reads a stream until the run ends.
 async fn read_parts<S: Parts>(run: &Run, id: &RunId, parts: &mut S) -> Result<RunUsage> {
     let mut last_followed = Instant::now();
     loop {
@@ -219,24 +222,24 @@
     held: Option<Reservation<P, M>>,
 }
 
-/// A hold, and the incarnation that made it: a router that joined again meanwhile has another.
+/// A hold together with the session that made it. The router may have started a new session since.
 pub struct Reservation<P: Platform, M: Mesh> {
-    /// The incarnation.
+    /// Session that made the hold.
     pub session: Arc<Session<P, M>>,
-    /// The hold.
+    /// The held tokens.
     pub held: HeldTokens,
-    /// What it is for.
+    /// Specification of the hold.
     pub spec: HoldSpec,
 }
 
 impl<P: Platform, M: Mesh> Reservation<P, M> {
-    /// Bills what was used.
+    /// Bills the tokens used.
     pub async fn settle(self, usage: RunUsage) {
         let cost = Tokens(usage.prompt_tokens).plus(Tokens(usage.tokens));
         self.session.settle(self.held, &self.spec, cost).await;
     }
 
-    /// Bills nothing: there was no answer.
+    /// Releases the hold without a bill because there was no answer.
     pub async fn cancel(self) {
         self.session.cancel(self.held).await;
     }
@@ -261,8 +264,8 @@
         }
     }
 
-    /// A request without a whole answer costs nothing, except one that its caller left: that is
-    /// billed as far as it ran.
+    /// Stops the run and releases the hold. A request without a complete answer costs nothing,
+    /// unless its callers left: then it is billed for the tokens generated so far.
     async fn clean_up(&self, reservation: Option<Reservation<P, M>>, e: &Error) {
         let stopped = match self.run.execution() {
             Some((id, target)) => self.stop_run(&id, &target).await,
@@ -287,7 +290,7 @@
     }
 
     async fn try_targets(&mut self) -> Result<RunUsage> {
-        self.node.retries.lock().expect("never poisoned").earn();
+        self.node.retries.lock().expect("the lock is never poisoned").earn();
         let id = self.node.session().new_run_id();
         loop {
             let choice = self.choose()?;
@@ -303,7 +306,8 @@
             }
             self.tried.push(choice.id);
             let more = self.tried.len() < MAX_ATTEMPTS;
-            let budget = more && self.node.retries.lock().expect("never poisoned").try_spend();
+            let budget =
+                more && self.node.retries.lock().expect("the lock is never poisoned").try_spend();
             match after_failure(stage, Repeatable::Yes, e.kind, budget) {
                 Next::Retry => Counts::add(&self.node.counts.retries),
                 Next::GiveUp(kind) => return Err(Error::new(kind, e.message)),
@@ -328,7 +332,7 @@
         let prefix = prompt_prefix_digest(&self.job.prompt);
         let mut picker = self.node.lock_picker();
         let choice = picker.pick(now, &self.job.model, prefix, &self.tried);
-        // Every target was tried: one of them is better than none.
+        // If every target has been tried, one of them is tried again.
         let choice = choice.or_else(|| picker.pick(now, &self.job.model, prefix, &[]));
         drop(picker);
         let none = || {
@@ -351,8 +355,8 @@
     async fn reserve(&mut self, id: &RunId, choice: &Choice) -> Result<()> {
         if let Some(r) = &mut self.held {
             r.spec.target = choice.id.clone();
-            let lost = |e: Error| Error::new(Kind::TargetFailed, e.message);
-            return r.session.change_target(&r.held, &r.spec).await.map_err(lost);
+            let unprotected = |e: Error| Error::new(Kind::TargetFailed, e.message);
+            return r.session.change_target(&r.held, &r.spec).await.map_err(unprotected);
         }
         let session = self.node.session();
         let bill = Bill {
@@ -370,7 +374,7 @@
         Ok(())
     }
 
-    /// One dispatch, with resumptions of its stream.
+    /// Dispatches the run to one target and resumes its stream if it breaks.
     async fn dispatch_to(
         &self,
         id: &RunId,
@@ -424,18 +428,20 @@
             resumes += 1;
             let from = self.run.len() as u64;
             let resumed = self.node.engine.resume(&choice.addr, id, from).await;
-            // A target that forgot the run failed; only a caller that left makes a run lost.
+            // If the target no longer knows the run, that is a target failure. `RunLost` is
+            // reserved for runs whose callers have left.
             let failed = |e: Error| (Stage::Streaming, Error::new(Kind::TargetFailed, e.message));
             parts = resumed.map_err(failed)?;
         }
     }
 }
 
-/// Holds tokens; while a router that may have some of the same budget has just fallen silent, a
-/// refusal waits for what its witness gives back.
+/// Reserves tokens. If the budget is exhausted while another router is suspected to be dead,
+/// retries for a while because the witness of that router may release tokens of the same budget.
 ///
 /// # Errors
-/// As [`Session::reserve`].
+///
+/// Returns the errors of [`Session::reserve`], with `Fenced` replaced by `PlatformAway`.
 pub async fn reserve_with_retry<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
     session: &Arc<Session<P, M>>,
@@ -457,12 +463,13 @@
     }
 }
 
-/// To a caller, a router that was superseded is one that cannot reach the ledger for a moment.
+/// Replaces `Fenced` by `PlatformAway`: for a caller, a superseded router is one that cannot reach
+/// the ledger for a moment.
 pub fn fenced_as_platform_away(e: Error) -> Error {
     if e.kind == Kind::Fenced { Error::new(Kind::PlatformAway, e.message) } else { e }
 }
 
-/// Counts a run at its target, whatever way it ends.
+/// Counts a run as in flight at its target until dropped.
 struct InFlightGuard<'a, P: Platform, E: Engine, M: Mesh> {
     node: &'a Node<P, E, M>,
     target: TargetId,
@@ -475,7 +482,7 @@
     }
 }
 
-/// One line per routing decision, enough to tell why.
+/// Logs one line per routing decision with the values that it was based on.
 pub fn log_choice(
     organisation: &OrganisationId,
     key: &RequestKey,
--- a/src/router/drive_call.rs
+++ b/src/router/drive_call.rs
@@ -1,5 +1,5 @@
-//! Drives one call of a plain service. One that must not be repeated is claimed in the table
-//! before its only dispatch.
+//! Drives one call of a plain service. A call that must not be repeated is claimed in the table
+//! before it is dispatched.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,29 +21,29 @@
 use crate::route::picker::Choice;
 use crate::table::{Mutation, Platform, RowKey, Version, read_one};
 
-/// Bytes of an answer that the claim's row keeps for replays.
+/// Maximum size, in bytes, of an answer that is stored in the claim row for replays.
 const MAX_KEPT_ANSWER_BYTES: usize = 16 * 1024;
-/// Time for a claim; past that the caller is told "not run".
+/// Time limit for claiming a key. After it, the caller gets a "not run" error.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Questions to the router that runs the same call.
+/// Maximum number of queries to the router that runs the same call.
 const MAX_JOIN_ATTEMPTS: u32 = 100;
-/// Pause between them.
+/// Interval between these queries.
 const JOIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A call.
+/// A service call, ready to be driven.
 #[derive(Clone, Debug)]
 pub struct CallJob {
-    /// Who may pass the gate.
+    /// Parameters for admission.
     pub admission: AdmissionRequest,
     /// Path below the service.
     pub path: String,
-    /// The body as it came.
+    /// Body of the request, unchanged.
     pub body: String,
-    /// What one call costs.
+    /// Cost of one call.
     pub cost: Tokens,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub repeatable: Repeatable,
-    /// When the answer must be there.
+    /// Time limit for the answer.
     pub deadline: Duration,
 }
 
@@ -52,9 +52,9 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum ClaimState {
-    /// Its owner may have dispatched it.
+    /// The owner of the claim may have dispatched the call.
     Taken,
-    /// It ran, with this answer if it was small.
+    /// The call ran. Contains its answer unless that was too large to store.
     Done(Option<ServiceAnswer>),
 }
 
@@ -66,10 +66,11 @@
     state: ClaimState,
 }
 
-/// Finds the call of that key, or starts the new one.
+/// Returns the call with the same key, or starts driving `new`.
 ///
 /// # Errors
-/// `KeyReused` when the key belongs to other content.
+///
+/// Returns `KeyReused` if the key belongs to a call with other content.
 pub fn open_call<P: Platform, E: Engine, M: Mesh>(
     node: &Arc<Node<P, E, M>>,
     new: Run,
@@ -78,7 +79,7 @@
     node.open(new, |run| drive_call(node.clone(), run, job))
 }
 
-/// Drives `run` to its end. Whatever happens, its callers are told.
+/// Drives `run` until it ends. The end is always set, so that callers never wait forever.
 pub async fn drive_call<P: Platform, E: Engine, M: Mesh>(
     node: Arc<Node<P, E, M>>,
     run: Arc<Run>,
@@ -188,9 +189,10 @@
 
     /// Claims the key in the table.
     ///
-    /// Guards against two dispatches of one call over retries, crashes and routers: only who
-    /// inserted the row may dispatch. A claim whose answer is late is deleted when it comes,
-    /// because its caller was told "not run".
+    /// The claim prevents one call from being dispatched twice, be it through retries, crashes or
+    /// different routers: only the router that inserted the row may dispatch. A claim that is
+    /// confirmed after the timeout is deleted again, because its caller was told that the call did
+    /// not run.
     async fn claim(&self) -> Result<ClaimResult> {
         let session = self.node.session();
         let row = ClaimRow {
@@ -217,7 +219,13 @@
         }
     }
 
-    /// Somebody claimed the key before: its answer, or the wait for it, or "unknown".
+    /// Waits for the call that claimed the key earlier and returns its answer.
+    ///
+    /// # Errors
+    ///
+    /// Returns `OutcomeUnknown` if the owner of the claim is gone, the wait takes too long, or the
+    /// answer is not known. Returns `NoTarget` if the claim was deleted because the call did not
+    /// run, or `KeyReused` if it belongs to other content.
     async fn await_earlier_claim(&self) -> Result<ServiceAnswer> {
         let unknown = || {
             Error::new(
@@ -244,7 +252,8 @@
             match found {
                 Some(f) if f.service.is_some() => return f.service.ok_or_else(unknown),
                 Some(_) if self.is_alive(&row.owner) => tokio::time::sleep(JOIN_INTERVAL).await,
-                // Its owner is gone: nobody will ever know more, so the caller learns it now.
+                // The owner is gone, so the outcome will never be known. The caller gets the error
+                // without further waiting.
                 _ => return Err(unknown()),
             }
         }
@@ -272,7 +281,8 @@
             );
             tried.push(choice.id.clone());
             let more = tried.len() < MAX_ATTEMPTS;
-            let budget = more && self.node.retries.lock().expect("never poisoned").try_spend();
+            let budget =
+                more && self.node.retries.lock().expect("the lock is never poisoned").try_spend();
             let next = after_failure(Stage::Dispatched, self.job.repeatable, e.kind, budget);
             let stage = if e.kind == Kind::NoTarget { Stage::Protected } else { Stage::Dispatched };
             match (next, self.choose(&tried)) {
@@ -303,16 +313,16 @@
         result
     }
 
-    /// Bills what ran or may have run, and writes the claim's end.
+    /// Updates the claim and bills the call, or releases its hold if there is no answer.
     async fn finish(
         &mut self,
         claimed: Option<Version>,
         stage: Stage,
         result: Result<ServiceAnswer>,
     ) -> Result<ServiceAnswer> {
-        let certain_not_run = result.is_err() && stage < Stage::Dispatched;
+        let provably_not_run = result.is_err() && stage < Stage::Dispatched;
         if let Some(version) = claimed {
-            self.end_claim(version, certain_not_run, result.as_ref().ok()).await;
+            self.end_claim(version, provably_not_run, result.as_ref().ok()).await;
         }
         let Some(r) = self.reservation.take() else { return result };
         if result.is_ok() {
@@ -337,7 +347,7 @@
                     &ClaimRow { content: self.run.content, owner, state: ClaimState::Done(kept) },
                 )
             }
-            // Unknown stays claimed for ever.
+            // The outcome is unknown, so the claim stays and the call is never dispatched again.
             (false, None) => return,
         };
         let committer = session.committer.clone();
@@ -345,7 +355,8 @@
             let _ = committer.write(m).await;
         };
         if not_run {
-            // The caller may retry at once: the claim has to be gone by then, if it can be.
+            // The caller may retry at once, so the claim should be gone before the error is
+            // returned.
             let _ = tokio::time::timeout(CLAIM_TIMEOUT, write).await;
         } else {
             tokio::spawn(write);
--- a/src/router/gates.rs
+++ b/src/router/gates.rs
@@ -1,4 +1,4 @@
-//! The gates of all services at one router, with those who wait before them.
+//! Admission control of a router: one gate per service, and the requests waiting at each.
 
 use std::sync::{Mutex, MutexGuard};
 
@@ -8,9 +8,9 @@
 use crate::ids::{Millis, OrganisationId, ServiceId};
 use crate::route::gate::{Gate, GateDecision, Ticket};
 
-/// Longest time in a queue.
+/// Maximum time that a request waits in a queue.
 pub const MAX_QUEUE_WAIT: Millis = Millis(10_000);
-/// Requests in flight before a service's targets are known.
+/// Maximum number of requests in flight until the targets of a service are known.
 const INITIAL_CAPACITY: u32 = 8;
 
 #[derive(Debug)]
@@ -20,28 +20,28 @@
     waiting: Vec<(Ticket, oneshot::Sender<()>)>,
 }
 
-/// All gates.
+/// The gates of all services.
 #[derive(Debug, Default)]
 pub struct Gates(Mutex<Vec<ServiceGate>>);
 
-/// Who wants in.
+/// Parameters for admitting a request.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// The service.
+    /// Service to call.
     pub service: ServiceId,
-    /// The organisation.
+    /// Organisation that sent the request.
     pub organisation: OrganisationId,
-    /// Its weight.
+    /// Weight of the organisation in fair queueing.
     pub weight: u32,
-    /// Its limit in flight.
+    /// Maximum number of requests that the organisation may have in flight.
     pub limit: u32,
-    /// Larger is more urgent.
+    /// Priority of the request; a larger number is more urgent.
     pub priority: u8,
 }
 
 impl Gates {
     fn lock(&self) -> MutexGuard<'_, Vec<ServiceGate>> {
-        self.0.lock().expect("no code panics while it holds the gates")
+        self.0.lock().expect("the gates lock is never poisoned")
     }
 
     fn service_gate<'a>(
@@ -60,7 +60,8 @@
         &mut service_gates[index]
     }
 
-    /// Sets how many requests of a service may be in flight.
+    /// Sets the maximum number of requests of a service in flight, and admits waiting requests if
+    /// there is room.
     pub fn set_capacity(&self, now: Millis, service: &ServiceId, capacity: u32) {
         let mut service_gates = self.lock();
         let service_gate = Self::service_gate(&mut service_gates, service);
@@ -69,10 +70,12 @@
         wake_admitted(&mut service_gate.waiting, admitted);
     }
 
-    /// Passes, waits, or is refused.
+    /// Waits until the request is admitted.
     ///
     /// # Errors
-    /// `OrganisationLimit` or `Shed`.
+    ///
+    /// Returns `OrganisationLimit` if the organisation has too many requests in flight or waiting,
+    /// or `Shed` if the service is overloaded or the wait takes too long.
     pub async fn enter(&self, now: Millis, request: &AdmissionRequest) -> Result<()> {
         let (ticket, rx) = {
             let mut service_gates = self.lock();
@@ -107,12 +110,12 @@
                 service_gate.gate.cancel(ticket);
                 Err(refusal_error(Kind::Shed))
             }
-            // Called in the same moment: it is in.
+            // The request was admitted at the moment of the timeout.
             None => Ok(()),
         }
     }
 
-    /// A request that passed is over.
+    /// Ends an admitted request and admits waiting ones in its place.
     pub fn leave(&self, now: Millis, request: &AdmissionRequest, service_time: Millis) {
         let mut service_gates = self.lock();
         let service_gate = Self::service_gate(&mut service_gates, &request.service);
@@ -120,7 +123,7 @@
         wake_admitted(&mut service_gate.waiting, admitted);
     }
 
-    /// Requests in flight and waiting, over all services.
+    /// Returns the number of requests in flight and waiting, over all services.
     pub fn load(&self) -> (u32, usize) {
         let service_gates = self.lock();
         service_gates.iter().map(|d| d.gate.load()).fold((0, 0), |a, l| (a.0 + l.0, a.1 + l.1))
@@ -131,7 +134,8 @@
     for ticket in admitted {
         if let Ok(index) = waiting.binary_search_by(|(t, _)| t.cmp(&ticket)) {
             let (_, tx) = waiting.remove(index);
-            // Whoever stopped waiting finds its ticket gone, and counts as in.
+            // If the receiver is gone, the request timed out at this moment. It finds its ticket
+            // removed and counts as admitted.
             let _ = tx.send(());
         }
     }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! The router daemon: everything of one entry instance, put together.
+//! The router daemon: sessions, request drivers, background tasks, startup and shutdown.
 
 pub mod boot;
 pub mod drive;
--- a/src/router/node.rs
+++ b/src/router/node.rs
@@ -1,4 +1,4 @@
-//! The state that all parts of a router share.
+//! State shared by all parts of a router.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
@@ -25,17 +25,17 @@
 use crate::route::retry::RetryBudget;
 use crate::table::Platform;
 
-/// Target addresses out of the picker.
+/// Looks up target addresses in the picker.
 #[derive(Clone, Debug)]
 pub struct PickerAddresses(pub Arc<Mutex<Picker>>);
 
 impl AddressLookup for PickerAddresses {
     fn addr(&self, target: &TargetId) -> Option<compact_str::CompactString> {
-        self.0.lock().expect("no code panics while it holds the picker").addr(target)
+        self.0.lock().expect("the picker lock is never poisoned").addr(target)
     }
 }
 
-/// Asks backups over the links between routers.
+/// Seals holders at their backups over the links between routers.
 #[derive(Clone, Debug)]
 pub struct MeshBackupSealer<M: Mesh> {
     mesh: M,
@@ -52,114 +52,115 @@
             .await?
         {
             Reply::Copies(copies) => Ok(copies),
-            _ => {
-                Err(Error::new(Kind::BadFormat, format!("backup {backup} answered something else")))
-            }
+            _ => Err(Error::new(
+                Kind::BadFormat,
+                format!("backup {backup} sent an unexpected reply"),
+            )),
         }
     }
 }
 
-/// One router.
+/// Shared state of one router.
 pub struct Node<P: Platform, E: Engine, M: Mesh> {
-    /// Its settings.
+    /// Settings of the router.
     pub settings: Settings,
-    /// Time.
+    /// Source of the current time.
     pub clock: Clock,
-    /// The platform.
+    /// Client for the platform: table, object store and instance list.
     pub platform: P,
-    /// Targets.
+    /// Client for the targets.
     pub engine: E,
-    /// Other routers.
+    /// Links to the other routers.
     pub mesh: M,
-    /// The configuration in force.
+    /// The active configuration.
     pub cfg: Arc<RwLock<Config>>,
-    /// Follows the configuration.
+    /// Applies new revisions to the configuration.
     pub follower: tokio::sync::Mutex<Follower>,
-    /// Wakes the follower.
+    /// Wakes the task that updates the configuration.
     pub new_revision: tokio::sync::Notify,
-    /// Who else is there.
+    /// Known routers and their liveness.
     pub view: Mutex<View>,
-    /// Target choice.
+    /// Known targets, and the choice among them.
     pub picker: Arc<Mutex<Picker>>,
-    /// Fair queues.
+    /// Admission control of all services.
     pub gates: Gates,
-    /// Retry budget.
+    /// Retry budget of this router.
     pub retries: Mutex<RetryBudget>,
-    /// Requests by key.
+    /// Requests by idempotency key.
     pub runs: Mutex<Runs>,
-    /// Copies of other routers' holds.
+    /// Copies of the holds of other routers.
     pub witness: Arc<Mutex<Witness>>,
     session: RwLock<Arc<Session<P, M>>>,
     past_incarnations: Mutex<Vec<Incarnation>>,
     draining: AtomicBool,
     refusing: AtomicBool,
     ready: AtomicBool,
-    /// Whether it borrows from others.
+    /// Whether the router borrows tokens from others.
     lending: bool,
-    /// Overrides the sizing of grants, for experiments.
+    /// Overrides the configured sizing of grants, for experiments.
     pub sizing: Option<Sizing>,
-    /// Metrics.
+    /// Client for metrics.
     pub metrics: StatsdClient,
-    /// Counts for `status`.
+    /// Counters for the operators' status.
     pub counts: Counts,
 }
 
-/// Counts of one router since its start.
+/// Counters of one router since its start.
 #[derive(Debug, Default)]
 pub struct Counts {
     /// Requests received.
     pub requests: AtomicU64,
-    /// Whole answers.
+    /// Requests answered completely.
     pub answered: AtomicU64,
-    /// Refusals and failures.
+    /// Requests refused or failed.
     pub refused: AtomicU64,
-    /// Second and further attempts.
+    /// Attempts after the first one.
     pub retries: AtomicU64,
-    /// Requests joined across routers.
+    /// Requests that joined a run of another router.
     pub joined: AtomicU64,
-    /// Pieces dropped: late, doubled or of another run.
+    /// Pieces of answers dropped because they were late, duplicate or of another run.
     pub dropped: AtomicU64,
 }
 
 impl Counts {
-    /// Adds one.
+    /// Increments a counter.
     pub fn add(counter: &AtomicU64) {
         counter.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// What a node is made of.
+/// Dependencies and initial state of a [`Node`].
 pub struct NodeParts<P: Platform, E: Engine, M: Mesh> {
-    /// Its settings.
+    /// Settings of the router.
     pub settings: Settings,
-    /// Time.
+    /// Source of the current time.
     pub clock: Clock,
-    /// The platform.
+    /// Client for the platform: table, object store and instance list.
     pub platform: P,
-    /// Targets.
+    /// Client for the targets.
     pub engine: E,
-    /// Other routers.
+    /// Links to the other routers.
     pub mesh: M,
-    /// The configuration in force.
+    /// The active configuration.
     pub cfg: Arc<RwLock<Config>>,
-    /// Follows the configuration.
+    /// Applies new revisions to the configuration.
     pub follower: Follower,
-    /// Who else is there.
+    /// Known routers and their liveness.
     pub view: View,
-    /// Target choice.
+    /// Known targets, and the choice among them.
     pub picker: Picker,
-    /// The first incarnation.
+    /// Session of the first incarnation.
     pub session: Arc<Session<P, M>>,
-    /// Metrics.
+    /// Client for metrics.
     pub metrics: StatsdClient,
-    /// Whether it borrows from others.
+    /// Whether the router borrows tokens from others.
     pub lending: bool,
-    /// Overrides the sizing of grants, for experiments.
+    /// Overrides the configured sizing of grants, for experiments.
     pub sizing: Option<Sizing>,
 }
 
 impl<P: Platform, E: Engine, M: Mesh> Node<P, E, M> {
-    /// Puts a node together.
+    /// Creates a node that is not ready yet and runs no tasks.
     pub fn new(parts: NodeParts<P, E, M>) -> Node<P, E, M> {
         Node {
             settings: parts.settings,
@@ -188,57 +189,61 @@
         }
     }
 
-    /// The time.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// The current incarnation.
+    /// Returns the session of the current incarnation.
     pub fn session(&self) -> Arc<Session<P, M>> {
-        self.session.read().expect("never poisoned").clone()
+        self.session.read().expect("the lock is never poisoned").clone()
     }
 
-    /// Replaces the incarnation after it was sealed.
+    /// Replaces the session after its incarnation was sealed.
     pub fn set_session(&self, session: Arc<Session<P, M>>) {
         self.past_incarnations
             .lock()
-            .expect("never poisoned")
+            .expect("the lock is never poisoned")
             .push(self.session().incarnation.clone());
-        *self.session.write().expect("never poisoned") = session;
+        *self.session.write().expect("the lock is never poisoned") = session;
     }
 
-    /// Whether this process is, or was, that incarnation.
+    /// Checks that this process is, or was, the incarnation that a message is addressed to.
     ///
-    /// Guards against another process at the address of a dead one: it would answer for copies
-    /// that died with the other's memory, and the tokens of their runs would be given away.
+    /// Another process may be listening at the address of a dead router. If it answered for that
+    /// router, whose copies are lost, it would report no copies, and tokens of running requests
+    /// would be released.
     ///
     /// # Errors
-    /// `Io`, as for a router that is not there.
+    ///
+    /// Returns `Io` otherwise, the same as for a router that cannot be reached.
     pub fn check_own_incarnation(&self, keeper: &Incarnation) -> Result<()> {
-        let was = self.past_incarnations.lock().expect("never poisoned").contains(keeper);
-        let other = || Error::new(Kind::Io, format!("{keeper} is not here any more"));
-        (was || self.session().incarnation == *keeper).then_some(()).ok_or_else(other)
+        let is_past =
+            self.past_incarnations.lock().expect("the lock is never poisoned").contains(keeper);
+        let not_here = || Error::new(Kind::Io, format!("{keeper} is not here any more"));
+        (is_past || self.session().incarnation == *keeper).then_some(()).ok_or_else(not_here)
     }
 
-    /// The view of other routers.
+    /// Locks the view of the other routers.
     pub fn lock_view(&self) -> MutexGuard<'_, View> {
-        self.view.lock().expect("no code panics while it holds the view")
+        self.view.lock().expect("the view lock is never poisoned")
     }
 
-    /// Target choice.
+    /// Locks the picker of targets.
     pub fn lock_picker(&self) -> MutexGuard<'_, Picker> {
-        self.picker.lock().expect("no code panics while it holds the picker")
+        self.picker.lock().expect("the picker lock is never poisoned")
     }
 
-    /// Requests by key.
+    /// Locks the requests.
     pub fn lock_runs(&self) -> MutexGuard<'_, Runs> {
-        self.runs.lock().expect("no code panics while it holds the runs")
+        self.runs.lock().expect("the runs lock is never poisoned")
     }
 
-    /// Finds the request of that key, or spawns what drives the new one to its end.
+    /// Returns the request with the same key, or spawns `drive` for the new one.
     ///
     /// # Errors
-    /// `KeyReused` when the key belongs to other content.
+    ///
+    /// Returns `KeyReused` if the key belongs to a request with other content.
     pub fn open<F>(&self, new: Run, drive: impl FnOnce(Arc<Run>) -> F) -> Result<Arc<Run>>
     where
         F: Future<Output = ()> + Send + 'static,
@@ -253,64 +258,65 @@
         })
     }
 
-    /// Whether it stops taking new work.
+    /// Returns whether the router is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Stops being named in entry answers.
+    /// Starts draining: the router is left out of entry answers from now on.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
         self.lock_view().update_me(|e| e.leaving = true);
     }
 
-    /// Refuses requests that are new to it, from now on.
+    /// Refuses requests with unknown keys from now on.
     pub fn refuse_new(&self) {
         self.refusing.store(true, Ordering::Relaxed);
     }
 
-    /// Whether new requests are refused.
+    /// Returns whether requests with unknown keys are refused.
     pub fn refuses_new(&self) -> bool {
         self.refusing.load(Ordering::Relaxed)
     }
 
-    /// Whether it can serve.
+    /// Returns whether the router can serve requests.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed) && !self.is_draining()
     }
 
-    /// It can serve from now on.
+    /// Marks the router as able to serve requests.
     pub fn set_ready(&self) {
         self.ready.store(true, Ordering::Relaxed);
     }
 
-    /// All live routers, this one too.
+    /// Returns all live routers, including this one.
     pub fn live(&self) -> Vec<Entry> {
         self.lock_view().live(self.now())
     }
 
-    /// The other routers that may hold parts of an organisation's budgets, its home first.
+    /// Returns the other routers that may hold parts of an organisation's budgets, sorted by rank
+    /// for that organisation.
     pub fn budget_peers(&self, organisation: &OrganisationId) -> Vec<Entry> {
-        let width = self.cfg.read().expect("never poisoned").fleet.entry_width as usize;
+        let width = self.cfg.read().expect("the lock is never poisoned").fleet.entry_width as usize;
         let me = self.lock_view().me().incarnation.clone();
         let live = self.live();
-        let mut out = home(&live, organisation, width.max(MAX_LENDERS));
+        let mut out = home(&live, organisation, width.max(MIN_BUDGET_PEERS));
         out.retain(|e| e.incarnation != me);
         out
     }
 
-    /// What this router keeps for another one about a request.
+    /// Returns what the copies that this router keeps for others tell about a request.
     pub fn find_copy(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Found> {
-        let witness = self.witness.lock().expect("no code panics while it holds the witness");
+        let witness = self.witness.lock().expect("the witness lock is never poisoned");
         witness.find(organisation, key).map(Found::of_copy)
     }
 
-    /// The routers to borrow from.
+    /// Returns the routers to borrow tokens from.
     pub fn lenders_for(&self, organisation: &OrganisationId) -> Vec<Entry> {
         if self.lending { self.budget_peers(organisation) } else { Vec::new() }
     }
 
-    /// A reclaimer for dead wards.
+    /// Creates a reclaimer for the grants of dead holders.
     pub fn reclaimer(&self) -> Reclaimer<P, E, PickerAddresses, MeshBackupSealer<M>> {
         let session = self.session();
         let known = self.lock_view().known(self.now()).into_iter().map(|(e, _)| e).collect();
@@ -326,5 +332,6 @@
     }
 }
 
-/// Routers asked for a part of a budget, at most.
-const MAX_LENDERS: usize = 6;
+/// Minimum number of home routers of an organisation to consider when looking for its tokens and
+/// requests, for when `entry_width` is smaller.
+const MIN_BUDGET_PEERS: usize = 6;
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -1,4 +1,4 @@
-//! Answers to other routers.
+//! Handler for messages from other routers.
 
 use std::sync::Arc;
 
@@ -12,11 +12,11 @@
 use crate::request::runs::{Run, RunEnd};
 use crate::table::Platform;
 
-/// Answers questions about a node.
+/// Handles messages from other routers to a node.
 pub struct PeerHandler<P: Platform, E: Engine, M: Mesh> {
-    /// The node.
+    /// The node that receives the messages.
     pub node: Arc<Node<P, E, M>>,
-    /// Holds lent to others.
+    /// Holds lent to other routers.
     pub loans: Arc<Loans>,
 }
 
@@ -50,9 +50,9 @@
             }
             Ask::Keep { keeper, holder, copies } => {
                 node.check_own_incarnation(&keeper)?;
-                let mut witness =
-                    node.witness.lock().expect("no code panics while it holds the witness");
-                // An empty message, too, has to be refused for a sealed holder.
+                let mut witness = node.witness.lock().expect("the witness lock is never poisoned");
+                // The check is also needed if `copies` is empty: a sealed holder must always be
+                // refused.
                 witness.check(&holder)?;
                 copies.into_iter().try_for_each(|c| witness.keep(&holder, c))?;
                 Ok(Reply::Done)
@@ -60,15 +60,14 @@
             Ask::Forget { holder, holds } => {
                 node.witness
                     .lock()
-                    .expect("no code panics while it holds the witness")
+                    .expect("the witness lock is never poisoned")
                     .forget(&holder, &holds);
                 Ok(Reply::Done)
             }
             Ask::Seal { keeper, holder } => {
                 node.check_own_incarnation(&keeper)?;
                 log::info!("witness=seal holder={holder} role=backup");
-                let mut witness =
-                    node.witness.lock().expect("no code panics while it holds the witness");
+                let mut witness = node.witness.lock().expect("the witness lock is never poisoned");
                 Ok(Reply::Copies(witness.seal(&holder)))
             }
             Ask::Find { organisation, key } => Ok(Reply::Found(self.find(&organisation, &key))),
@@ -90,8 +89,9 @@
                 Ok(Reply::Held(hold))
             }
             Ask::Repay { lender, hold, bill } => {
-                // A loan of an incarnation that was sealed since is its witness's to settle. Taken
-                // for one of this incarnation's, it would free a hold whose run goes on.
+                // A loan of a sealed incarnation is settled by that incarnation's witness. Hold ids
+                // are unique only within an incarnation, so treating it as a loan of the current
+                // one could free a hold whose run is still going on.
                 let session = node.session();
                 let known = lender == session.incarnation && self.loans.end_loan(hold).is_some();
                 log::debug!(
@@ -114,7 +114,8 @@
             }
             Ask::Release(budget) => {
                 node.session().release(budget).await;
-                // Two commits: what is free has to be in the table before the asker looks again.
+                // Waits for two group commits, so that the released tokens are in the table before
+                // the asking router tries again.
                 tokio::time::sleep(node.settings.commit_interval.duration() * 2).await;
                 Ok(Reply::Done)
             }
@@ -126,7 +127,7 @@
         }
     }
 
-    /// A run of this router, or one whose copy it keeps.
+    /// Returns what is known of a request that runs at this router or whose copy this router keeps.
     fn find(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Found> {
         if let Some(run) = self.node.lock_runs().get(organisation, key) {
             return found_from_run(&run);
@@ -142,7 +143,7 @@
 fn found_from_run(run: &Arc<Run>) -> Option<Found> {
     let view = run.view(usize::MAX);
     let service = match view.end {
-        // What failed here is no reason to fail elsewhere.
+        // The failure may be specific to this router, so other routers must not report it.
         Some(RunEnd::Failed(_)) => return None,
         Some(RunEnd::Service(answer)) => Some(answer),
         _ => None,
--- a/src/router/session.rs
+++ b/src/router/session.rs
@@ -1,4 +1,4 @@
-//! One incarnation of a router: its grants, its witness, its writes.
+//! Session of a router: one incarnation with its grants, its witness and its writes to the ledger.
 
 mod loans;
 
@@ -29,28 +29,29 @@
 use crate::table::{Mutation, Platform, Version};
 use loans::ReleaseGate;
 
-/// How long a request waits for a grant before other routers are asked.
+/// Maximum time that a request waits for this router's own grant before other routers are asked.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time for which a router that did not answer is asked last.
+/// Time for which a router that failed to confirm a copy is tried last and not chosen as a witness.
 const SUSPECT_PERIOD: Duration = Duration::from_millis(2_000);
-/// How long a request waits for another witness when the one there is does not answer.
+/// Maximum time that a request waits for a change of witness after the current one failed to
+/// confirm its copy.
 const WITNESS_CHANGE_TIMEOUT: Duration = Duration::from_millis(500);
-/// News of a session for its router.
+/// Event that a session reports to its router.
 #[derive(Debug)]
 pub enum SessionEvent {
-    /// The table has the bills of these holds.
+    /// The bills of these holds are recorded in the table.
     Recorded(Vec<HoldId>),
-    /// The incarnation is sealed.
+    /// The incarnation was sealed and can no longer write to the ledger.
     Fenced,
 }
 
-/// Carries a session's news.
+/// Sends the events of a grant actor to the router.
 #[derive(Clone, Debug)]
 pub struct SessionEventSender(pub mpsc::UnboundedSender<SessionEvent>);
 
 impl GrantListener for SessionEventSender {
     fn recorded(&self, holds: Vec<HoldId>) {
-        // A router that is gone wants no news.
+        // Sending fails only if the router has stopped and no longer needs events.
         let _ = self.0.send(SessionEvent::Recorded(holds));
     }
 
@@ -59,51 +60,52 @@
     }
 }
 
-/// The routers that keep copies for this one.
+/// The routers that keep copies of this router's holds.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WitnessPair {
-    /// In another zone when there is one; settles everything after this router's death.
+    /// Settles all holds if this router crashes. In another availability zone if possible.
     pub witness: Entry,
-    /// In the same zone when there is one, for the time when others cannot be reached.
+    /// Keeps copies while the witness cannot be reached. In the same availability zone if possible.
     pub backup: Option<Entry>,
 }
 
 impl WitnessPair {
-    /// Both.
+    /// Iterates over the witness and the backup.
     pub fn members(&self) -> impl Iterator<Item = &Entry> {
         std::iter::once(&self.witness).chain(&self.backup)
     }
 }
 
-/// Who keeps the copies of this session's holds; `None`: the holder row names nobody, so nobody
-/// can reclaim, and holds need no copy.
-// There is one of these in a process; a box would only make it harder to read.
+/// Which routers keep the copies of this session's holds. `None` means that the holder row names no
+/// witness: nobody can reclaim the grants, so holds need no copies.
+// There is only one value of this type in a process, so boxing would only complicate the code.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WitnessAssignment {
-    /// As the holder row says.
+    /// The witness and backup that the holder row names.
     Stable(Option<WitnessPair>),
-    /// The holder row is being written, and may name either: both have to have each copy.
+    /// The old and the new pair while the holder row is being rewritten. The row may name either,
+    /// so every copy goes to both.
     Changing(Option<WitnessPair>, Option<WitnessPair>),
 }
 
-/// Tokens held for one request.
+/// Tokens reserved for one request.
 #[derive(Clone, Debug)]
 pub struct HeldTokens {
-    /// Number of the hold at its holder.
+    /// Id of the hold at the router that granted it.
     pub hold: HoldId,
-    /// The router whose grant it is of; `None`: this one's.
+    /// Router that lent the tokens; `None` if they belong to this router's own grant.
     pub lender: Option<Entry>,
 }
 
-/// What a hold is for.
+/// Specifies a hold for a request.
 #[derive(Clone, Debug)]
 pub struct HoldSpec {
-    /// The largest cost.
+    /// Largest possible cost of the request.
     pub amount: Tokens,
-    /// The bill as it would be; its cost is not known yet.
+    /// Bill of the request, with a cost that is not final yet.
     pub bill: Bill,
-    /// Where it will run.
+    /// Target that will run the request.
     pub target: crate::ids::TargetId,
 }
 
@@ -119,51 +121,55 @@
     }
 }
 
-/// One incarnation.
+/// One incarnation of a router.
 pub struct Session<P: Platform, M: Mesh> {
-    /// Its name.
+    /// Name of the incarnation.
     pub incarnation: Incarnation,
-    /// Its writes.
+    /// Group committer for writes to the ledger.
     pub committer: Committer,
     grant_actor: ActorRef<GrantActor<P, SessionEventSender>>,
     mesh: M,
     assignment: RwLock<WitnessAssignment>,
-    /// Routers that did not answer a copy; others are chosen without waiting for their death.
+    /// Routers that recently failed to confirm a copy. They are avoided before they count as dead.
     suspects: Mutex<Vec<(Incarnation, Instant)>>,
     witness_changed: Notify,
     row: Mutex<(HolderRow, Version)>,
-    /// Copies that a witness must have: those of all holds and unrecorded bills.
+    /// Copies that the witnesses must have: one for each hold and for each bill not yet recorded,
+    /// sorted by hold.
     copies: Mutex<Vec<HoldCopy>>,
     next_run: AtomicU64,
-    /// Budgets whose tokens were called home lately.
+    /// Budgets for which other routers were recently asked to release free tokens.
     release_gates: Mutex<Vec<(BudgetId, Arc<ReleaseGate>)>>,
 }
 
-/// What a session is started with.
+/// Dependencies and initial state of a [`Session`].
 pub struct SessionParts<P, M> {
-    /// The platform.
+    /// Client for the platform: table, object store and instance list.
     pub platform: P,
-    /// The other routers.
+    /// Links to the other routers.
     pub mesh: M,
-    /// The incarnation's name.
+    /// Name of the incarnation.
     pub incarnation: Incarnation,
-    /// Its holder row, not written yet.
+    /// Holder row to write. It must not exist yet.
     pub row: HolderRow,
-    /// The configuration in force.
+    /// The active configuration.
     pub cfg: Arc<RwLock<Config>>,
-    /// Time.
+    /// Source of the current time.
     pub clock: Clock,
-    /// Pause between group commits.
+    /// Interval between group commits.
     pub commit_interval: Duration,
-    /// Overrides the sizing policy, for experiments.
+    /// Overrides the configured sizing policy, for experiments.
     pub sizing: Option<Sizing>,
 }
 
 impl<P: Platform, M: Mesh> Session<P, M> {
-    /// Writes the holder row and starts the keeper. The receiver gets the session's news.
+    /// Writes the holder row and starts the grant actor. The receiver gets the events of the
+    /// session.
     ///
     /// # Errors
-    /// `PlatformAway`, or `Conflict` for an incarnation that exists.
+    ///
+    /// Returns `PlatformAway` if the table does not answer, or `Conflict` if the incarnation
+    /// already exists.
     pub async fn start(
         parts: SessionParts<P, M>,
     ) -> Result<(Arc<Session<P, M>>, mpsc::UnboundedReceiver<SessionEvent>)> {
@@ -204,24 +210,27 @@
         Ok((Arc::new(session), rx))
     }
 
-    /// A name for a new run.
+    /// Returns a new run id, unique across incarnations.
     pub fn new_run_id(&self) -> RunId {
         let n = self.next_run.fetch_add(1, Ordering::Relaxed);
         format!("{}.{n}", self.incarnation)
             .parse()
-            .expect("an incarnation and a number make a name")
+            .expect("an incarnation and a number make a valid run id")
     }
 
-    /// Who keeps the copies.
+    /// Returns the routers that keep the copies.
     pub fn assignment(&self) -> WitnessAssignment {
-        self.assignment.read().expect("never poisoned").clone()
+        self.assignment.read().expect("the lock is never poisoned").clone()
     }
 
-    /// Holds tokens and has the hold covered, here or at one of `others`.
+    /// Reserves tokens for a request and protects the hold, either from this router's own grant or
+    /// by borrowing from one of `others`.
     ///
     /// # Errors
-    /// `BudgetExhausted` when nobody asked has room; `PlatformAway` when the ledger could not be
-    /// asked, or no cover could be had; `Fenced` when this incarnation was superseded.
+    ///
+    /// Returns `BudgetExhausted` if no router has enough free tokens, `PlatformAway` if the ledger
+    /// does not answer or the hold cannot be protected, or `Fenced` if this incarnation was
+    /// superseded.
     pub async fn reserve(
         self: &Arc<Self>,
         spec: &HoldSpec,
@@ -254,7 +263,8 @@
         Ok(HeldTokens { hold: self.protect_or_cancel(hold, spec).await?, lender: None })
     }
 
-    /// What others have free of a budget.
+    /// Asks other routers how many tokens of a budget they have free. Routers that do not answer
+    /// are left out.
     async fn query_free_tokens(&self, budget: &BudgetId, others: &[Entry]) -> Vec<(Tokens, Entry)> {
         let asked = others.iter().map(|o| self.mesh.ask(o, Ask::Free(budget.clone())));
         let replies = futures_util::future::join_all(asked).await;
@@ -265,10 +275,11 @@
         replies.into_iter().zip(others).filter_map(free).collect()
     }
 
-    /// Holds tokens of this session's grant.
+    /// Reserves tokens from this session's own grant.
     ///
     /// # Errors
-    /// As the keeper's refusal; `PlatformAway` when no verdict came in time.
+    ///
+    /// Returns the error of the grant actor, or `PlatformAway` if it does not reply in time.
     pub async fn hold(
         self: &Arc<Self>,
         budget: &BudgetId,
@@ -278,7 +289,8 @@
         let msg = RequestHold { budget: budget.clone(), amount, wait_for_grant };
         let (tx, rx) = tokio::sync::oneshot::channel();
         let session = self.clone();
-        // The verdict may come after the request stopped waiting: then the hold is undone here.
+        // The reply may arrive after the request has stopped waiting. In that case the hold is
+        // canceled here.
         tokio::spawn(async move {
             let verdict = session.grant_actor.ask(msg).await;
             let late = tx.send(verdict.map_err(into_error)).err();
@@ -291,7 +303,7 @@
     }
 
     async fn tell_cancel(&self, hold: HoldId) {
-        // A keeper that is gone holds nothing.
+        // Sending fails only if the actor has stopped, in which case there are no holds left.
         let _ = self.grant_actor.tell(CancelHold(hold)).await;
     }
 
@@ -306,18 +318,21 @@
     }
 
     fn upsert_copy(&self, copy: &HoldCopy) {
-        let mut copies = self.copies.lock().expect("never poisoned");
+        let mut copies = self.copies.lock().expect("the lock is never poisoned");
         match copies.binary_search_by(|c| c.hold.cmp(&copy.hold)) {
-            Ok(place) => copies[place] = copy.clone(),
-            Err(place) => copies.insert(place, copy.clone()),
+            Ok(index) => copies[index] = copy.clone(),
+            Err(index) => copies.insert(index, copy.clone()),
         }
     }
 
-    /// Gives the witnesses a copy; without the word of one of them nothing may be dispatched,
-    /// unless the hold fits the solo part.
+    /// Protects a hold against a crash of this router by sending a copy to a witness. A request
+    /// must not be dispatched before a witness has confirmed its copy, unless the hold fits into
+    /// the solo part of the grant.
     ///
     /// # Errors
-    /// `Fenced` when this incarnation is sealed, `PlatformAway` when there is no cover.
+    ///
+    /// Returns `Fenced` if this incarnation was sealed, or `PlatformAway` if the hold cannot be
+    /// protected.
     pub async fn protect(&self, copy: HoldCopy) -> Result<()> {
         let (hold, run, amount) = (copy.hold, copy.bill.run.clone(), copy.amount);
         let witness_changed = self.witness_changed.notified();
@@ -340,10 +355,10 @@
         Err(Error::new(Kind::PlatformAway, message))
     }
 
-    /// One attempt to have a copy kept wherever the holder row may point to.
+    /// Sends a copy once to every pair that the holder row may name.
     ///
-    /// The copy is remembered before it is looked up who keeps copies. A change of witness does
-    /// it the other way round, so no copy falls between the two.
+    /// The copy is stored before the assignment is read. A change of witness sets the assignment
+    /// before it reads the stored copies. So no copy can be missed by both.
     async fn replicate(&self, copy: HoldCopy) -> Result<()> {
         self.upsert_copy(&copy);
         let copies = vec![copy];
@@ -356,7 +371,8 @@
         }
     }
 
-    /// Gives copies to one of a pair: a reclaim needs the seals of both, so either is enough.
+    /// Sends copies to one member of a pair. One is enough because a reclaim needs the seals of
+    /// both.
     async fn send_to_pair(&self, pair: Option<&WitnessPair>, copies: Vec<HoldCopy>) -> Result<()> {
         let Some(pair) = pair else { return Ok(()) };
         let mut members: Vec<&Entry> = pair.members().collect();
@@ -377,27 +393,27 @@
                 }
                 Err(e) => last = e,
             }
-            let mut suspects = self.suspects.lock().expect("never poisoned");
+            let mut suspects = self.suspects.lock().expect("the lock is never poisoned");
             suspects.retain(|(s, _)| *s != member.incarnation);
             suspects.push((member.incarnation.clone(), Instant::now()));
         }
         Err(last)
     }
 
-    /// Routers that did not answer a copy a short time ago.
+    /// Returns the routers that recently failed to confirm a copy.
     pub fn suspects(&self) -> Vec<Incarnation> {
-        let mut suspects = self.suspects.lock().expect("never poisoned");
+        let mut suspects = self.suspects.lock().expect("the lock is never poisoned");
         suspects.retain(|(_, at)| at.elapsed() < SUSPECT_PERIOD);
         suspects.iter().map(|(s, _)| s.clone()).collect()
     }
 
-    /// A hold whose request never ran.
+    /// Cancels a hold of this session's own grant whose request did not run.
     pub async fn cancel_own(&self, hold: HoldId) {
         self.tell_cancel(hold).await;
         self.forget(&[hold]).await;
     }
 
-    /// Gives a hold back, wherever it is.
+    /// Cancels a hold, here or at its lender.
     pub async fn cancel(self: &Arc<Self>, held: HeldTokens) {
         match held.lender {
             None => self.cancel_own(held.hold).await,
@@ -405,22 +421,25 @@
         }
     }
 
-    /// A new target for a covered request.
+    /// Changes the target of a protected request.
     ///
     /// # Errors
-    /// As [`Session::cover`].
+    ///
+    /// Returns the errors of [`Session::protect`], or the error of the lender if the tokens are
+    /// borrowed.
     pub async fn change_target(&self, held: &HeldTokens, spec: &HoldSpec) -> Result<()> {
         let Some(lender) = &held.lender else {
             return self.protect(spec.copy(held.hold)).await;
         };
-        // The lender settles by asking the target it knows of. Untold, it would hear there that
-        // the run never was, and lend the tokens again.
+        // If the borrower dies, the lender settles the loan by asking the target that it knows. The
+        // old target would report that the run never happened, and the lender would free tokens
+        // that the run is still using.
         let target = spec.target.clone();
         let ask = Ask::Move { lender: lender.incarnation.clone(), hold: held.hold, target };
         self.mesh.ask(lender, ask).await.map(drop)
     }
 
-    /// Settles a hold with its bill. When this returns, the bill survives this router.
+    /// Replaces a hold by its bill. When this returns, the bill survives a crash of this router.
     pub async fn settle(self: &Arc<Self>, held: HeldTokens, spec: &HoldSpec, cost: Tokens) {
         let bill = Bill { cost, ..spec.bill.clone() };
         if let Some(lender) = held.lender {
@@ -430,7 +449,8 @@
         copy.bill = bill.clone();
         copy.ended = true;
         copy.amount = Tokens(spec.amount.0.max(cost.0));
-        // Without a reply the witness still has the hold, and learns the cost from the target.
+        // If this fails, the witness still has the copy of the hold and gets the cost from the
+        // target.
         let _ = self.replicate(copy).await;
         match self.grant_actor.ask(SettleHold { hold: held.hold, bill }).await {
             Ok(excess) if excess > Tokens::ZERO => {
@@ -441,10 +461,10 @@
         }
     }
 
-    /// Drops copies here and at the witness.
+    /// Drops copies here and at the witness and backup.
     pub async fn forget(&self, holds: &[HoldId]) {
         {
-            let mut copies = self.copies.lock().expect("never poisoned");
+            let mut copies = self.copies.lock().expect("the lock is never poisoned");
             copies.retain(|c| !holds.contains(&c.hold));
         }
         let pair = match self.assignment() {
@@ -452,31 +472,32 @@
         };
         let ask = || Ask::Forget { holder: self.incarnation.clone(), holds: holds.to_vec() };
         let members: Vec<Entry> = pair.iter().flat_map(WitnessPair::members).cloned().collect();
-        // A copy too many costs nothing while this router lives.
+        // A failure is harmless: a leftover copy has no effect while this router is alive.
         let _ =
             futures_util::future::join_all(members.iter().map(|m| self.mesh.ask(m, ask()))).await;
     }
 
-    /// Names other witnesses in the holder row.
+    /// Rewrites the holder row to name another witness and backup.
     ///
-    /// Guards against a death in the middle of the change, which would show as tokens given back
-    /// although their run went on. From the first step on every new copy goes to the old and the
-    /// new ones; then the new ones get all copies there are; only then is the row written.
-    /// Whichever the row names at the death, they have everything. The write's outcome may stay
-    /// unknown for long, so this must run to its end.
+    /// If this router crashes during the change, the witness that the row names must have all
+    /// copies. Otherwise tokens would be released although their run is still going on. Therefore
+    /// all new copies first go to both the old and the new pair, then the new pair gets the
+    /// existing copies, and only then the row is written. The outcome of that write may stay
+    /// unknown for a long time, so the caller must not cancel this call.
     ///
     /// # Errors
-    /// `Fenced` when this incarnation was sealed meanwhile; `Io` or `Timeout` when the new ones
-    /// cannot be reached.
+    ///
+    /// Returns `Fenced` if this incarnation was sealed, `Io` or `Timeout` if the new pair cannot be
+    /// reached, or `PlatformAway` if the table does not answer.
     pub async fn choose_witness(&self, to: Option<WitnessPair>) -> Result<()> {
         let WitnessAssignment::Stable(from) = self.assignment() else { return Ok(()) };
         self.set_assignment(WitnessAssignment::Changing(from.clone(), to.clone()));
-        let copies = self.copies.lock().expect("never poisoned").clone();
+        let copies = self.copies.lock().expect("the lock is never poisoned").clone();
         if let Err(e) = self.send_to_pair(to.as_ref(), copies).await {
             self.set_assignment(WitnessAssignment::Stable(from));
             return Err(e);
         }
-        let (mut row, version) = self.row.lock().expect("never poisoned").clone();
+        let (mut row, version) = self.row.lock().expect("the lock is never poisoned").clone();
         row.witness = to.as_ref().map(|p| p.witness.incarnation.clone());
         row.backup = to.as_ref().and_then(|p| p.backup.as_ref()).map(|b| b.incarnation.clone());
         let key = holder_key(&self.incarnation);
@@ -488,7 +509,7 @@
         let named = |n: &Option<Incarnation>| n.as_ref().map_or("-".to_string(), |i| i.to_string());
         let (witness, backup) = (named(&row.witness), named(&row.backup));
         log::info!("witness=chosen holder={} witness={witness} backup={backup}", self.incarnation);
-        *self.row.lock().expect("never poisoned") = (row, version);
+        *self.row.lock().expect("the lock is never poisoned") = (row, version);
         let _ = self.grant_actor.tell(HolderRowVersion(version)).await;
         self.set_assignment(WitnessAssignment::Stable(to));
         self.witness_changed.notify_waiters();
@@ -496,15 +517,17 @@
     }
 
     fn set_assignment(&self, assignment: WitnessAssignment) {
-        *self.assignment.write().expect("never poisoned") = assignment;
+        *self.assignment.write().expect("the lock is never poisoned") = assignment;
     }
 
-    /// Marks the incarnation as left, after everything was given back.
+    /// Marks the incarnation as left. All its grants must have been released before.
     ///
     /// # Errors
-    /// `PlatformAway` or `Fenced`.
+    ///
+    /// Returns `PlatformAway` if the table does not answer, or `Fenced` if the holder row was
+    /// sealed.
     pub async fn leave(&self) -> Result<()> {
-        let (mut row, version) = self.row.lock().expect("never poisoned").clone();
+        let (mut row, version) = self.row.lock().expect("the lock is never poisoned").clone();
         row.state = HolderState::Left;
         let key = holder_key(&self.incarnation);
         let m = Mutation::default().guard(key.clone(), Some(version)).put(key, &row);
@@ -512,34 +535,35 @@
         self.committer.write(m).await?.ok_or_else(fenced).map(drop)
     }
 
-    /// Gives back what is free of one budget.
+    /// Releases the free tokens of one budget.
     pub async fn release(&self, budget: BudgetId) {
         let _ = self.grant_actor.tell(Release(budget)).await;
     }
 
-    /// Gives back everything that is free.
+    /// Releases the free tokens of all budgets.
     pub async fn release_all(&self) {
         let _ = self.grant_actor.tell(ReleaseAll).await;
     }
 
-    /// Tells the keeper how many routers there are, and how many hold parts of one budget.
+    /// Sets the number of routers that write to the ledger and the number that may hold parts of
+    /// one budget.
     pub async fn set_router_counts(&self, routers: u64, holders: u64) {
         let _ = self.grant_actor.tell(SetRouterCounts { routers, holders }).await;
     }
 
-    /// What is held of a budget.
+    /// Returns the usage of a budget at this router.
     pub async fn usage(&self, budget: BudgetId) -> Usage {
         self.grant_actor.ask(GetUsage(budget)).await.unwrap_or_default()
     }
 
-    /// Counts over all budgets.
+    /// Returns the totals over all budgets.
     pub async fn totals(&self) -> GrantTotals {
         self.grant_actor.ask(GetTotals).await.unwrap_or_default()
     }
 
-    /// Copies that a witness should have.
+    /// Returns the number of copies that a witness should have.
     pub fn copy_count(&self) -> usize {
-        self.copies.lock().expect("never poisoned").len()
+        self.copies.lock().expect("the lock is never poisoned").len()
     }
 }
 
--- a/src/router/session/loans.rs
+++ b/src/router/session/loans.rs
@@ -1,4 +1,5 @@
-//! Tokens that move between routers: borrowed, lent, repaid, called home.
+//! Lending between routers: borrowing, lending and settling holds, and asking other routers to
+//! release free tokens.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,15 +17,16 @@
 use crate::membership::wire::{Ask, Mesh, Reply};
 use crate::table::Platform;
 
-/// Least time between two calls for the tokens of one budget.
+/// Minimum time between two requests to the other routers to release tokens of the same budget.
 const MIN_RELEASE_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause between attempts to repay a borrowed hold.
+/// Interval between attempts to report the outcome of a borrowed hold to its lender.
 const REPAY_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Attempts to repay a borrowed hold: two minutes in all. Then the failure is logged, and the hold
-/// stays with the lender.
+/// Maximum number of attempts to report the outcome of a borrowed hold, over about two minutes.
+/// After that, the failure is logged and the hold stays reserved at the lender.
 const MAX_REPAY_ATTEMPTS: u32 = 600;
 
-/// Lets one call for a budget's tokens through at a time; who comes while one is due shares it.
+/// Serializes release requests for one budget. Callers that arrive while a release request is due
+/// share it.
 #[derive(Debug, Default)]
 pub(super) struct ReleaseGate {
     last_started: tokio::sync::Mutex<Option<Instant>>,
@@ -55,13 +57,15 @@
         Some(HeldTokens { hold, lender: Some(lender.clone()) })
     }
 
-    /// Asks others to give back what they have free of a budget, so that its last tokens are not
-    /// lost in pockets too small for any request. Requests that need it at the same time share
-    /// one call, and calls keep a distance: an exhausted budget must not cost the table a write
-    /// for each request that it refuses.
+    /// Asks other routers to release their free tokens of a budget. Otherwise the last tokens of a
+    /// budget would be stranded in parts too small for any request.
+    ///
+    /// Requests that need the same budget at the same time share one release request, and there is
+    /// a minimum interval between two of them, because an exhausted budget must not cost the table
+    /// a write for each refused request.
     pub(super) async fn request_release(&self, budget: &BudgetId, others: &[Entry]) {
         let gate = {
-            let mut release_gates = self.release_gates.lock().expect("never poisoned");
+            let mut release_gates = self.release_gates.lock().expect("the lock is never poisoned");
             release_gates.retain(|(_, gate)| Arc::strong_count(gate) > 1 || gate.is_recent());
             match release_gates.iter().find(|(b, _)| b == budget) {
                 Some((_, gate)) => gate.clone(),
@@ -85,8 +89,8 @@
         futures_util::future::join_all(asked).await;
     }
 
-    /// Tells a lender what became of its hold, until it knows. Repeats are harmless: a hold
-    /// settles once.
+    /// Reports the outcome of a borrowed hold to its lender and retries until the lender confirms.
+    /// Retries are idempotent because a hold is settled only once.
     pub(super) fn repay(self: &Arc<Self>, lender: Entry, hold: HoldId, bill: Option<Bill>) {
         let mesh = self.mesh.clone();
         tokio::spawn(async move {
@@ -107,10 +111,12 @@
         });
     }
 
-    /// Lends a hold to another router.
+    /// Lends a hold of this session's own grant to another router.
     ///
     /// # Errors
-    /// `BudgetExhausted` when there is no room, or as [`Session::cover`].
+    ///
+    /// Returns `BudgetExhausted` if there are not enough free tokens, or the errors of
+    /// [`Session::protect`].
     pub async fn lend(
         self: &Arc<Self>,
         budget: &BudgetId,
@@ -126,16 +132,17 @@
         Ok(hold)
     }
 
-    /// A lent hold's run goes to another target.
+    /// Sends the witnesses a copy that names the new target of a lent hold's run.
     ///
     /// # Errors
-    /// As [`Session::cover`].
+    ///
+    /// Returns the errors of [`Session::protect`].
     pub async fn retarget_loan(&self, hold: HoldId, mut copy: HoldCopy) -> Result<()> {
         copy.hold = hold;
         self.protect(copy).await
     }
 
-    /// A lent hold's run ended.
+    /// Settles a lent hold with its bill, or cancels it if there is none.
     pub async fn end_loan(self: &Arc<Self>, hold: HoldId, bill: Option<Bill>) {
         match bill {
             None => self.cancel_own(hold).await,
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a router.
+//! Starts and stops a router with its network listeners.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -19,26 +19,26 @@
 use crate::standin::Served;
 use crate::table::http::HttpPlatform;
 
-/// Pause between looks at what still runs during a drain.
+/// Interval between checks for running requests during a drain.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest drain. Answers that run longer are left to the witness.
+/// Maximum duration of a drain. Answers that take longer are left to the witness.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// The node that the daemon runs.
+/// The node of a router that runs as a daemon.
 pub type HttpNode = Node<HttpPlatform, HttpEngine, Links>;
 
 /// A running router.
 pub struct RunningRouter {
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub api: SocketAddr,
-    /// Its state.
+    /// State of the router.
     pub node: Arc<HttpNode>,
     served: Served,
     peer_task: JoinHandle<()>,
     tasks: JoinSet<()>,
-    /// Secrets of its links, for rotation.
+    /// Secrets of the links between routers; replaced on rotation.
     pub secrets: Secrets,
-    /// What its links refused and carried.
+    /// Counters of the links: refused messages, and bytes sent and received.
     pub link_counts: Arc<LinkCounts>,
 }
 
@@ -55,11 +55,12 @@
 }
 
 impl RunningRouter {
-    /// Starts a router and serves. It waits for the platform: without the configuration's head
-    /// and a holder row there is nothing that it may serve.
+    /// Starts a router and its listeners. Waits until the platform is available, because a router
+    /// cannot serve anything without the head of the configuration and a holder row.
     ///
     /// # Errors
-    /// `Io` when an address cannot be bound.
+    ///
+    /// Returns `Io` if an address cannot be bound.
     pub async fn start(settings: Settings) -> Result<RunningRouter> {
         let secrets: Secrets = Arc::new(Mutex::new(settings.link_keys.clone()));
         let link_counts: Arc<LinkCounts> = Arc::default();
@@ -92,13 +93,15 @@
         Ok(RunningRouter { api, node, served, peer_task, tasks, secrets, link_counts })
     }
 
-    /// Drains: no longer named in entry answers, still serving those who hold old ones, then
-    /// finishes what runs, gives grants back, flushes bills, and leaves.
+    /// Drains and stops the router. It is first left out of entry answers and keeps serving callers
+    /// with older answers. Then it refuses new requests, waits for running ones, releases its
+    /// grants, flushes its bills and marks its incarnation as left.
     pub async fn stop(mut self) {
         let node = self.node.clone();
         node.start_draining();
         log::info!("drain=start incarnation={}", node.session().incarnation);
-        let lifetime = node.cfg.read().expect("never poisoned").fleet.entry_lifetime.duration();
+        let lifetime =
+            node.cfg.read().expect("the lock is never poisoned").fleet.entry_lifetime.duration();
         tokio::time::sleep(lifetime).await;
         node.refuse_new();
         let limit = tokio::time::Instant::now() + DRAIN_TIMEOUT;
--- a/src/router/tasks.rs
+++ b/src/router/tasks.rs
@@ -1,5 +1,5 @@
-//! What a router does besides serving: heartbeats, following the configuration, load reports,
-//! the instance list, its witness, dead wards, loans, expiry.
+//! Background tasks of a router: heartbeats, configuration updates, instance list, load reports,
+//! choice of witness, reclaiming grants of dead routers, settling loans and expiry of old requests.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -23,23 +23,25 @@
 use crate::route::picker::ListedTarget;
 use crate::table::{InstanceState, Platform, scan_all};
 
-/// Others that get each heartbeat besides the witness.
+/// Number of routers that get each heartbeat, in addition to the witness, the backup and one silent
+/// router.
 const HEARTBEAT_FANOUT: usize = 3;
-/// Pause between looks at the instance list.
+/// Interval between reads of the instance list.
 const INSTANCE_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause between looks at the holder rows.
+/// Mean interval between reads of the holder rows. Each interval is jittered by 25 % in either
+/// direction.
 const HOLDER_POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// Pause between looks at witness, wards and loans.
+/// Interval between checks of the witness, of dead holders and of loans.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause before a reclaim that could not be finished is tried again.
+/// Delay before a failed reclaim is retried.
 const RECLAIM_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Room at the gate beyond the targets' batches, in percent.
+/// Requests admitted by all routers together, in percent of the batch slots of the targets.
 const OVERCOMMIT_PERCENT: u64 = 125;
 
-/// A node of any kind.
+/// A shared node over any platform, engine and mesh.
 pub type SharedNode<P, E, M> = Arc<Node<P, E, M>>;
 
-/// One hold lent to another router.
+/// A hold lent to another router.
 #[derive(Clone, Debug)]
 struct Loan {
     hold: HoldId,
@@ -53,15 +55,16 @@
 
 impl Loans {
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Loan>> {
-        self.0.lock().expect("no code panics while it holds the loans")
+        self.0.lock().expect("the loans lock is never poisoned")
     }
 
-    /// A hold was lent.
+    /// Adds a hold that was lent.
     pub fn add_loan(&self, hold: HoldId, copy: HoldCopy) {
         self.lock().push(Loan { hold, copy, settling: false });
     }
 
-    /// A lent hold's run goes to another target; `None` when the loan is settled or about to be.
+    /// Changes the target in the copy of a lent hold and returns the new copy, or `None` if the
+    /// loan is settled or is being settled.
     pub fn retarget(&self, hold: HoldId, target: TargetId) -> Option<HoldCopy> {
         let mut loans = self.lock();
         let loan = loans.iter_mut().find(|l| l.hold == hold && !l.settling)?;
@@ -69,14 +72,15 @@
         Some(loan.copy.clone())
     }
 
-    /// A lent hold is dealt with; `None` when it was already.
+    /// Removes a loan and returns its copy, or `None` if it was already removed.
     pub fn end_loan(&self, hold: HoldId) -> Option<HoldCopy> {
         let mut loans = self.lock();
-        let place = loans.iter().position(|l| l.hold == hold)?;
-        Some(loans.swap_remove(place).copy)
+        let index = loans.iter().position(|l| l.hold == hold)?;
+        Some(loans.swap_remove(index).copy)
     }
 
-    /// Whether the caller is the one to settle a dead borrower's loan.
+    /// Marks a loan as being settled. Returns `false` if the loan is gone or another task already
+    /// settles it.
     fn start_settling(&self, hold: HoldId) -> bool {
         let mut loans = self.lock();
         let found = loans.iter_mut().find(|l| l.hold == hold && !l.settling);
@@ -92,7 +96,7 @@
     }
 }
 
-/// Starts all tasks. They end when the set is dropped.
+/// Starts all tasks. They stop when the set is dropped.
 pub fn start_tasks<P: Platform, E: Engine, M: Mesh>(
     node: &SharedNode<P, E, M>,
     loans: &Arc<Loans>,
@@ -115,7 +119,8 @@
     ticks
 }
 
-/// Heartbeats: to the witness and a few others in turn. Bounded whatever the size of the fleet.
+/// Sends heartbeats to the witness, the backup and a few other routers in turn. The number of
+/// messages per interval does not grow with the fleet.
 async fn send_heartbeats<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
     let mut ticks = ticker(node.settings.heartbeat.duration());
     let mut offset = 0;
@@ -159,8 +164,8 @@
     }
 }
 
-/// Follows the configuration: by polling its head, at once when another router runs a newer
-/// revision, and from other routers while the platform is away.
+/// Keeps the configuration up to date: polls its head, reads it at once when another router runs a
+/// newer revision, and fetches revisions from other routers while the platform is unavailable.
 async fn follow_config<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
     loop {
         let before = node.follower.lock().await.head().revision;
@@ -178,7 +183,7 @@
     }
 }
 
-/// Tells the others which revision is in force here.
+/// Announces the active configuration revision to the other routers.
 pub async fn publish_revision<P: Platform, E: Engine, M: Mesh>(node: &SharedNode<P, E, M>) {
     let revision = node.follower.lock().await.head().revision;
     let mut view = node.lock_view();
@@ -204,7 +209,7 @@
     }
 }
 
-/// Targets, from the instance list. A list that cannot be read, or is empty, changes nothing.
+/// Updates the targets from the instance list. A list that is empty or cannot be read is ignored.
 async fn poll_instances<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
     let mut ticks = ticker(INSTANCE_POLL_INTERVAL);
     loop {
@@ -226,7 +231,8 @@
     }
 }
 
-/// Load reports, each target in turn. At many targets a report is asked for less often.
+/// Polls the load reports of all targets. A round starts only after the previous one is complete,
+/// so with many targets each report is read less often.
 async fn poll_load_reports<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
     let mut ticks = ticker(node.settings.report_poll.duration());
     loop {
@@ -268,12 +274,13 @@
     }
 }
 
-/// Each router lets through its share of what the targets can take, and a little more.
+/// Sets each gate's capacity to this router's share of what the targets can run at once, plus some
+/// overcommitment.
 fn set_capacities<P: Platform, E: Engine, M: Mesh>(node: &SharedNode<P, E, M>) {
     let now = node.now();
     let routers = node.live().iter().filter(|e| !e.leaving).count().max(1) as u64;
     let services: Vec<_> = {
-        let cfg = node.cfg.read().expect("never poisoned");
+        let cfg = node.cfg.read().expect("the lock is never poisoned");
         let name = |k: &ServiceKind, id: &crate::ids::ServiceId| match k {
             ServiceKind::Model { model, .. } => model.clone(),
             ServiceKind::Plain { .. } => id.as_str().into(),
@@ -288,25 +295,26 @@
     }
 }
 
-/// Other routers, from the holder rows: how they find each other first, and how one that lost
-/// touch with all others finds them again.
+/// Reads the other routers from the holder rows. This is how routers discover each other at
+/// startup, and how a router that lost contact with all others finds them again.
 async fn poll_holder_rows<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
     loop {
         if let Ok(rows) = read_holder_rows(&node.platform).await {
-            let (live, gone): (Vec<_>, Vec<_>) =
+            let (live, ended): (Vec<_>, Vec<_>) =
                 rows.into_iter().partition(|(_, row)| row.state == HolderState::Live);
             let mut view = node.lock_view();
-            gone.iter().for_each(|(incarnation, _)| view.remove(incarnation));
+            ended.iter().for_each(|(incarnation, _)| view.remove(incarnation));
             view.set_candidates(live.into_iter().map(|(i, row)| entry_from_row(i, row)).collect());
         }
         sleep(HOLDER_POLL_INTERVAL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
     }
 }
 
-/// All holder rows.
+/// Reads all holder rows.
 ///
 /// # Errors
-/// `PlatformAway`, or `BadFormat` for a row that cannot be read.
+///
+/// Returns `PlatformAway` if the table does not answer, or `BadFormat` if a row cannot be decoded.
 pub async fn read_holder_rows<P: Platform>(platform: &P) -> Result<Vec<(Incarnation, HolderRow)>> {
     let rows = scan_all(platform, HOLDERS_PREFIX).await?;
     rows.iter().map(|r| Ok((r.key[HOLDERS_PREFIX.len()..].parse()?, r.decode()?))).collect()
@@ -325,7 +333,8 @@
     }
 }
 
-/// Looks after the witness, dead wards, loans to the dead, and old requests.
+/// Periodically expires old requests, checks the witness, reclaims the grants of dead holders and
+/// settles loans to dead routers.
 async fn maintain<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>, loans: Arc<Loans>) {
     let mut ticks = ticker(MAINTENANCE_INTERVAL);
     let reclaimed = Reclaimed::default();
@@ -334,8 +343,9 @@
         let now = node.now();
         node.lock_runs().expire(now);
         let live = node.live();
-        // An organisation is named so many routers; only these hold parts of its budgets.
-        let width = node.cfg.read().expect("never poisoned").fleet.entry_width as usize;
+        // Callers of one organisation are sent to this many routers, and only these hold parts of
+        // its budgets.
+        let width = node.cfg.read().expect("the lock is never poisoned").fleet.entry_width as usize;
         let serving = live.iter().filter(|e| !e.leaving).count();
         node.session().set_router_counts(serving as u64, serving.min(width) as u64).await;
         maintain_witness(&node, &live).await;
@@ -367,7 +377,7 @@
         let backup = backup(&responsive, &me, w).cloned();
         WitnessPair { witness: w.clone(), backup }
     });
-    // Nobody to turn to: whom the row names is better than nobody.
+    // No responsive router is left. The current witness, although suspected, is better than none.
     if to.is_none() && !live.is_empty() && current.is_some() && responsive.len() < live.len() {
         return;
     }
@@ -378,20 +388,20 @@
     });
 }
 
-/// Dead wards whose grants are being settled, or are.
+/// Dead holders whose grants this router has reclaimed or is reclaiming.
 type Reclaimed = Arc<Mutex<Vec<Incarnation>>>;
 
-/// Each dead ward is reclaimed by a task of its own: one whose backup cannot be reached must not
-/// keep this router from caring for its own witness.
+/// Starts reclaiming the grants of holders that died. Each gets its own task, because an
+/// unreachable backup of one holder must not delay the checks of this router's own witness.
 fn reclaim_dead_holders<P: Platform, E: Engine, M: Mesh>(
     node: &SharedNode<P, E, M>,
     reclaimed: &Reclaimed,
 ) {
     let now = node.now();
-    let watched = node.witness.lock().expect("no code panics while it holds the witness").holders();
+    let watched = node.witness.lock().expect("the witness lock is never poisoned").holders();
     let dead: Vec<Incarnation> = {
         let view = node.lock_view();
-        let mut started = reclaimed.lock().expect("never poisoned");
+        let mut started = reclaimed.lock().expect("the lock is never poisoned");
         let dead = |w: &Incarnation| view.knows(w) && !view.alive(now, w) && !started.contains(w);
         let dead: Vec<Incarnation> = watched.into_iter().filter(dead).collect();
         started.extend(dead.iter().cloned());
@@ -406,14 +416,15 @@
                 sleep(RECLAIM_RETRY_DELAY).await;
             }
             if !matches!(done, Ok(true)) {
-                reclaimed.lock().expect("never poisoned").retain(|r| *r != holder);
+                reclaimed.lock().expect("the lock is never poisoned").retain(|r| *r != holder);
             }
         });
     }
 }
 
-/// A borrower that died cannot repay: the lender follows the run to its end itself. It must not
-/// stop it: a borrower that is only cut off still streams the answer to its caller.
+/// Settles loans whose borrower died and so cannot report the outcome. The lender follows the run
+/// until it ends and does not cancel it, because a borrower that is only cut off from the lender
+/// still streams the answer to its caller.
 fn settle_dead_borrowers<P: Platform, E: Engine, M: Mesh>(
     node: &SharedNode<P, E, M>,
     loans: &Arc<Loans>,
@@ -441,7 +452,8 @@
     }
 }
 
-/// Tells the witness what the table has, and joins again when this incarnation was sealed.
+/// Drops the copies of recorded bills at the witness, and starts a new session when the current one
+/// is fenced.
 async fn handle_session_events<P: Platform, E: Engine, M: Mesh>(
     node: SharedNode<P, E, M>,
     loans: Arc<Loans>,
@@ -462,8 +474,9 @@
     }
 }
 
-/// A wrong suspicion or a long pause ended this incarnation: what it held is its witness's to
-/// settle, and a new one starts with nothing. Running streams go on.
+/// Starts a new session after the current incarnation was sealed, by a false suspicion or after a
+/// long pause. The witness settles what the old incarnation held, and the new one starts without
+/// grants. Running streams continue.
 async fn rejoin<P: Platform, E: Engine, M: Mesh>(
     node: &SharedNode<P, E, M>,
 ) -> mpsc::UnboundedReceiver<SessionEvent> {
--- a/tests/test_api.rs
+++ b/tests/test_api.rs
@@ -1,4 +1,4 @@
-//! The callers' API over real sockets: bad input, refusals, streams.
+//! Tests of the API for callers over real sockets: bad input, refusals and streams.
 
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn chat_bad_input() {
-    // Whatever a caller sends, it gets the right kind of refusal, and the router lives.
+    // Bad input must get an error of the right kind, and the router must keep serving.
     let t = start_fleet().await;
     let url = format!("http://{}/v1/chat/completions", t.router.api);
     let post = |body: Vec<u8>| http().post(&url).bearer_auth("key").body(body);
@@ -89,7 +89,7 @@
         ("unknown budget", json(chat()).header("x-budget", "nope"), 404, "not_found"),
     ];
     for (case, req, status, kind) in cases {
-        // A router may refuse a large body before it was read whole, and close.
+        // The router may refuse a large body and close the connection before the body is sent.
         let Ok(resp) = req.send().await else {
             assert_eq!(case, "large body");
             continue;
@@ -126,7 +126,8 @@
 #[case::crossed(TargetFaults { cross_runs: true, ..TargetFaults::default() }, true)]
 #[tokio::test(flavor = "multi_thread")]
 async fn chat_faulty_target(#[case] faults: TargetFaults, #[case] whole: bool) {
-    // A caller gets a cut answer for a whole one, or words twice, or another caller's words.
+    // Guards against passing on a truncated answer as complete, repeated tokens, or tokens of
+    // another run, when a target is faulty.
     let t = start_fleet().await;
     t.target.target.set_faults(faults);
     let caller = Caller::new(vec![t.router.api.to_string()], "key", None).unwrap();
@@ -161,8 +162,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_drains_open_stream() {
-    // A planned stop cuts an answer short.
-    // The router is told to stop with a stream open: it finishes it, and leaves nothing held.
+    // Guards against a graceful stop that truncates an answer or leaves a grant behind. The router
+    // is stopped while a stream is open and must finish it.
     let t = start_fleet().await;
     let caller = Caller::new(vec![t.router.api.to_string()], "key", None).unwrap();
     let call = ChatCall {
@@ -186,7 +187,7 @@
 
 #[test]
 fn answer_kinds_distinct() {
-    // Every kind has a name of its own and a status that a caller can act on.
+    // Every error kind must have a distinct name and a status in the error range.
     let mut names: Vec<&str> = Kind::ALL.iter().map(|k| k.answer().name).collect();
     names.sort();
     names.dedup();
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -1,4 +1,5 @@
-//! Whole routers over in-memory fakes, with deaths, pauses and outages, in virtual time.
+//! Tests of a complete fleet over in-memory fakes, with crashes, pauses and outages in virtual
+//! time.
 
 use std::time::Duration;
 
@@ -45,7 +46,7 @@
     name("acme")
 }
 
-/// A request whose answer is long enough to die in its middle.
+/// Builds a request whose answer is long enough for a failure in the middle of it.
 fn long_request(key: &str) -> LocalRequest {
     let long = |n: &u32| natural_length(&format!("prompt {n}"), MAX_TOKENS) > 100;
     let n = (0..).find(long).unwrap();
@@ -67,7 +68,7 @@
     rows.iter().map(|r| r.decode().unwrap()).collect()
 }
 
-/// Waits until the ledger has settled, then checks that it adds up.
+/// Waits until the ledger has settled, then checks that its sums are consistent.
 async fn assert_ledger_settles(f: &LocalFleet) {
     sleep(Duration::from_secs(20)).await;
     assert!(ledger_adds_up(f).await.unwrap());
@@ -75,9 +76,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn router_killed_mid_stream() {
-    // A caller's answer stops in the middle, for ever.
-    // Its router dies with the stream open; the caller comes back elsewhere under the same key.
-    // The witness knows run and target, so the other router joins the run that goes on.
+    // Guards against an answer that never completes because its router died in the middle of the
+    // stream. The caller retries with the same key at another router, which learns run and target
+    // from the witness and joins the run.
     let mut f = fleet(100_000).await;
     let req = long_request("k1");
     let caller = f.caller();
@@ -98,8 +99,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn same_key_at_two_routers() {
-    // An organisation pays twice for one request.
-    // An impatient caller sends it to two routers at once.
+    // Guards against billing one request twice when an impatient caller sends it to two routers at
+    // once.
     let f = fleet(100_000).await;
     let (caller, req) = (f.caller(), long_request("k1"));
     let (a, b) = tokio::join!(caller.send_to(0, "chat", &req), caller.send_to(1, "chat", &req));
@@ -111,8 +112,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn same_key_other_content() {
-    // The answer to another question comes back under a key that was used before, at a router
-    // that never saw the first one.
+    // Guards against replaying the answer to another request when a key is reused at a router that
+    // has not seen the first request.
     let f = fleet(100_000).await;
     let caller = f.caller();
     caller.send_to(0, "chat", &long_request("k1")).await.unwrap();
@@ -126,8 +127,8 @@
 #[case::silent(TargetFate::Silent)]
 #[tokio::test(start_paused = true)]
 async fn target_fails_mid_stream(#[case] fate: TargetFate) {
-    // A caller's answer stops in the middle because its target dies, or says nothing more.
-    // Another target goes on where it stopped.
+    // Guards against an answer that never completes because its target dies or goes silent in the
+    // middle of it. Another target must continue the answer where it stopped.
     let f = fleet(100_000).await;
     let (caller, req) = (f.caller(), long_request("k1"));
     let sent = tokio::spawn({
@@ -150,9 +151,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn call_answer_lost() {
-    // Two technicians come, for one claim.
-    // A claim is filed, its answer is lost, and the caller tries again here and elsewhere.
-    // It was dispatched once, its end is not known, and nobody dispatches it again.
+    // Guards against running a non-repeatable call twice when its answer is lost and the caller
+    // retries at the same and at other routers. It must be dispatched once and then reported as
+    // unknown.
     let f = fleet(100_000).await;
     for t in ["t-a-0", "t-a-1", "t-b-0", "t-b-1", "t-c-0", "t-c-1"] {
         f.net.set_target(t, TargetFate::LosesCallAnswers);
@@ -168,8 +169,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn call_repeated_elsewhere() {
-    // A pull request is opened twice, because the retry went to another router.
-    // The second one finds the claim, and replays the answer.
+    // Guards against running a non-repeatable call twice when the retry goes to another router.
+    // That router must find the claim and replay the answer.
     let f = fleet(100_000).await;
     let (caller, key): (_, RequestKey) = (f.caller(), name("pr-1"));
     let first = caller.call_at(0, "filing", &org(), &key, Repeatable::No).await.unwrap();
@@ -182,9 +183,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn call_owner_gone() {
-    // A caller waits for seconds to hear that nothing is known of its claim.
-    // The router that claimed it died, and the one that is asked keeps the copy of its hold.
-    // Nobody goes on with the call, so "unknown" is the answer at once.
+    // Guards against a delay of seconds before "unknown" is reported for a call whose owner died.
+    // The router that gets the retry keeps the copy of the owner's hold, but nobody continues the
+    // call.
     let f = fleet(100_000).await;
     let owner: Incarnation = name("gone@1");
     let row =
@@ -203,16 +204,15 @@
         .await
         .unwrap_err();
     assert_eq!(e.kind, Kind::OutcomeUnknown);
-    // On the paused clock this is exact: a commit and a few round trips.
+    // The paused clock makes this exact: it takes one commit and a few round trips.
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
 }
 
 #[tokio::test(start_paused = true)]
 async fn seal_at_reused_address() {
-    // Tokens are given away although their run goes on.
-    // A backup dies with its copies, and a new process starts at its address. The witness asks
-    // for the dead one's seal and copies, and the new one answers that there are none.
-    // The question names the incarnation, and only that process may answer it.
+    // Guards against releasing the tokens of a run that is still going on. A backup dies and loses
+    // its copies, and a new process at its address reports to the witness that it has none. The
+    // message names the incarnation, so any other process must refuse it.
     let f = fleet(100_000).await;
     let (asked, asker) = (&f.places[0].node, &f.places[1].node);
     let to = asked.lock_view().me().clone();
@@ -225,8 +225,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn call_platform_away() {
-    // A claim that could not be recorded runs, and after a crash runs again.
-    // The platform is away: the call is refused with "not run", and did not run.
+    // Guards against dispatching a call whose claim could not be recorded, which could run again
+    // after a crash. While the platform is unavailable, the call must be refused as "not run" and
+    // must not run.
     let f = fleet(100_000).await;
     let (caller, key): (_, RequestKey) = (f.caller(), name("claim-1"));
     caller.call_at(0, "filing", &org(), &name("warm"), Repeatable::No).await.unwrap();
@@ -241,9 +242,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn router_paused_past_its_lease() {
-    // A budget is spent twice: by the others, and by a router that slept and wakes.
-    // It is paused with a stream open, reclaimed, and goes on with what it believes it holds.
-    // Its witness refuses its copies, so it starts anew with nothing; the ledger adds up.
+    // Guards against spending a budget twice, by a router that is paused with a stream open, is
+    // reclaimed, and then continues with its old grant. Its witness must refuse its copies, so that
+    // it starts a new incarnation without grants.
     let f = fleet(3_000).await;
     let caller = f.caller();
     let sent = tokio::spawn({
@@ -267,8 +268,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn platform_away_ten_minutes() {
-    // Claims are refused, or never billed, because the platform's table is away for ten minutes.
-    // Routers go on with what they hold, bills wait, and all are there afterwards, each once.
+    // Guards against refused or unbilled requests during a ten-minute outage of the platform's
+    // table. Routers must continue with their grants, keep the bills, and record each exactly once
+    // afterwards.
     let f = fleet(1_000_000).await;
     let caller = f.caller();
     for n in 0..30 {
@@ -289,8 +291,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn prepaid_lowered_below_what_is_out() {
-    // An organisation has more tokens granted than it is supposed to have prepaid.
-    // The edit is refused, and says how low it may go now.
+    // Guards against lowering the prepaid amount of an organisation below what is already granted.
+    // The edit must be refused with the lowest amount that is possible now.
     let f = fleet(100_000).await;
     f.caller().send_to(0, "chat", &long_request("k1")).await.unwrap();
     sleep(Duration::from_secs(5)).await;
--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,4 +1,4 @@
-//! All integration tests, one crate.
+//! All integration tests, in one crate.
 
 mod gatedir;
 mod lending_fleet;
--- a/tests/workdir.rs
+++ b/tests/workdir.rs
@@ -1,4 +1,4 @@
-//! What several tests share: names, rows, and a fake target.
+//! Helpers shared by several tests: names, bills, and fakes of targets and backups.
 
 use std::str::FromStr;
 use std::sync::{Arc, Mutex};
@@ -14,7 +14,7 @@
 use kingcupwall::error::{Error, Kind, Result};
 use kingcupwall::ids::{Digest, Incarnation, RunId, TargetId, Tokens};
 
-/// A name of any type.
+/// Parses a name, id or address that is known to be valid.
 pub fn name<T: FromStr>(text: &str) -> T
 where
     T::Err: std::fmt::Debug,
@@ -22,7 +22,7 @@
     text.parse().expect("tests use valid names")
 }
 
-/// A bill of organisation `acme` under `key`.
+/// Returns a bill of organisation `acme` for the request with this key.
 pub fn bill(key: &str, run: &str, cost: u64) -> Bill {
     Bill {
         organisation: name("acme"),
@@ -34,21 +34,21 @@
     }
 }
 
-/// What a fake target knows of a run.
+/// State of a run at a fake target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FakeRun {
-    /// It ended at this cost.
+    /// The run ended at this cost.
     Ended(u64),
-    /// It was forbidden before it started.
+    /// The run was canceled before it started, and must not start any more.
     Forbidden,
 }
 
-/// A target that knows some runs, or is away.
+/// Fake target that knows some runs and can be made unreachable.
 #[derive(Clone, Debug, Default)]
 pub struct FakeEngine {
-    /// Runs in order of their ids.
+    /// Known runs, in the order in which they were added.
     pub runs: Arc<Mutex<Vec<(RunId, FakeRun)>>>,
-    /// Whether it answers at all.
+    /// Whether the target is unreachable.
     pub away: Arc<Mutex<bool>>,
 }
 
@@ -69,13 +69,13 @@
         self.runs.lock().unwrap().iter().find(|(r, _)| r == run).map(|(_, f)| *f)
     }
 
-    /// Whether a run may still start here.
+    /// Returns whether a run may still start at this target.
     pub fn may_start(&self, run: &str) -> bool {
         self.find(&name(run)).is_none()
     }
 }
 
-/// The end of a fake run.
+/// Stream of a fake run: only its end.
 #[derive(Debug)]
 pub struct FakeParts(Option<Part>);
 
@@ -131,7 +131,7 @@
     }
 }
 
-/// Every target has an address.
+/// Resolves every target to the same address.
 #[derive(Clone, Copy, Debug)]
 pub struct SameAddress;
 
@@ -141,12 +141,12 @@
     }
 }
 
-/// A backup witness that can be out of reach.
+/// Fake backup witness that can be made unreachable.
 #[derive(Clone, Debug, Default)]
 pub struct FakeBackup {
-    /// Its copies.
+    /// Copies kept by the backup.
     pub witness: Arc<Mutex<Witness>>,
-    /// Whether it answers.
+    /// Whether the backup is unreachable.
     pub away: Arc<Mutex<bool>>,
 }
 
