--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -213,6 +213,7 @@
     }
 }
 
+/// State of driving one model request through its attempts.
 struct RunDriver<'a, P: Platform, E: Engine, M: Mesh> {
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Arc<Run>,
--- a/src/router/drive_call.rs
+++ b/src/router/drive_call.rs
@@ -115,6 +115,7 @@
     }
 }
 
+/// State of driving one service call through its attempts.
 struct CallDriver<'a, P: Platform, E: Engine, M: Mesh> {
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Run,
@@ -364,6 +365,7 @@
     }
 }
 
+/// Result of claiming a key: the version of the new claim row, or the answer of an earlier call.
 enum ClaimResult {
     Acquired(Version),
     Replay(ServiceAnswer),
--- a/src/router/gates.rs
+++ b/src/router/gates.rs
@@ -13,6 +13,7 @@
 /// Maximum number of requests in flight until the targets of a service are known.
 const INITIAL_CAPACITY: u32 = 8;
 
+/// Gate of one service and its waiting requests, sorted by ticket.
 #[derive(Debug)]
 struct ServiceGate {
     service: ServiceId,
--- a/src/router/session.rs
+++ b/src/router/session.rs
@@ -292,8 +292,8 @@
         // The reply may arrive after the request has stopped waiting. In that case the hold is
         // canceled here.
         tokio::spawn(async move {
-            let verdict = session.grant_actor.ask(msg).await;
-            let late = tx.send(verdict.map_err(into_error)).err();
+            let reply = session.grant_actor.ask(msg).await;
+            let late = tx.send(reply.map_err(into_error)).err();
             if let Some(Ok(hold)) = late {
                 session.tell_cancel(hold).await;
             }
