--- a/src/router/node.rs
+++ b/src/router/node.rs
@@ -217,11 +217,11 @@
     /// # Errors
     ///
     /// Returns `Io` otherwise, the same as for a router that cannot be reached.
-    pub fn check_own_incarnation(&self, keeper: &Incarnation) -> Result<()> {
+    pub fn check_own_incarnation(&self, addressee: &Incarnation) -> Result<()> {
         let is_past =
-            self.past_incarnations.lock().expect("the lock is never poisoned").contains(keeper);
-        let not_here = || Error::new(Kind::Io, format!("{keeper} is not here any more"));
-        (is_past || self.session().incarnation == *keeper).then_some(()).ok_or_else(not_here)
+            self.past_incarnations.lock().expect("the lock is never poisoned").contains(addressee);
+        let not_here = || Error::new(Kind::Io, format!("{addressee} is not here any more"));
+        (is_past || self.session().incarnation == *addressee).then_some(()).ok_or_else(not_here)
     }
 
     /// Locks the view of the other routers.
--- a/tests/test_api.rs
+++ b/tests/test_api.rs
@@ -125,7 +125,7 @@
 #[case::repeated(TargetFaults { repeat_tokens: true, ..TargetFaults::default() }, true)]
 #[case::crossed(TargetFaults { cross_runs: true, ..TargetFaults::default() }, true)]
 #[tokio::test(flavor = "multi_thread")]
-async fn chat_faulty_target(#[case] faults: TargetFaults, #[case] whole: bool) {
+async fn chat_faulty_target(#[case] faults: TargetFaults, #[case] complete: bool) {
     // Guards against passing on a truncated answer as complete, repeated tokens, or tokens of
     // another run, when a target is faulty.
     let t = start_fleet().await;
@@ -140,7 +140,7 @@
         patience: Duration::from_secs(3),
     };
     let got = caller.chat(&call, |_| {}).await;
-    assert_eq!(got.is_ok(), whole, "{got:?}");
+    assert_eq!(got.is_ok(), complete, "{got:?}");
     t.router.kill();
 }
 
