--- a/src/api/sse.rs
+++ b/src/api/sse.rs
@@ -1,8 +1,8 @@
 //! Answers as server-sent events.
 //!
-//! An event's id is the number of tokens up to it and a digest of their text. A caller that
-//! resumes names the last id it has; the router checks that its own answer begins with the same
-//! text, so that two runs are never spliced.
+//! The id of an event is the number of tokens up to and including it, and a digest of their text. A
+//! caller that resumes sends the last id it received. The router checks that its own answer begins
+//! with the same text, so that the answers of two runs are never mixed.
 
 use std::sync::Arc;
 
@@ -18,20 +18,21 @@
 use crate::error::{Error, Kind, Result};
 use crate::request::runs::{Run, RunEnd};
 
-/// A place in an answer.
+/// Position in an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EventId {
-    /// Tokens before it.
+    /// Number of tokens before the position.
     pub tokens: usize,
-    /// Digest of their text.
+    /// Digest of the text of these tokens.
     pub digest: u64,
 }
 
 impl EventId {
-    /// Reads `tokens-digest`.
+    /// Parses an id of the form `TOKENS-DIGEST`, with the digest in hexadecimal.
     ///
     /// # Errors
-    /// `BadRequest` for anything else.
+    ///
+    /// Returns `BadRequest` if the text has any other form.
     pub fn parse(text: &str) -> Result<EventId> {
         let bad =
             || Error::new(Kind::BadRequest, "Last-Event-ID is the id of an event as it was sent");
@@ -42,15 +43,15 @@
     }
 }
 
-/// Digest of an answer's text so far.
+/// Incremental digest of the tokens of an answer.
 #[derive(Clone, Debug, Default)]
-pub struct Rolling {
+pub struct PrefixDigest {
     hasher: blake3::Hasher,
     tokens: usize,
 }
 
-impl Rolling {
-    /// Adds tokens.
+impl PrefixDigest {
+    /// Appends tokens.
     pub fn extend(&mut self, tokens: &[CompactString]) {
         for t in tokens {
             self.hasher.update(t.as_bytes());
@@ -58,7 +59,7 @@
         self.tokens += tokens.len();
     }
 
-    /// The id after the tokens so far.
+    /// Returns the id of the position after the tokens so far.
     pub fn id(&self) -> EventId {
         let hash = self.hasher.finalize();
         let digest =
@@ -67,8 +68,8 @@
     }
 }
 
-/// Waits until a run shows something past `from`, or ends.
-pub async fn first_progress(run: &Run, rx: &mut watch::Receiver<u64>, from: usize) {
+/// Waits until a run has tokens after the first `from`, or ends.
+pub async fn wait_for_progress(run: &Run, rx: &mut watch::Receiver<u64>, from: usize) {
     loop {
         rx.borrow_and_update();
         if run.len() > from || run.has_ended() {
@@ -80,16 +81,17 @@
     }
 }
 
-/// Checks that an answer begins with what a caller has.
+/// Checks that an answer begins with the tokens that a caller already has.
 ///
 /// # Errors
-/// `RunLost` when it does not: the caller has to ask again from the start.
-pub fn check_resume(run: &Run, at: EventId) -> Result<Rolling> {
+///
+/// Returns `RunLost` if it does not. The caller must then repeat the request from the start.
+pub fn check_resume(run: &Run, at: EventId) -> Result<PrefixDigest> {
     let view = run.view(0);
-    let mut rolling = Rolling::default();
-    rolling.extend(view.tokens.get(..at.tokens).unwrap_or_default());
-    if rolling.id() == at {
-        return Ok(rolling);
+    let mut prefix = PrefixDigest::default();
+    prefix.extend(view.tokens.get(..at.tokens).unwrap_or_default());
+    if prefix.id() == at {
+        return Ok(prefix);
     }
     Err(Error::new(
         Kind::RunLost,
@@ -97,29 +99,29 @@
     ))
 }
 
-struct State {
+struct EventStream {
     run: Arc<Run>,
     rx: watch::Receiver<u64>,
-    rolling: Rolling,
+    prefix: PrefixDigest,
     service: String,
-    over: bool,
+    stream_ended: bool,
 }
 
-/// The rest of an answer as a stream of events.
-pub fn respond(
+/// Streams the rest of an answer as events.
+pub fn stream_response(
     run: Arc<Run>,
     rx: watch::Receiver<u64>,
-    rolling: Rolling,
+    prefix: PrefixDigest,
     service: String,
 ) -> Response {
-    let state = State { run, rx, rolling, service, over: false };
+    let state = EventStream { run, rx, prefix, service, stream_ended: false };
     let events = stream::unfold(state, |mut s| async move {
-        if s.over {
+        if s.stream_ended {
             return None;
         }
         loop {
             s.rx.borrow_and_update();
-            let view = s.run.view(s.rolling.tokens);
+            let view = s.run.view(s.prefix.tokens);
             if !view.tokens.is_empty() || view.end.is_some() {
                 let text = s.render(&view.tokens, view.end);
                 return Some((Ok::<_, std::io::Error>(Bytes::from(text)), s));
@@ -130,12 +132,12 @@
     ([(header::CONTENT_TYPE, "text/event-stream")], Body::from_stream(events)).into_response()
 }
 
-impl State {
+impl EventStream {
     fn render(&mut self, tokens: &[CompactString], end: Option<RunEnd>) -> String {
         let mut out = String::new();
         if !tokens.is_empty() {
-            self.rolling.extend(tokens);
-            let EventId { tokens: n, digest } = self.rolling.id();
+            self.prefix.extend(tokens);
+            let EventId { tokens: n, digest } = self.prefix.id();
             let chunk = json!({
                 "object": "chat.completion.chunk",
                 "model": self.service,
@@ -144,7 +146,7 @@
             out += &format!("id: {n}-{digest:016x}\ndata: {chunk}\n\n");
         }
         let Some(end) = end else { return out };
-        self.over = true;
+        self.stream_ended = true;
         out += &match end {
             RunEnd::Complete(usage, digest) => {
                 let last = json!({
@@ -163,7 +165,7 @@
     }
 }
 
-/// Usage as callers know it.
+/// Returns the token counts as the field `usage` of an answer.
 pub fn usage_body(u: crate::engine::RunUsage) -> serde_json::Value {
     json!({
         "prompt_tokens": u.prompt_tokens,
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -1,4 +1,4 @@
-//! Drives one model request from admission to its bill.
+//! Drives one model request from admission until it is billed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,9 +7,9 @@
 use compact_str::CompactString;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::gates::Visitor;
+use super::gates::AdmissionRequest;
 use super::node::{Counts, Node};
-use super::session::{Held, Purpose, Session};
+use super::session::{HeldTokens, HoldSpec, Session};
 use crate::budget::ledger::Bill;
 use crate::engine::{Engine, Parts, RunUsage, StartRun};
 use crate::error::{Error, Kind, Result};
@@ -22,64 +22,66 @@
 use crate::route::picker::Choice;
 use crate::table::Platform;
 
-/// Attempts of one request at most, resumptions at the same target not counted.
+/// Maximum number of attempts for one request. Resumptions at the same target are not counted.
 pub const MAX_ATTEMPTS: usize = 5;
-/// Resumptions of a broken stream at the same target before another is tried.
+/// Maximum number of times that a broken stream is resumed at the same target before another target
+/// is tried.
 const MAX_RESUMES: u32 = 2;
-/// Silence after which a stream is taken for broken.
-const SILENCE: Duration = Duration::from_secs(4);
-/// Time without any caller after which a request is cancelled.
-const LINGER: Duration = Duration::from_secs(20);
-/// Questions whether a request that another router admitted has started.
-const FIND_ATTEMPTS: u32 = 40;
-/// Pause between them.
-const FIND_PAUSE: Duration = Duration::from_millis(50);
-/// Further attempts to hold tokens while a router's are in doubt.
-const DOUBT_ATTEMPTS: u32 = 6;
-/// Pause between them.
-const DOUBT_PAUSE: Duration = Duration::from_millis(500);
-/// Bytes of the prompt that make up its prefix for affinity.
-const PREFIX: usize = 1_024;
+/// Time without data after which a stream, or a dispatch without a reply, counts as failed.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time without any following caller after which a request is canceled.
+const NO_CALLER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of queries for whether a request admitted by another router has started.
+const MAX_FIND_ATTEMPTS: u32 = 40;
+/// Interval between these queries.
+const FIND_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of retries of a reservation while a router is suspected to be dead and its tokens
+/// may be reclaimed.
+const MAX_SUSPECT_RETRIES: u32 = 6;
+/// Interval between these retries.
+const SUSPECT_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Length of the prompt prefix, in bytes, that decides which target a request has affinity to.
+const AFFINITY_PREFIX_BYTES: usize = 1_024;
 
-/// A model request.
+/// A model request, ready to be driven.
 #[derive(Clone, Debug)]
-pub struct Job {
-    /// Who may pass the gate.
-    pub visitor: Visitor,
-    /// The model.
+pub struct ModelJob {
+    /// Parameters for admission.
+    pub admission: AdmissionRequest,
+    /// Name of the model at the targets.
     pub model: CompactString,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Answer tokens at most.
+    /// Maximum number of answer tokens.
     pub max_tokens: u64,
-    /// The largest cost.
+    /// Largest possible cost.
     pub amount: Tokens,
-    /// When the answer must be whole.
+    /// Time limit for the complete answer.
     pub deadline: Duration,
-    /// Whether the caller chose the key, so that others may know it.
-    pub own_key: bool,
+    /// Whether the caller chose the idempotency key, so that other routers may already know it.
+    pub key_from_caller: bool,
 }
 
-/// Digest of the leading part of a prompt.
-pub fn prefix_of(prompt: &str) -> u64 {
-    if prompt.len() < PREFIX / 4 {
+/// Returns a digest of the first bytes of a prompt, or 0 if the prompt is too short for affinity.
+pub fn prompt_prefix_digest(prompt: &str) -> u64 {
+    if prompt.len() < AFFINITY_PREFIX_BYTES / 4 {
         0
     } else {
-        Digest::of(&prompt.as_bytes()[..prompt.len().min(PREFIX)]).word()
+        Digest::of(&prompt.as_bytes()[..prompt.len().min(AFFINITY_PREFIX_BYTES)]).word()
     }
 }
 
-/// Asks the routers that may know a key.
-pub async fn find_elsewhere<P: Platform, E: Engine, M: Mesh>(
+/// Asks the routers that may know a request with this key. Prefers an answer that names a run.
+pub async fn find_at_peers<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
     organisation: &OrganisationId,
     key: &RequestKey,
 ) -> Option<Found> {
-    // This router may itself keep the copy of a dead one.
-    if let Some(found) = node.found_copy(organisation, key) {
+    // This router may itself be the witness of a dead router and have its copy.
+    if let Some(found) = node.find_copy(organisation, key) {
         return Some(found);
     }
-    let others = node.others_for(organisation);
+    let others = node.budget_peers(organisation);
     let ask = || Ask::Find { organisation: organisation.clone(), key: key.clone() };
     let replies =
         futures_util::future::join_all(others.iter().map(|o| node.mesh.ask(o, ask()))).await;
@@ -91,42 +93,43 @@
     (!found.is_empty()).then(|| found.swap_remove(started))
 }
 
-/// Finds the request of that key, or starts the new one.
+/// Returns the request with the same key, or starts driving `new`.
 ///
 /// # Errors
-/// `KeyReused` when the key belongs to other content.
+///
+/// Returns `KeyReused` if the key belongs to a request with other content.
 pub fn open_run<P: Platform, E: Engine, M: Mesh>(
     node: &Arc<Node<P, E, M>>,
     new: Run,
-    job: Job,
+    job: ModelJob,
 ) -> Result<Arc<Run>> {
     node.open(new, |run| drive(node.clone(), run, job))
 }
 
-/// Drives `run` to its end. Whatever happens, its callers are told.
+/// Drives `run` until it ends. The end is always set, so that callers never wait forever.
 pub async fn drive<P: Platform, E: Engine, M: Mesh>(
     node: Arc<Node<P, E, M>>,
     run: Arc<Run>,
-    job: Job,
+    job: ModelJob,
 ) {
-    if job.own_key && join_elsewhere(&node, &run, &job).await {
+    if job.key_from_caller && join_at_peer(&node, &run, &job).await {
         return;
     }
     let began = node.now();
-    if let Err(e) = node.gates.enter(began, &job.visitor).await {
+    if let Err(e) = node.gates.enter(began, &job.admission).await {
         return refuse(&node, &run, e);
     }
     let entered = node.now();
     let deadline = Instant::now() + job.deadline;
-    let mut attempt =
-        Attempt { node: &node, run: &run, job: &job, deadline, tried: Vec::new(), held: None };
-    let end = attempt.run_to_end().await;
-    node.gates.leave(node.now(), &job.visitor, node.now().since(entered));
+    let mut driver =
+        RunDriver { node: &node, run: &run, job: &job, deadline, tried: Vec::new(), held: None };
+    let end = driver.run_to_end().await;
+    node.gates.leave(node.now(), &job.admission, node.now().since(entered));
     Counts::add(match &end {
         RunEnd::Failed(_) => &node.counts.refused,
         _ => &node.counts.answered,
     });
-    // A metrics sink that fails must not fail a request.
+    // A failing metrics sink must not fail a request.
     let _ = node.metrics.time("request.total", node.now().since(began).0);
     if let RunEnd::Failed(e) = &end {
         log::info!(
@@ -146,14 +149,14 @@
     run.end(RunEnd::Failed(e));
 }
 
-/// Joins a run that another router admitted. Whether the request is dealt with.
-async fn join_elsewhere<P: Platform, E: Engine, M: Mesh>(
+/// Joins a run that another router has admitted. Returns whether the request has ended.
+async fn join_at_peer<P: Platform, E: Engine, M: Mesh>(
     node: &Arc<Node<P, E, M>>,
     run: &Run,
-    job: &Job,
+    job: &ModelJob,
 ) -> bool {
-    for _ in 0..FIND_ATTEMPTS {
-        let Some(found) = find_elsewhere(node, &run.organisation, &run.key).await else {
+    for _ in 0..MAX_FIND_ATTEMPTS {
+        let Some(found) = find_at_peers(node, &run.organisation, &run.key).await else {
             return false;
         };
         if found.content != run.content {
@@ -162,19 +165,19 @@
             return true;
         }
         if let Some((id, target)) = found.run
-            && let Some(usage) = follow(node, run, &id, &target, job.deadline).await
+            && let Some(usage) = follow_run(node, run, &id, &target, job.deadline).await
         {
             Counts::add(&node.counts.joined);
             Counts::add(&node.counts.answered);
             run.end(RunEnd::Complete(usage, run.digest()));
             return true;
         }
-        tokio::time::sleep(FIND_PAUSE).await;
+        tokio::time::sleep(FIND_INTERVAL).await;
     }
     false
 }
 
-async fn follow<P: Platform, E: Engine, M: Mesh>(
+async fn follow_run<P: Platform, E: Engine, M: Mesh>(
     node: &Arc<Node<P, E, M>>,
     run: &Run,
     id: &RunId,
@@ -191,88 +194,90 @@
     timeout(limit, read).await.ok()?.ok()
 }
 
-/// Reads a stream to its end.
+/// Reads a stream until the run ends.
 async fn read_parts<S: Parts>(run: &Run, id: &RunId, parts: &mut S) -> Result<RunUsage> {
-    let mut alone = Instant::now();
+    let mut last_followed = Instant::now();
     loop {
         let broke = || Error::new(Kind::TargetFailed, "the stream broke off");
         let silent = |_| Error::new(Kind::TargetFailed, "the target went silent");
-        let part = timeout(SILENCE, parts.next()).await.map_err(silent)??.ok_or_else(broke)?;
+        let part =
+            timeout(STREAM_IDLE_TIMEOUT, parts.next()).await.map_err(silent)??.ok_or_else(broke)?;
         if let PieceResult::Complete(usage) = run.append_part(id, part)? {
             return Ok(usage);
         }
         if run.followers() > 0 {
-            alone = Instant::now();
-        } else if alone.elapsed() > LINGER {
+            last_followed = Instant::now();
+        } else if last_followed.elapsed() > NO_CALLER_TIMEOUT {
             return Err(Error::new(Kind::RunLost, "nobody waits for the answer"));
         }
     }
 }
 
-struct Attempt<'a, P: Platform, E: Engine, M: Mesh> {
+/// State of driving one model request through its attempts.
+struct RunDriver<'a, P: Platform, E: Engine, M: Mesh> {
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Arc<Run>,
-    job: &'a Job,
+    job: &'a ModelJob,
     deadline: Instant,
     tried: Vec<TargetId>,
-    held: Option<Reserved<P, M>>,
+    held: Option<Reservation<P, M>>,
 }
 
-/// A hold, and the incarnation that made it: a router that joined again meanwhile has another.
-pub struct Reserved<P: Platform, M: Mesh> {
-    /// The incarnation.
+/// A hold together with the session that made it. The router may have started a new session since.
+pub struct Reservation<P: Platform, M: Mesh> {
+    /// Session that made the hold.
     pub session: Arc<Session<P, M>>,
-    /// The hold.
-    pub held: Held,
-    /// What it is for.
-    pub purpose: Purpose,
+    /// The held tokens.
+    pub held: HeldTokens,
+    /// Specification of the hold.
+    pub spec: HoldSpec,
 }
 
-impl<P: Platform, M: Mesh> Reserved<P, M> {
-    /// Bills what was used.
+impl<P: Platform, M: Mesh> Reservation<P, M> {
+    /// Bills the tokens used.
     pub async fn settle(self, usage: RunUsage) {
         let cost = Tokens(usage.prompt_tokens).plus(Tokens(usage.tokens));
-        self.session.settle(self.held, &self.purpose, cost).await;
+        self.session.settle(self.held, &self.spec, cost).await;
     }
 
-    /// Bills nothing: there was no answer.
+    /// Releases the hold without a bill because there was no answer.
     pub async fn cancel(self) {
         self.session.cancel(self.held).await;
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Attempt<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> RunDriver<'_, P, E, M> {
     async fn run_to_end(&mut self) -> RunEnd {
         let late = |_| Error::new(Kind::Timeout, "the answer was not whole before its deadline");
-        let ended = timeout_at(self.deadline, self.attempts()).await.map_err(late).flatten();
-        let reserved = self.held.take();
+        let ended = timeout_at(self.deadline, self.try_targets()).await.map_err(late).flatten();
+        let reservation = self.held.take();
         match ended {
             Ok(usage) => {
-                if let Some(r) = reserved {
+                if let Some(r) = reservation {
                     r.settle(usage).await;
                 }
                 RunEnd::Complete(usage, self.run.digest())
             }
             Err(e) => {
-                self.clean_up(reserved, &e).await;
+                self.clean_up(reservation, &e).await;
                 RunEnd::Failed(e)
             }
         }
     }
 
-    /// A request without a whole answer costs nothing, except one that its caller left: that is
-    /// billed as far as it ran.
-    async fn clean_up(&self, reserved: Option<Reserved<P, M>>, e: &Error) {
+    /// Stops the run and releases the hold. A request without a complete answer costs nothing,
+    /// unless its callers left: then it is billed for the tokens generated so far.
+    async fn clean_up(&self, reservation: Option<Reservation<P, M>>, e: &Error) {
         let stopped = match self.run.execution() {
             Some((id, target)) => self.stop_run(&id, &target).await,
             None => None,
         };
-        let Some(reserved) = reserved else { return };
+        let Some(reservation) = reservation else { return };
         match stopped {
             Some(usage) if e.kind == Kind::RunLost && usage.tokens > 0 => {
-                reserved.settle(usage).await
+                reservation.settle(usage).await
             }
-            _ => reserved.cancel().await,
+            _ => reservation.cancel().await,
         }
     }
 
@@ -285,14 +290,14 @@
         }
     }
 
-    async fn attempts(&mut self) -> Result<RunUsage> {
-        self.node.retries.lock().expect("never poisoned").earn();
-        let id = self.node.session().new_run();
+    async fn try_targets(&mut self) -> Result<RunUsage> {
+        self.node.retries.lock().expect("the lock is never poisoned").earn();
+        let id = self.node.session().new_run_id();
         loop {
             let choice = self.choose()?;
             self.reserve(&id, &choice).await?;
             self.run.dispatched(&id, &choice.id);
-            let (stage, e) = match self.attempt(&id, &choice).await {
+            let (stage, e) = match self.dispatch_to(&id, &choice).await {
                 Ok(usage) => return Ok(usage),
                 Err(failed) => failed,
             };
@@ -302,7 +307,8 @@
             }
             self.tried.push(choice.id);
             let more = self.tried.len() < MAX_ATTEMPTS;
-            let budget = more && self.node.retries.lock().expect("never poisoned").try_spend();
+            let budget =
+                more && self.node.retries.lock().expect("the lock is never poisoned").try_spend();
             match after_failure(stage, Repeatable::Yes, e.kind, budget) {
                 Next::Retry => Counts::add(&self.node.counts.retries),
                 Next::GiveUp(kind) => return Err(Error::new(kind, e.message)),
@@ -324,20 +330,23 @@
 
     fn choose(&self) -> Result<Choice> {
         let now = self.node.now();
-        let prefix = prefix_of(&self.job.prompt);
+        let prefix = prompt_prefix_digest(&self.job.prompt);
         let mut picker = self.node.lock_picker();
         let choice = picker.pick(now, &self.job.model, prefix, &self.tried);
-        // Every target was tried: one of them is better than none.
+        // If every target has been tried, one of them is tried again.
         let choice = choice.or_else(|| picker.pick(now, &self.job.model, prefix, &[]));
         drop(picker);
         let none = || {
-            Error::new(Kind::NoTarget, format!("no target serves {} now", self.job.visitor.service))
+            Error::new(
+                Kind::NoTarget,
+                format!("no target serves {} now", self.job.admission.service),
+            )
         };
         let choice = choice.ok_or_else(none)?;
         log_choice(
             &self.run.organisation,
             &self.run.key,
-            &self.job.visitor,
+            &self.job.admission,
             &choice,
             self.tried.len() + 1,
         );
@@ -346,9 +355,9 @@
 
     async fn reserve(&mut self, id: &RunId, choice: &Choice) -> Result<()> {
         if let Some(r) = &mut self.held {
-            r.purpose.target = choice.id.clone();
-            let lost = |e: Error| Error::new(Kind::TargetFailed, e.message);
-            return r.session.move_to(&r.held, &r.purpose).await.map_err(lost);
+            r.spec.target = choice.id.clone();
+            let unprotected = |e: Error| Error::new(Kind::TargetFailed, e.message);
+            return r.session.change_target(&r.held, &r.spec).await.map_err(unprotected);
         }
         let session = self.node.session();
         let bill = Bill {
@@ -359,21 +368,21 @@
             run: id.clone(),
             cost: Tokens::ZERO,
         };
-        let purpose = Purpose { amount: self.job.amount, bill, target: choice.id.clone() };
+        let spec = HoldSpec { amount: self.job.amount, bill, target: choice.id.clone() };
         let others = self.node.lenders_for(&self.run.organisation);
-        let held = reserve_patiently(self.node, &session, &purpose, &others).await?;
-        self.held = Some(Reserved { session, held, purpose });
+        let held = reserve_with_retry(self.node, &session, &spec, &others).await?;
+        self.held = Some(Reservation { session, held, spec });
         Ok(())
     }
 
-    /// One dispatch, with resumptions of its stream.
-    async fn attempt(
+    /// Dispatches the run to one target and resumes its stream if it breaks.
+    async fn dispatch_to(
         &self,
         id: &RunId,
         choice: &Choice,
     ) -> std::result::Result<RunUsage, (Stage, Error)> {
         self.node.lock_picker().started(self.node.now(), &choice.id);
-        let mut guard = InFlight { node: self.node, target: choice.id.clone(), ok: false };
+        let mut guard = InFlightGuard { node: self.node, target: choice.id.clone(), ok: false };
         let result = self.stream(id, choice).await;
         guard.ok = result.is_ok();
         result
@@ -389,10 +398,15 @@
             model: self.job.model.clone(),
             prompt: self.job.prompt.clone(),
             max_tokens: self.job.max_tokens,
-            priority: self.job.visitor.priority,
+            priority: self.job.admission.priority,
             so_far: self.run.tokens(),
         };
-        let mut parts = match timeout(SILENCE, self.node.engine.start(&choice.addr, &start)).await {
+        let mut parts = match timeout(
+            STREAM_IDLE_TIMEOUT,
+            self.node.engine.start(&choice.addr, &start),
+        )
+        .await
+        {
             Ok(started) => started.map_err(|e| (Stage::Dispatched, e))?,
             Err(_) => {
                 return Err((
@@ -415,62 +429,65 @@
             resumes += 1;
             let from = self.run.len() as u64;
             let resumed = self.node.engine.resume(&choice.addr, id, from).await;
-            // A target that forgot the run failed; only a caller that left makes a run lost.
+            // If the target no longer knows the run, that is a target failure. `RunLost` is
+            // reserved for runs whose callers have left.
             let failed = |e: Error| (Stage::Streaming, Error::new(Kind::TargetFailed, e.message));
             parts = resumed.map_err(failed)?;
         }
     }
 }
 
-/// Holds tokens; while a router that may have some of the same budget has just fallen silent, a
-/// refusal waits for what its witness gives back.
+/// Reserves tokens. If the budget is exhausted while another router is suspected to be dead,
+/// retries for a while because the witness of that router may release tokens of the same budget.
 ///
 /// # Errors
-/// As [`Session::reserve`].
-pub async fn reserve_patiently<P: Platform, E: Engine, M: Mesh>(
+///
+/// Returns the errors of [`Session::reserve`], with `Fenced` replaced by `PlatformAway`.
+pub async fn reserve_with_retry<P: Platform, E: Engine, M: Mesh>(
     node: &Node<P, E, M>,
     session: &Arc<Session<P, M>>,
-    purpose: &Purpose,
+    spec: &HoldSpec,
     others: &[Entry],
-) -> Result<Held> {
+) -> Result<HeldTokens> {
     let mut attempt = 0;
     loop {
-        let refused = match session.reserve(purpose, others).await {
+        let refused = match session.reserve(spec, others).await {
             Ok(held) => return Ok(held),
             Err(e) => e,
         };
         attempt += 1;
-        let doubtful = node.lock_view().has_doubtful(node.now());
-        if refused.kind != Kind::BudgetExhausted || !doubtful || attempt > DOUBT_ATTEMPTS {
-            return Err(superseded(refused));
+        let has_suspect = node.lock_view().has_doubtful(node.now());
+        if refused.kind != Kind::BudgetExhausted || !has_suspect || attempt > MAX_SUSPECT_RETRIES {
+            return Err(fenced_as_platform_away(refused));
         }
-        tokio::time::sleep(DOUBT_PAUSE).await;
+        tokio::time::sleep(SUSPECT_RETRY_INTERVAL).await;
     }
 }
 
-/// To a caller, a router that was superseded is one that cannot reach the ledger for a moment.
-pub fn superseded(e: Error) -> Error {
+/// Replaces `Fenced` by `PlatformAway`: for a caller, a superseded router is one that cannot reach
+/// the ledger for a moment.
+pub fn fenced_as_platform_away(e: Error) -> Error {
     if e.kind == Kind::Fenced { Error::new(Kind::PlatformAway, e.message) } else { e }
 }
 
-/// Counts a run at its target, whatever way it ends.
-struct InFlight<'a, P: Platform, E: Engine, M: Mesh> {
+/// Counts a run as in flight at its target until dropped.
+struct InFlightGuard<'a, P: Platform, E: Engine, M: Mesh> {
     node: &'a Node<P, E, M>,
     target: TargetId,
     ok: bool,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Drop for InFlight<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> Drop for InFlightGuard<'_, P, E, M> {
     fn drop(&mut self) {
         self.node.lock_picker().ended(self.node.now(), &self.target, self.ok);
     }
 }
 
-/// One line per routing decision, enough to tell why.
+/// Logs one line per routing decision with the values that it was based on.
 pub fn log_choice(
     organisation: &OrganisationId,
     key: &RequestKey,
-    v: &Visitor,
+    v: &AdmissionRequest,
     c: &Choice,
     attempt: usize,
 ) {
--- a/src/router/drive_call.rs
+++ b/src/router/drive_call.rs
@@ -1,5 +1,5 @@
-//! Drives one call of a plain service. One that must not be repeated is claimed in the table
-//! before its only dispatch.
+//! Drives one call of a plain service. A call that must not be repeated is claimed in the table
+//! before it is dispatched.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use compact_str::format_compact;
 use serde::{Deserialize, Serialize};
 
-use super::drive::{MAX_ATTEMPTS, Reserved, find_elsewhere, log_choice, reserve_patiently};
-use super::gates::Visitor;
+use super::drive::{MAX_ATTEMPTS, Reservation, find_at_peers, log_choice, reserve_with_retry};
+use super::gates::AdmissionRequest;
 use super::node::{Counts, Node};
-use super::session::Purpose;
+use super::session::HoldSpec;
 use crate::budget::ledger::Bill;
 use crate::engine::{Engine, RunUsage, ServiceAnswer, ServiceCall};
 use crate::error::{Error, Kind, Result};
@@ -21,29 +21,29 @@
 use crate::route::picker::Choice;
 use crate::table::{Mutation, Platform, RowKey, Version, read_one};
 
-/// Bytes of an answer that the claim's row keeps for replays.
-const MAX_KEPT: usize = 16 * 1024;
-/// Time for a claim; past that the caller is told "not run".
+/// Maximum size, in bytes, of an answer that is stored in the claim row for replays.
+const MAX_KEPT_ANSWER_BYTES: usize = 16 * 1024;
+/// Time limit for claiming a key. After it, the caller gets a "not run" error.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Questions to the router that runs the same call.
-const JOIN_ATTEMPTS: u32 = 100;
-/// Pause between them.
-const JOIN_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of queries to the router that runs the same call.
+const MAX_JOIN_ATTEMPTS: u32 = 100;
+/// Interval between these queries.
+const JOIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A call.
+/// A service call, ready to be driven.
 #[derive(Clone, Debug)]
 pub struct CallJob {
-    /// Who may pass the gate.
-    pub visitor: Visitor,
+    /// Parameters for admission.
+    pub admission: AdmissionRequest,
     /// Path below the service.
     pub path: String,
-    /// The body as it came.
+    /// Body of the request, unchanged.
     pub body: String,
-    /// What one call costs.
+    /// Cost of one call.
     pub cost: Tokens,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub repeatable: Repeatable,
-    /// When the answer must be there.
+    /// Time limit for the answer.
     pub deadline: Duration,
 }
 
@@ -52,9 +52,9 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum ClaimState {
-    /// Its owner may have dispatched it.
+    /// The owner of the claim may have dispatched the call.
     Taken,
-    /// It ran, with this answer if it was small.
+    /// The call ran. Contains its answer unless that was too large to store.
     Done(Option<ServiceAnswer>),
 }
 
@@ -66,10 +66,11 @@
     state: ClaimState,
 }
 
-/// Finds the call of that key, or starts the new one.
+/// Returns the call with the same key, or starts driving `new`.
 ///
 /// # Errors
-/// `KeyReused` when the key belongs to other content.
+///
+/// Returns `KeyReused` if the key belongs to a call with other content.
 pub fn open_call<P: Platform, E: Engine, M: Mesh>(
     node: &Arc<Node<P, E, M>>,
     new: Run,
@@ -78,20 +79,20 @@
     node.open(new, |run| drive_call(node.clone(), run, job))
 }
 
-/// Drives `run` to its end. Whatever happens, its callers are told.
+/// Drives `run` until it ends. The end is always set, so that callers never wait forever.
 pub async fn drive_call<P: Platform, E: Engine, M: Mesh>(
     node: Arc<Node<P, E, M>>,
     run: Arc<Run>,
     job: CallJob,
 ) {
     let began = node.now();
-    let end = match node.gates.enter(began, &job.visitor).await {
+    let end = match node.gates.enter(began, &job.admission).await {
         Err(e) => Err(e),
         Ok(()) => {
             let entered = node.now();
-            let mut driver = Driver { node: &node, run: &run, job: &job, reserved: None };
+            let mut driver = CallDriver { node: &node, run: &run, job: &job, reservation: None };
             let end = driver.run_to_end().await;
-            node.gates.leave(node.now(), &job.visitor, node.now().since(entered));
+            node.gates.leave(node.now(), &job.admission, node.now().since(entered));
             end
         }
     };
@@ -114,23 +115,24 @@
     }
 }
 
-struct Driver<'a, P: Platform, E: Engine, M: Mesh> {
+/// State of driving one service call through its attempts.
+struct CallDriver<'a, P: Platform, E: Engine, M: Mesh> {
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Run,
     job: &'a CallJob,
-    reserved: Option<Reserved<P, M>>,
+    reservation: Option<Reservation<P, M>>,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Driver<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> CallDriver<'_, P, E, M> {
     async fn run_to_end(&mut self) -> Result<ServiceAnswer> {
         let choice = self.choose(&[])?;
-        let id = self.node.session().new_run();
+        let id = self.node.session().new_run_id();
         self.reserve(&id, &choice.id).await?;
         let claimed = match self.job.repeatable {
             Repeatable::Yes => None,
             Repeatable::No => match self.claim().await {
-                Ok(Claimed::Mine(version)) => Some(version),
-                Ok(Claimed::Replay(answer)) => {
+                Ok(ClaimResult::Acquired(version)) => Some(version),
+                Ok(ClaimResult::Replay(answer)) => {
                     self.cancel_hold().await;
                     return Ok(answer);
                 }
@@ -145,20 +147,20 @@
     }
 
     async fn cancel_hold(&mut self) {
-        if let Some(r) = self.reserved.take() {
+        if let Some(r) = self.reservation.take() {
             r.cancel().await;
         }
     }
 
     fn choose(&self, tried: &[TargetId]) -> Result<Choice> {
-        let service = self.job.visitor.service.as_str();
+        let service = self.job.admission.service.as_str();
         let none = || Error::new(Kind::NoTarget, format!("no target serves {service} now"));
         let choice =
             self.node.lock_picker().pick(self.node.now(), service, 0, tried).ok_or_else(none)?;
         log_choice(
             &self.run.organisation,
             &self.run.key,
-            &self.job.visitor,
+            &self.job.admission,
             &choice,
             tried.len() + 1,
         );
@@ -174,11 +176,11 @@
             run: id.clone(),
             cost: self.job.cost,
         };
-        let purpose = Purpose { amount: self.job.cost, bill, target: target.clone() };
+        let spec = HoldSpec { amount: self.job.cost, bill, target: target.clone() };
         let others = self.node.lenders_for(&self.run.organisation);
         let session = self.node.session();
-        let held = reserve_patiently(self.node, &session, &purpose, &others).await?;
-        self.reserved = Some(Reserved { session, held, purpose });
+        let held = reserve_with_retry(self.node, &session, &spec, &others).await?;
+        self.reservation = Some(Reservation { session, held, spec });
         Ok(())
     }
 
@@ -188,10 +190,11 @@
 
     /// Claims the key in the table.
     ///
-    /// Guards against two dispatches of one call over retries, crashes and routers: only who
-    /// inserted the row may dispatch. A claim whose answer is late is deleted when it comes,
-    /// because its caller was told "not run".
-    async fn claim(&self) -> Result<Claimed> {
+    /// The claim prevents one call from being dispatched twice, be it through retries, crashes or
+    /// different routers: only the router that inserted the row may dispatch. A claim that is
+    /// confirmed after the timeout is deleted again, because its caller was told that the call did
+    /// not run.
+    async fn claim(&self) -> Result<ClaimResult> {
         let session = self.node.session();
         let row = ClaimRow {
             content: self.run.content,
@@ -212,20 +215,26 @@
         let away = || Error::new(Kind::PlatformAway, "the call could not be claimed in time");
         let written = tokio::time::timeout(CLAIM_TIMEOUT, rx).await;
         match written.map_err(|_| away())?.map_err(|_| away())?? {
-            Some(version) => Ok(Claimed::Mine(version)),
-            None => self.claimed_before().await.map(Claimed::Replay),
+            Some(version) => Ok(ClaimResult::Acquired(version)),
+            None => self.await_earlier_claim().await.map(ClaimResult::Replay),
         }
     }
 
-    /// Somebody claimed the key before: its answer, or the wait for it, or "unknown".
-    async fn claimed_before(&self) -> Result<ServiceAnswer> {
+    /// Waits for the call that claimed the key earlier and returns its answer.
+    ///
+    /// # Errors
+    ///
+    /// Returns `OutcomeUnknown` if the owner of the claim is gone, the wait takes too long, or the
+    /// answer is not known. Returns `NoTarget` if the claim was deleted because the call did not
+    /// run, or `KeyReused` if it belongs to other content.
+    async fn await_earlier_claim(&self) -> Result<ServiceAnswer> {
         let unknown = || {
             Error::new(
                 Kind::OutcomeUnknown,
                 "the call was dispatched before, and its end is not known",
             )
         };
-        for _ in 0..JOIN_ATTEMPTS {
+        for _ in 0..MAX_JOIN_ATTEMPTS {
             let Some(row) = read_one(&self.node.platform, self.claim_key()).await? else {
                 return Err(Error::new(
                     Kind::NoTarget,
@@ -240,11 +249,12 @@
             if let ClaimState::Done(answer) = row.state {
                 return answer.ok_or_else(unknown);
             }
-            let found = find_elsewhere(self.node, &self.run.organisation, &self.run.key).await;
+            let found = find_at_peers(self.node, &self.run.organisation, &self.run.key).await;
             match found {
                 Some(f) if f.service.is_some() => return f.service.ok_or_else(unknown),
-                Some(_) if self.is_alive(&row.owner) => tokio::time::sleep(JOIN_PAUSE).await,
-                // Its owner is gone: nobody will ever know more, so the caller learns it now.
+                Some(_) if self.is_alive(&row.owner) => tokio::time::sleep(JOIN_INTERVAL).await,
+                // The owner is gone, so the outcome will never be known. The caller gets the error
+                // without further waiting.
                 _ => return Err(unknown()),
             }
         }
@@ -272,7 +282,8 @@
             );
             tried.push(choice.id.clone());
             let more = tried.len() < MAX_ATTEMPTS;
-            let budget = more && self.node.retries.lock().expect("never poisoned").try_spend();
+            let budget =
+                more && self.node.retries.lock().expect("the lock is never poisoned").try_spend();
             let next = after_failure(Stage::Dispatched, self.job.repeatable, e.kind, budget);
             let stage = if e.kind == Kind::NoTarget { Stage::Protected } else { Stage::Dispatched };
             match (next, self.choose(&tried)) {
@@ -289,7 +300,7 @@
         let call = ServiceCall {
             run: id.clone(),
             key: self.run.key.clone(),
-            service: self.job.visitor.service.as_str().into(),
+            service: self.job.admission.service.as_str().into(),
             path: self.job.path.clone(),
             body: self.job.body.clone(),
         };
@@ -303,18 +314,18 @@
         result
     }
 
-    /// Bills what ran or may have run, and writes the claim's end.
+    /// Updates the claim and bills the call, or releases its hold if there is no answer.
     async fn finish(
         &mut self,
         claimed: Option<Version>,
         stage: Stage,
         result: Result<ServiceAnswer>,
     ) -> Result<ServiceAnswer> {
-        let certain_not_run = result.is_err() && stage < Stage::Dispatched;
+        let provably_not_run = result.is_err() && stage < Stage::Dispatched;
         if let Some(version) = claimed {
-            self.end_claim(version, certain_not_run, result.as_ref().ok()).await;
+            self.end_claim(version, provably_not_run, result.as_ref().ok()).await;
         }
-        let Some(r) = self.reserved.take() else { return result };
+        let Some(r) = self.reservation.take() else { return result };
         if result.is_ok() {
             r.settle(RunUsage { prompt_tokens: 0, tokens: self.job.cost.0 }).await;
         } else {
@@ -330,14 +341,14 @@
         let m = match (not_run, answer) {
             (true, _) => m.delete(key),
             (false, Some(answer)) => {
-                let kept = (answer.body.len() <= MAX_KEPT).then(|| answer.clone());
+                let kept = (answer.body.len() <= MAX_KEPT_ANSWER_BYTES).then(|| answer.clone());
                 let owner = session.incarnation.clone();
                 m.put(
                     key,
                     &ClaimRow { content: self.run.content, owner, state: ClaimState::Done(kept) },
                 )
             }
-            // Unknown stays claimed for ever.
+            // The outcome is unknown, so the claim stays and the call is never dispatched again.
             (false, None) => return,
         };
         let committer = session.committer.clone();
@@ -345,7 +356,8 @@
             let _ = committer.write(m).await;
         };
         if not_run {
-            // The caller may retry at once: the claim has to be gone by then, if it can be.
+            // The caller may retry at once, so the claim should be gone before the error is
+            // returned.
             let _ = tokio::time::timeout(CLAIM_TIMEOUT, write).await;
         } else {
             tokio::spawn(write);
@@ -353,7 +365,8 @@
     }
 }
 
-enum Claimed {
-    Mine(Version),
+/// Result of claiming a key: the version of the new claim row, or the answer of an earlier call.
+enum ClaimResult {
+    Acquired(Version),
     Replay(ServiceAnswer),
 }
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -1,9 +1,9 @@
-//! Answers to other routers.
+//! Handler for messages from other routers.
 
 use std::sync::Arc;
 
 use super::node::Node;
-use super::tasks::LoanBook;
+use super::tasks::Loans;
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{OrganisationId, RequestKey, Revision, Tokens};
@@ -12,27 +12,27 @@
 use crate::request::runs::{Run, RunEnd};
 use crate::table::Platform;
 
-/// Answers questions about a node.
-pub struct PeerAnswers<P: Platform, E: Engine, M: Mesh> {
-    /// The node.
+/// Handles messages from other routers to a node.
+pub struct PeerHandler<P: Platform, E: Engine, M: Mesh> {
+    /// The node that receives the messages.
     pub node: Arc<Node<P, E, M>>,
-    /// Holds lent to others.
-    pub loans: Arc<LoanBook>,
+    /// Holds lent to other routers.
+    pub loans: Arc<Loans>,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Clone for PeerAnswers<P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> Clone for PeerHandler<P, E, M> {
     fn clone(&self) -> Self {
-        PeerAnswers { node: self.node.clone(), loans: self.loans.clone() }
+        PeerHandler { node: self.node.clone(), loans: self.loans.clone() }
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Answerer for PeerAnswers<P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> Answerer for PeerHandler<P, E, M> {
     async fn answer(&self, ask: Ask) -> Reply {
         self.try_answer(ask).await.unwrap_or_else(Reply::from)
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> PeerAnswers<P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> PeerHandler<P, E, M> {
     async fn try_answer(&self, ask: Ask) -> Result<Reply> {
         let node = &self.node;
         match ask {
@@ -49,10 +49,10 @@
                 Ok(Reply::Beat(mine))
             }
             Ask::Keep { keeper, holder, copies } => {
-                node.check_keeper(&keeper)?;
-                let mut witness =
-                    node.witness.lock().expect("no code panics while it holds the witness");
-                // An empty message, too, has to be refused for a sealed holder.
+                node.check_own_incarnation(&keeper)?;
+                let mut witness = node.witness.lock().expect("the witness lock is never poisoned");
+                // The check is also needed if `copies` is empty: a sealed holder must always be
+                // refused.
                 witness.check(&holder)?;
                 copies.into_iter().try_for_each(|c| witness.keep(&holder, c))?;
                 Ok(Reply::Done)
@@ -60,15 +60,14 @@
             Ask::Forget { holder, holds } => {
                 node.witness
                     .lock()
-                    .expect("no code panics while it holds the witness")
+                    .expect("the witness lock is never poisoned")
                     .forget(&holder, &holds);
                 Ok(Reply::Done)
             }
             Ask::Seal { keeper, holder } => {
-                node.check_keeper(&keeper)?;
+                node.check_own_incarnation(&keeper)?;
                 log::info!("witness=seal holder={holder} role=backup");
-                let mut witness =
-                    node.witness.lock().expect("no code panics while it holds the witness");
+                let mut witness = node.witness.lock().expect("the witness lock is never poisoned");
                 Ok(Reply::Copies(witness.seal(&holder)))
             }
             Ask::Find { organisation, key } => Ok(Reply::Found(self.find(&organisation, &key))),
@@ -86,35 +85,37 @@
                 }
                 let session = node.session();
                 let hold = session.lend(&budget, amount, copy.clone()).await?;
-                self.loans.lent(hold, copy);
+                self.loans.add_loan(hold, copy);
                 Ok(Reply::Held(hold))
             }
             Ask::Repay { lender, hold, bill } => {
-                // A loan of an incarnation that was sealed since is its witness's to settle. Taken
-                // for one of this incarnation's, it would free a hold whose run goes on.
+                // A loan of a sealed incarnation is settled by that incarnation's witness. Hold ids
+                // are unique only within an incarnation, so treating it as a loan of the current
+                // one could free a hold whose run is still going on.
                 let session = node.session();
-                let known = lender == session.incarnation && self.loans.repaid(hold).is_some();
+                let known = lender == session.incarnation && self.loans.end_loan(hold).is_some();
                 log::debug!(
                     "loan=repaid hold={} known={known} bill={:?}",
                     hold.0,
                     bill.as_ref().map(|b| b.cost)
                 );
                 if known {
-                    session.repaid(hold, bill).await;
+                    session.end_loan(hold, bill).await;
                 }
                 Ok(Reply::Done)
             }
             Ask::Move { lender, hold, target } => {
                 let session = node.session();
-                let moved =
-                    self.loans.moved(hold, target).filter(|_| lender == session.incarnation);
+                let retargeted =
+                    self.loans.retarget(hold, target).filter(|_| lender == session.incarnation);
                 let settled = || Error::new(Kind::Fenced, "this loan is settled");
-                session.lent_moved(hold, moved.ok_or_else(settled)?).await?;
+                session.retarget_loan(hold, retargeted.ok_or_else(settled)?).await?;
                 Ok(Reply::Done)
             }
             Ask::Release(budget) => {
                 node.session().release(budget).await;
-                // Two commits: what is free has to be in the table before the asker looks again.
+                // Waits for two group commits, so that the released tokens are in the table before
+                // the asking router tries again.
                 tokio::time::sleep(node.settings.commit_interval.duration() * 2).await;
                 Ok(Reply::Done)
             }
@@ -126,12 +127,12 @@
         }
     }
 
-    /// A run of this router, or one whose copy it keeps.
+    /// Returns what is known of a request that runs at this router or whose copy this router keeps.
     fn find(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Found> {
         if let Some(run) = self.node.lock_runs().get(organisation, key) {
-            return found(&run);
+            return found_from_run(&run);
         }
-        self.node.found_copy(organisation, key)
+        self.node.find_copy(organisation, key)
     }
 
     async fn revisions(&self, from: Revision) -> Vec<crate::config::revision::RevisionRow> {
@@ -139,10 +140,10 @@
     }
 }
 
-fn found(run: &Arc<Run>) -> Option<Found> {
+fn found_from_run(run: &Arc<Run>) -> Option<Found> {
     let view = run.view(usize::MAX);
     let service = match view.end {
-        // What failed here is no reason to fail elsewhere.
+        // The failure may be specific to this router, so other routers must not report it.
         Some(RunEnd::Failed(_)) => return None,
         Some(RunEnd::Service(answer)) => Some(answer),
         _ => None,
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a router.
+//! Starts and stops a router with its network listeners.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -7,7 +7,7 @@
 use cadence::{NopMetricSink, QueuingMetricSink, StatsdClient, UdpMetricSink};
 use tokio::task::{JoinHandle, JoinSet};
 
-use super::boot::{Boot, Booted, boot, give_back};
+use super::boot::{BootOptions, BootedNode, boot, release_and_leave};
 use super::node::Node;
 use crate::api::api_app;
 use crate::clock::Clock;
@@ -19,26 +19,26 @@
 use crate::standin::Served;
 use crate::table::http::HttpPlatform;
 
-/// Pause between looks at what still runs during a drain.
-const DRAIN_PAUSE: Duration = Duration::from_millis(100);
-/// Longest drain. Answers that run longer are left to the witness.
-const MAX_DRAIN: Duration = Duration::from_secs(180);
+/// Interval between checks for running requests during a drain.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum duration of a drain. Answers that take longer are left to the witness.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// The node that the daemon runs.
+/// The node of a router that runs as a daemon.
 pub type HttpNode = Node<HttpPlatform, HttpEngine, Links>;
 
 /// A running router.
 pub struct RunningRouter {
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub api: SocketAddr,
-    /// Its state.
+    /// State of the router.
     pub node: Arc<HttpNode>,
     served: Served,
     peer_task: JoinHandle<()>,
     tasks: JoinSet<()>,
-    /// Secrets of its links, for rotation.
+    /// Secrets of the links between routers; replaced on rotation.
     pub secrets: Secrets,
-    /// What its links refused and carried.
+    /// Counters of the links: refused messages, and bytes sent and received.
     pub link_counts: Arc<LinkCounts>,
 }
 
@@ -55,11 +55,12 @@
 }
 
 impl RunningRouter {
-    /// Starts a router and serves. It waits for the platform: without the configuration's head
-    /// and a holder row there is nothing that it may serve.
+    /// Starts a router and its listeners. Waits until the platform is available, because a router
+    /// cannot serve anything without the head of the configuration and a holder row.
     ///
     /// # Errors
-    /// `Io` when an address cannot be bound.
+    ///
+    /// Returns `Io` if an address cannot be bound.
     pub async fn start(settings: Settings) -> Result<RunningRouter> {
         let secrets: Secrets = Arc::new(Mutex::new(settings.link_keys.clone()));
         let link_counts: Arc<LinkCounts> = Arc::default();
@@ -68,7 +69,7 @@
         let peer_listener = std::net::TcpListener::bind(settings.peer_listen)?;
         let peer = peer_listener.local_addr()?;
 
-        let booted = boot(Boot {
+        let booted = boot(BootOptions {
             metrics: metrics(&settings)?,
             platform: HttpPlatform::new(&settings.platform)?,
             engine: HttpEngine::new()?,
@@ -82,8 +83,8 @@
             settings,
         })
         .await;
-        let Booted { node, answers, tasks } = booted;
-        let peer_task = listen(peer_listener, secrets.clone(), link_counts.clone(), answers)?;
+        let BootedNode { node, peer_handler, tasks } = booted;
+        let peer_task = listen(peer_listener, secrets.clone(), link_counts.clone(), peer_handler)?;
         let served = Served::start_on(api_listener, api_app(node.clone()))?;
         log::info!(
             "router=started incarnation={} api={api} peer={peer}",
@@ -92,21 +93,23 @@
         Ok(RunningRouter { api, node, served, peer_task, tasks, secrets, link_counts })
     }
 
-    /// Drains: no longer named in entry answers, still serving those who hold old ones, then
-    /// finishes what runs, gives grants back, flushes bills, and leaves.
+    /// Drains and stops the router. It is first left out of entry answers and keeps serving callers
+    /// with older answers. Then it refuses new requests, waits for running ones, releases its
+    /// grants, flushes its bills and marks its incarnation as left.
     pub async fn stop(mut self) {
         let node = self.node.clone();
         node.start_draining();
         log::info!("drain=start incarnation={}", node.session().incarnation);
-        let lifetime = node.cfg.read().expect("never poisoned").fleet.entry_lifetime.duration();
+        let lifetime =
+            node.cfg.read().expect("the lock is never poisoned").fleet.entry_lifetime.duration();
         tokio::time::sleep(lifetime).await;
         node.refuse_new();
-        let limit = tokio::time::Instant::now() + MAX_DRAIN;
+        let limit = tokio::time::Instant::now() + DRAIN_TIMEOUT;
         while node.lock_runs().running() > 0 && tokio::time::Instant::now() < limit {
-            tokio::time::sleep(DRAIN_PAUSE).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.served.stop().await;
-        give_back(&node, limit).await;
+        release_and_leave(&node, limit).await;
         log::info!("drain=done incarnation={}", node.session().incarnation);
         self.tasks.abort_all();
         self.peer_task.abort();
--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,4 +1,4 @@
-//! All integration tests, one crate.
+//! All integration tests, in one crate.
 
 mod gateway_fleet;
 mod lending_fleet;
