--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::node::{Node, NodeParts};
-use super::peers::PeerHandler;
+use super::peers::NodePeerHandler;
 use super::session::{Session, SessionEvent, SessionParts};
 use super::tasks::{Loans, start_tasks};
 use crate::budget::ledger::{HolderRow, HolderState};
@@ -63,7 +63,7 @@
     /// The node.
     pub node: Arc<Node<P, E, M>>,
     /// Handler for messages from other routers.
-    pub peer_handler: PeerHandler<P, E, M>,
+    pub peer_handler: NodePeerHandler<P, E, M>,
     /// Background tasks; they stop when this is dropped.
     pub tasks: JoinSet<()>,
 }
@@ -120,7 +120,7 @@
         sizing: options.sizing,
     }));
     let loans: Arc<Loans> = Arc::default();
-    let peer_handler = PeerHandler { node: node.clone(), loans: loans.clone() };
+    let peer_handler = NodePeerHandler { node: node.clone(), loans: loans.clone() };
     let tasks = start_tasks(&node, &loans, events);
     BootedNode { node, peer_handler, tasks }
 }
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -13,26 +13,26 @@
 use crate::table::Platform;
 
 /// Handles messages from other routers to a node.
-pub struct PeerHandler<P: Platform, E: Engine, M: Mesh> {
+pub struct NodePeerHandler<P: Platform, E: Engine, M: Mesh> {
     /// The node that receives the messages.
     pub node: Arc<Node<P, E, M>>,
     /// Holds lent to other routers.
     pub loans: Arc<Loans>,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Clone for PeerHandler<P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> Clone for NodePeerHandler<P, E, M> {
     fn clone(&self) -> Self {
-        PeerHandler { node: self.node.clone(), loans: self.loans.clone() }
+        NodePeerHandler { node: self.node.clone(), loans: self.loans.clone() }
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Answerer for PeerHandler<P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> Answerer for NodePeerHandler<P, E, M> {
     async fn answer(&self, ask: Ask) -> Reply {
         self.try_answer(ask).await.unwrap_or_else(Reply::from)
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> PeerHandler<P, E, M> {
+impl<P: Platform, E: Engine, M: Mesh> NodePeerHandler<P, E, M> {
     async fn try_answer(&self, ask: Ask) -> Result<Reply> {
         let node = &self.node;
         match ask {
--- a/src/standin/local.rs
+++ b/src/standin/local.rs
@@ -21,7 +21,7 @@
 use crate::membership::link::Answerer;
 use crate::membership::view::Entry;
 use crate::membership::wire::{Ask, Mesh, Reply};
-use crate::router::peers::PeerHandler;
+use crate::router::peers::NodePeerHandler;
 use crate::table::memory::Memory;
 use crate::table::{Instance, InstanceState, Instances, Objects, Outcome, Row, RowKey, Table, Txn};
 
@@ -48,7 +48,7 @@
 /// A node over the fakes.
 pub type LocalNode = crate::router::node::Node<LocalPlatform, LocalEngine, LocalMesh>;
 /// Answers for a node over the fakes.
-pub type LocalAnswers = PeerHandler<LocalPlatform, LocalEngine, LocalMesh>;
+pub type LocalAnswers = NodePeerHandler<LocalPlatform, LocalEngine, LocalMesh>;
 type Inbox = mpsc::UnboundedSender<(Ask, oneshot::Sender<Reply>)>;
 
 struct Slot {
