--- a/src/api/chat.rs
+++ b/src/api/chat.rs
@@ -18,7 +18,7 @@
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, RequestKey, ServiceId, Tokens};
-use crate::membership::wire::Mesh;
+use crate::membership::wire::PeerClient;
 use crate::request::runs::{End, Run};
 use crate::router::drive::{Job, open_run};
 use crate::router::gates::Visitor;
@@ -51,7 +51,7 @@
 }
 
 /// Handles a chat request.
-pub async fn complete<P: Platform, E: Engine, M: Mesh>(
+pub async fn complete<P: Platform, E: Engine, M: PeerClient>(
     State(node): App<P, E, M>,
     headers: HeaderMap,
     body: Body,
@@ -60,7 +60,7 @@
     try_complete(node, headers, body).await.unwrap_or_else(IntoResponse::into_response)
 }
 
-async fn try_complete<P: Platform, E: Engine, M: Mesh>(
+async fn try_complete<P: Platform, E: Engine, M: PeerClient>(
     node: Arc<Node<P, E, M>>,
     headers: HeaderMap,
     body: Body,
@@ -177,7 +177,7 @@
     }
 }
 
-fn open<P: Platform, E: Engine, M: Mesh>(
+fn open<P: Platform, E: Engine, M: PeerClient>(
     node: &Arc<Node<P, E, M>>,
     org: &Organisation,
     key: RequestKey,
--- a/src/api/entry.rs
+++ b/src/api/entry.rs
@@ -10,8 +10,8 @@
 use crate::engine::Engine;
 use crate::error::Result;
 use crate::ids::ZoneId;
-use crate::membership::entry::answer;
-use crate::membership::wire::Mesh;
+use crate::membership::selection::routers_for_caller;
+use crate::membership::wire::PeerClient;
 use crate::router::node::Node;
 use crate::table::Platform;
 
@@ -33,7 +33,7 @@
 }
 
 /// Handles a question for addresses.
-pub async fn entry<P: Platform, E: Engine, M: Mesh>(
+pub async fn entry<P: Platform, E: Engine, M: PeerClient>(
     State(node): App<P, E, M>,
     Query(near): Query<Near>,
     headers: HeaderMap,
@@ -42,7 +42,7 @@
         .map_or_else(IntoResponse::into_response, |a| Json(a).into_response())
 }
 
-fn try_entry<P: Platform, E: Engine, M: Mesh>(
+fn try_entry<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     near: &Near,
     headers: &HeaderMap,
@@ -50,7 +50,8 @@
     let org = organisation(node, headers)?;
     let zone: Option<ZoneId> = near.zone.as_deref().map(str::parse).transpose()?;
     let fleet = node.cfg.read().expect("never poisoned").fleet.clone();
-    let entries = answer(&node.live(), &org.id, fleet.entry_width as usize, zone.as_ref());
+    let entries =
+        routers_for_caller(&node.live(), &org.id, fleet.entry_width as usize, zone.as_ref());
     let addresses = entries.into_iter().map(|e| e.api.to_string()).collect();
     Ok(EntryAnswer { addresses, lifetime_ms: fleet.entry_lifetime.0 })
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -21,7 +21,7 @@
 use crate::engine::Engine;
 use crate::error::{Error, Kind, NotRun, Result};
 use crate::ids::RequestKey;
-use crate::membership::wire::Mesh;
+use crate::membership::wire::PeerClient;
 use crate::router::node::Node;
 use crate::table::Platform;
 
@@ -46,7 +46,7 @@
 pub type Body = std::result::Result<Bytes, BytesRejection>;
 
 /// All paths.
-pub fn api_app<P: Platform, E: Engine, M: Mesh>(node: Arc<Node<P, E, M>>) -> axum::Router {
+pub fn api_app<P: Platform, E: Engine, M: PeerClient>(node: Arc<Node<P, E, M>>) -> axum::Router {
     let operator = axum::Router::new()
         .route("/operator/status", get(operator::status::<P, E, M>))
         .route("/operator/budget/{organisation}", get(operator::budget::<P, E, M>))
@@ -66,7 +66,7 @@
         .with_state(node)
 }
 
-async fn readyz<P: Platform, E: Engine, M: Mesh>(State(node): App<P, E, M>) -> Response {
+async fn readyz<P: Platform, E: Engine, M: PeerClient>(State(node): App<P, E, M>) -> Response {
     match node.is_ready() {
         true => "ready".into_response(),
         false => (StatusCode::SERVICE_UNAVAILABLE, "not ready").into_response(),
@@ -125,7 +125,7 @@
 ///
 /// # Errors
 /// `Unauthorized`, the same for an absent and a wrong key.
-pub fn organisation<P: Platform, E: Engine, M: Mesh>(
+pub fn organisation<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     headers: &HeaderMap,
 ) -> Result<Organisation> {
@@ -139,7 +139,7 @@
 ///
 /// # Errors
 /// `BadRequest` for a malformed key.
-pub fn request_key<P: Platform, E: Engine, M: Mesh>(
+pub fn request_key<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     headers: &HeaderMap,
 ) -> Result<(RequestKey, bool)> {
@@ -178,7 +178,7 @@
 ///
 /// # Errors
 /// `Draining`.
-pub fn check_open<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>) -> Result<()> {
+pub fn check_open<P: Platform, E: Engine, M: PeerClient>(node: &Node<P, E, M>) -> Result<()> {
     match node.refuses_new() {
         true => Err(Error::new(Kind::Draining, "this router drains; ask /v1/entry for others")),
         false => Ok(()),
--- a/src/api/operator.rs
+++ b/src/api/operator.rs
@@ -16,12 +16,12 @@
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, Incarnation, Revision, Tokens};
-use crate::membership::wire::Mesh;
+use crate::membership::wire::PeerClient;
 use crate::router::node::Node;
 use crate::router::tasks::{publish_revision, read_holders};
 use crate::table::{Platform, RowKey};
 
-fn check_operator<P: Platform, E: Engine, M: Mesh>(
+fn check_operator<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     headers: &HeaderMap,
 ) -> Result<()> {
@@ -33,7 +33,7 @@
 }
 
 /// `GET /operator/status`: routers, targets, revision, counts.
-pub async fn status<P: Platform, E: Engine, M: Mesh>(
+pub async fn status<P: Platform, E: Engine, M: PeerClient>(
     State(node): App<P, E, M>,
     headers: HeaderMap,
 ) -> Response {
@@ -52,10 +52,10 @@
         .collect();
     let silent: Vec<_> = {
         let view = node.lock_view();
-        let dead = |(e, quiet): &(crate::membership::view::Entry, crate::ids::Millis)| {
-            !view.alive(now, &e.incarnation) && quiet.0 < 3_600_000
+        let dead = |(e, quiet): &(crate::membership::view::RouterInfo, crate::ids::Millis)| {
+            !view.is_router_alive(now, &e.incarnation) && quiet.0 < 3_600_000
         };
-        let known = view.known(now);
+        let known = view.known_peers(now);
         known
             .iter()
             .filter(|k| dead(k))
@@ -76,7 +76,7 @@
     let (in_flight, waiting) = node.gates.load();
     Json(json!({
         "me": node.session().incarnation,
-        "revision": node.lock_view().me().revision,
+        "revision": node.lock_view().local_router().revision,
         "draining": node.is_draining(),
         "routers": routers,
         "silent": silent,
@@ -128,7 +128,7 @@
 }
 
 /// `GET /operator/budget/ORGANISATION`: its budgets, by holder.
-pub async fn budget<P: Platform, E: Engine, M: Mesh>(
+pub async fn budget<P: Platform, E: Engine, M: PeerClient>(
     State(node): App<P, E, M>,
     Path(organisation): Path<String>,
     headers: HeaderMap,
@@ -142,7 +142,7 @@
     }
 }
 
-async fn budget_reports<P: Platform, E: Engine, M: Mesh>(
+async fn budget_reports<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     organisation: &str,
 ) -> Result<Vec<BudgetReport>> {
@@ -166,7 +166,7 @@
         for (holder, h) in &holders {
             let grant: Seen<GrantRow> = seen(find(grant_key(holder, &id)))?;
             if grant.version.is_some() {
-                let alive = node.lock_view().alive(now, holder);
+                let alive = node.lock_view().is_router_alive(now, holder);
                 let (granted, settled) = (grant.row.granted, grant.row.settled);
                 parts.push(HolderPart {
                     holder: holder.clone(),
@@ -209,7 +209,7 @@
 }
 
 /// `GET /operator/config`: the revision in force and its text.
-pub async fn config<P: Platform, E: Engine, M: Mesh>(
+pub async fn config<P: Platform, E: Engine, M: PeerClient>(
     State(node): App<P, E, M>,
     headers: HeaderMap,
 ) -> Response {
@@ -231,7 +231,7 @@
 }
 
 /// `GET /operator/revisions?after=N`: accepted revisions with their edits.
-pub async fn revisions<P: Platform, E: Engine, M: Mesh>(
+pub async fn revisions<P: Platform, E: Engine, M: PeerClient>(
     State(node): App<P, E, M>,
     Query(after): Query<After>,
     headers: HeaderMap,
@@ -246,7 +246,7 @@
 }
 
 /// `POST /operator/submit`: a submission.
-pub async fn submit_edits<P: Platform, E: Engine, M: Mesh>(
+pub async fn submit_edits<P: Platform, E: Engine, M: PeerClient>(
     State(node): App<P, E, M>,
     headers: HeaderMap,
     body: Body,
--- a/src/api/service.rs
+++ b/src/api/service.rs
@@ -15,7 +15,7 @@
 use crate::engine::{Engine, ServiceAnswer};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, ServiceId};
-use crate::membership::wire::Mesh;
+use crate::membership::wire::PeerClient;
 use crate::request::life::Repeatable;
 use crate::request::runs::{End, Run};
 use crate::router::drive_call::{CallJob, open_call};
@@ -23,7 +23,7 @@
 use crate::table::Platform;
 
 /// Handles a call.
-pub async fn call<P: Platform, E: Engine, M: Mesh>(
+pub async fn call<P: Platform, E: Engine, M: PeerClient>(
     State(node): App<P, E, M>,
     Path((service, path)): Path<(String, String)>,
     headers: HeaderMap,
@@ -33,7 +33,7 @@
     try_call(node, service, path, headers, body).await.unwrap_or_else(IntoResponse::into_response)
 }
 
-async fn try_call<P: Platform, E: Engine, M: Mesh>(
+async fn try_call<P: Platform, E: Engine, M: PeerClient>(
     node: Arc<Node<P, E, M>>,
     service: String,
     path: String,
--- a/src/experiment/capacity.rs
+++ b/src/experiment/capacity.rs
@@ -19,8 +19,8 @@
 use crate::error::Result;
 use crate::ids::{Digest, Incarnation, Millis, Revision, Tokens, ZoneId};
 use crate::membership::frame::encode;
-use crate::membership::view::{Entry, View};
-use crate::membership::wire::Ask;
+use crate::membership::view::{RouterInfo, View};
+use crate::membership::wire::PeerRequest;
 use crate::route::picker::{Listed, Picker, Policy};
 use crate::table::committer::Committer;
 use crate::table::memory::Memory;
@@ -101,7 +101,7 @@
 /// Bytes of one heartbeat among `n` routers, and the time to take one.
 fn gossip(n: u64) -> (f64, f64) {
     const BEATS: u32 = 2_000;
-    let entry = |i: u64| Entry {
+    let entry = |i: u64| RouterInfo {
         incarnation: format!("entry-{i}@0123456789abcdef").parse().expect("a valid name"),
         zone: zone(i % 22),
         api: format!("10.0.{}.{}:8080", i / 250, i % 250).into(),
@@ -118,8 +118,8 @@
     let mut bytes = 0;
     let began = Instant::now();
     for _ in 0..BEATS {
-        let entries = view.beat(now);
-        bytes = encode(&Ask::Beat(entries.clone())).len();
+        let entries = view.next_heartbeat(now);
+        bytes = encode(&PeerRequest::Beat(entries.clone())).len();
         other.merge(now, entries);
     }
     (bytes as f64, began.elapsed().as_nanos() as f64 / f64::from(BEATS))
--- a/src/membership/link.rs
+++ b/src/membership/link.rs
@@ -15,24 +15,24 @@
 use tokio_tungstenite::tungstenite::Message;
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
-use super::frame::{Hello, MAX_FRAME, OLDEST, Side, Signer, VERSION, decode, encode};
-use super::view::Entry;
-use super::wire::{Ask, Mesh, Reply};
+use super::frame::{Hello, MAX_FRAME_BYTES, MIN_VERSION, Side, Signer, VERSION, decode, encode};
+use super::view::RouterInfo;
+use super::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::error::{Error, Kind, Result};
 
 /// Time for a connection and its handshake.
-const CONNECT: Duration = Duration::from_millis(500);
+const LINK_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time for a reply.
-const REPLY: Duration = Duration::from_millis(800);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
 /// Questions in flight on one link at most.
-const MAX_IN_FLIGHT: usize = 4_096;
+const MAX_REQUESTS_IN_FLIGHT: usize = 4_096;
 
 type Socket = WebSocketStream<TcpStream>;
 
 /// A question or a reply, numbered by the side that asked.
 #[derive(Debug)]
 #[derive(Deserialize, Serialize)]
-struct Numbered<T> {
+struct Envelope<T> {
     id: u64,
     body: T,
 }
@@ -54,15 +54,17 @@
 /// secret is first added last everywhere, then moved to the front, then the old one removed.
 pub type Secrets = Arc<Mutex<Vec<CompactString>>>;
 
-fn config() -> WebSocketConfig {
-    WebSocketConfig::default().max_message_size(Some(MAX_FRAME)).max_frame_size(Some(MAX_FRAME))
+fn websocket_config() -> WebSocketConfig {
+    WebSocketConfig::default()
+        .max_message_size(Some(MAX_FRAME_BYTES))
+        .max_frame_size(Some(MAX_FRAME_BYTES))
 }
 
-fn io(e: impl std::fmt::Display) -> Error {
+fn link_error(e: impl std::fmt::Display) -> Error {
     Error::new(Kind::Io, format!("link: {e}"))
 }
 
-fn hello() -> Hello {
+fn new_hello() -> Hello {
     let mut nonce = [0; 16];
     getrandom::fill(&mut nonce).expect("the system has random bytes");
     Hello { version: VERSION, nonce }
@@ -73,56 +75,59 @@
         match socket.next().await {
             Some(Ok(Message::Binary(data))) => return Ok(data),
             Some(Ok(Message::Ping(_) | Message::Pong(_))) => {}
-            Some(Ok(_)) | None => return Err(io("closed")),
-            Some(Err(e)) => return Err(io(e)),
+            Some(Ok(_)) | None => return Err(link_error("closed")),
+            Some(Err(e)) => return Err(link_error(e)),
         }
     }
 }
 
 async fn send_frame(socket: &mut Socket, data: Vec<u8>) -> Result<()> {
-    socket.send(Message::Binary(data.into())).await.map_err(io)
+    socket.send(Message::Binary(data.into())).await.map_err(link_error)
 }
 
 fn check_version(h: &Hello) -> Result<()> {
     let old = || {
-        Error::new(Kind::BadFormat, format!("link version {} is older than {OLDEST}", h.version))
+        Error::new(
+            Kind::BadFormat,
+            format!("link version {} is older than {MIN_VERSION}", h.version),
+        )
     };
-    if h.version < OLDEST { Err(old()) } else { Ok(()) }
+    if h.version < MIN_VERSION { Err(old()) } else { Ok(()) }
 }
 
 /// A link to one router, for asking it.
 #[derive(Clone, Debug)]
 struct Link {
-    tx: mpsc::Sender<(Ask, oneshot::Sender<Reply>)>,
+    tx: mpsc::Sender<(PeerRequest, oneshot::Sender<PeerReply>)>,
 }
 
 /// All links of a router to others, opened on first use.
 #[derive(Clone, Debug)]
-pub struct Links {
+pub struct LinkPool {
     secrets: Secrets,
     counts: Arc<LinkCounts>,
     open: Arc<tokio::sync::Mutex<Vec<(CompactString, Link)>>>,
 }
 
-impl Links {
+impl LinkPool {
     /// Links under these secrets.
-    pub fn new(secrets: Secrets, counts: Arc<LinkCounts>) -> Links {
-        Links { secrets, counts, open: Arc::default() }
+    pub fn new(secrets: Secrets, counts: Arc<LinkCounts>) -> LinkPool {
+        LinkPool { secrets, counts, open: Arc::default() }
     }
 
     async fn link(&self, peer: &CompactString) -> Result<Link> {
         let mut open = self.open.lock().await;
         open.retain(|(_, l)| !l.tx.is_closed());
-        if let Ok(place) = open.binary_search_by(|(p, _)| p.cmp(peer)) {
-            return Ok(open[place].1.clone());
+        if let Ok(index) = open.binary_search_by(|(p, _)| p.cmp(peer)) {
+            return Ok(open[index].1.clone());
         }
         drop(open);
-        let late = |_| Error::new(Kind::Timeout, format!("no link to {peer} in time"));
-        let link = timeout(CONNECT, self.connect(peer)).await.map_err(late)??;
+        let timed_out = |_| Error::new(Kind::Timeout, format!("no link to {peer} in time"));
+        let link = timeout(LINK_CONNECT_TIMEOUT, self.connect(peer)).await.map_err(timed_out)??;
         let mut open = self.open.lock().await;
         match open.binary_search_by(|(p, _)| p.cmp(peer)) {
-            Ok(place) => open[place].1 = link.clone(),
-            Err(place) => open.insert(place, (peer.clone(), link.clone())),
+            Ok(index) => open[index].1 = link.clone(),
+            Err(index) => open.insert(index, (peer.clone(), link.clone())),
         }
         Ok(link)
     }
@@ -132,51 +137,55 @@
         stream.set_nodelay(true)?;
         let url = format!("ws://{peer}/");
         let (mut socket, _) =
-            tokio_tungstenite::client_async_with_config(url, stream, Some(config()))
+            tokio_tungstenite::client_async_with_config(url, stream, Some(websocket_config()))
                 .await
-                .map_err(io)?;
-        let mine = hello();
-        send_frame(&mut socket, encode(&mine)).await?;
-        let theirs: Hello = decode(&read_frame(&mut socket).await?)?;
-        check_version(&theirs)?;
+                .map_err(link_error)?;
+        let own_hello = new_hello();
+        send_frame(&mut socket, encode(&own_hello)).await?;
+        let peer_hello: Hello = decode(&read_frame(&mut socket).await?)?;
+        check_version(&peer_hello)?;
         let secret =
             self.secrets.lock().expect("never poisoned").first().cloned().unwrap_or_default();
-        let signer = Signer::new(&secret, &mine, &theirs, Side::Caller);
-        let checker = Signer::new(&secret, &mine, &theirs, Side::Listener);
-        let (tx, rx) = mpsc::channel(MAX_IN_FLIGHT);
-        tokio::spawn(run_caller(socket, signer, checker, rx, self.counts.clone()));
+        let signer = Signer::new(&secret, &own_hello, &peer_hello, Side::Initiator);
+        let verifier = Signer::new(&secret, &own_hello, &peer_hello, Side::Responder);
+        let (tx, rx) = mpsc::channel(MAX_REQUESTS_IN_FLIGHT);
+        tokio::spawn(run_initiator(socket, signer, verifier, rx, self.counts.clone()));
         Ok(Link { tx })
     }
 }
 
-impl Mesh for Links {
-    async fn ask(&self, to: &Entry, ask: Ask) -> Result<Reply> {
+impl PeerClient for LinkPool {
+    async fn rpc(&self, to: &RouterInfo, request: PeerRequest) -> Result<PeerReply> {
         let link = self.link(&to.peer).await?;
         let (tx, rx) = oneshot::channel();
-        let lost = || Error::new(Kind::Io, format!("link to {} broke", to.incarnation));
-        link.tx.try_send((ask, tx)).map_err(|_| lost())?;
-        let late = |_| Error::new(Kind::Timeout, format!("no reply from {}", to.incarnation));
-        timeout(REPLY, rx).await.map_err(late)?.map_err(|_| lost())?.accepted()
+        let link_broken = || Error::new(Kind::Io, format!("link to {} broke", to.incarnation));
+        link.tx.try_send((request, tx)).map_err(|_| link_broken())?;
+        let timed_out = |_| Error::new(Kind::Timeout, format!("no reply from {}", to.incarnation));
+        timeout(REPLY_TIMEOUT, rx)
+            .await
+            .map_err(timed_out)?
+            .map_err(|_| link_broken())?
+            .into_result()
     }
 }
 
-async fn run_caller(
+async fn run_initiator(
     mut socket: Socket,
     mut signer: Signer,
-    mut checker: Signer,
-    mut rx: mpsc::Receiver<(Ask, oneshot::Sender<Reply>)>,
+    mut verifier: Signer,
+    mut rx: mpsc::Receiver<(PeerRequest, oneshot::Sender<PeerReply>)>,
     counts: Arc<LinkCounts>,
 ) {
-    let mut next = 0;
-    let mut waiting: Vec<(u64, oneshot::Sender<Reply>)> = Vec::new();
+    let mut next_id = 0;
+    let mut waiting: Vec<(u64, oneshot::Sender<PeerReply>)> = Vec::new();
     loop {
         tokio::select! {
-            asked = rx.recv() => {
-                let Some((body, tx)) = asked else { return };
-                next += 1;
+            queued = rx.recv() => {
+                let Some((body, tx)) = queued else { return };
+                next_id += 1;
                 waiting.retain(|(_, tx)| !tx.is_closed());
-                waiting.push((next, tx));
-                let frame = signer.seal(&Numbered { id: next, body });
+                waiting.push((next_id, tx));
+                let frame = signer.sign_frame(&Envelope { id: next_id, body });
                 counts.sent.fetch_add(frame.len() as u64, Ordering::Relaxed);
                 if send_frame(&mut socket, frame).await.is_err() {
                     return;
@@ -185,12 +194,12 @@
             frame = read_frame(&mut socket) => {
                 let Ok(frame) = frame else { return };
                 counts.received.fetch_add(frame.len() as u64, Ordering::Relaxed);
-                let reply: Numbered<Reply> = match checker.open(&frame) {
+                let reply: Envelope<PeerReply> = match verifier.verify_frame(&frame) {
                     Ok(reply) => reply,
-                    Err(e) => return count_refused(&counts, &e),
+                    Err(e) => return count_rejected_frame(&counts, &e),
                 };
-                if let Ok(place) = waiting.binary_search_by(|(id, _)| id.cmp(&reply.id)) {
-                    let (_, tx) = waiting.remove(place);
+                if let Ok(index) = waiting.binary_search_by(|(id, _)| id.cmp(&reply.id)) {
+                    let (_, tx) = waiting.remove(index);
                     // Who asked may have stopped waiting.
                     let _ = tx.send(reply.body);
                 }
@@ -199,7 +208,7 @@
     }
 }
 
-fn count_refused(counts: &LinkCounts, e: &Error) {
+fn count_rejected_frame(counts: &LinkCounts, e: &Error) {
     let counter =
         if e.kind == Kind::Unauthorized { &counts.unauthorized } else { &counts.malformed };
     counter.fetch_add(1, Ordering::Relaxed);
@@ -207,60 +216,65 @@
 }
 
 /// Answers other routers' questions.
-pub trait Answerer: Clone + Send + Sync + 'static {
+pub trait PeerHandler: Clone + Send + Sync + 'static {
     /// The reply to one question.
-    fn answer(&self, ask: Ask) -> impl Future<Output = Reply> + Send;
+    fn handle_request(&self, request: PeerRequest) -> impl Future<Output = PeerReply> + Send;
 }
 
 /// Accepts links. The task ends when it is aborted, and all links with it.
 ///
 /// # Errors
 /// `Io` when the listener cannot be used.
-pub fn listen<A: Answerer>(
+pub fn listen<H: PeerHandler>(
     listener: std::net::TcpListener,
     secrets: Secrets,
     counts: Arc<LinkCounts>,
-    answerer: A,
+    handler: H,
 ) -> Result<tokio::task::JoinHandle<()>> {
     listener.set_nonblocking(true)?;
     let listener = TcpListener::from_std(listener)?;
     let task = tokio::spawn(async move {
-        let mut links = tokio::task::JoinSet::new();
+        let mut open_links = tokio::task::JoinSet::new();
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(e) => {
                     // Out of descriptors, most likely: others have to close first.
                     log::warn!("link=accept_failed error={e:?}");
-                    tokio::time::sleep(CONNECT).await;
+                    tokio::time::sleep(LINK_CONNECT_TIMEOUT).await;
                     continue;
                 }
             };
-            while links.try_join_next().is_some() {}
-            links.spawn(run_listener(stream, secrets.clone(), counts.clone(), answerer.clone()));
+            while open_links.try_join_next().is_some() {}
+            open_links.spawn(run_responder(
+                stream,
+                secrets.clone(),
+                counts.clone(),
+                handler.clone(),
+            ));
         }
     });
     Ok(task)
 }
 
-async fn run_listener<A: Answerer>(
+async fn run_responder<H: PeerHandler>(
     stream: TcpStream,
     secrets: Secrets,
     counts: Arc<LinkCounts>,
-    answerer: A,
+    handler: H,
 ) {
-    let accepted = timeout(CONNECT, accept(stream)).await;
-    let Ok(Ok((mut socket, caller, mine))) = accepted else {
+    let accepted = timeout(LINK_CONNECT_TIMEOUT, accept(stream)).await;
+    let Ok(Ok((mut socket, initiator_hello, own_hello))) = accepted else {
         counts.malformed.fetch_add(1, Ordering::Relaxed);
         return;
     };
-    let (tx, mut rx) = mpsc::channel::<Numbered<Reply>>(MAX_IN_FLIGHT);
+    let (tx, mut rx) = mpsc::channel::<Envelope<PeerReply>>(MAX_REQUESTS_IN_FLIGHT);
     let mut keys: Option<(Signer, Signer)> = None;
     loop {
         tokio::select! {
             reply = rx.recv() => {
                 let (Some(reply), Some((_, signer))) = (reply, keys.as_mut()) else { return };
-                let frame = signer.seal(&reply);
+                let frame = signer.sign_frame(&reply);
                 counts.sent.fetch_add(frame.len() as u64, Ordering::Relaxed);
                 if send_frame(&mut socket, frame).await.is_err() {
                     return;
@@ -269,13 +283,13 @@
             frame = read_frame(&mut socket) => {
                 let Ok(frame) = frame else { return };
                 counts.received.fetch_add(frame.len() as u64, Ordering::Relaxed);
-                let opened = match keys.as_mut() {
-                    Some((checker, _)) => checker.open(&frame),
-                    None => open_first(&secrets, &caller, &mine, &frame, &mut keys),
+                let verified = match keys.as_mut() {
+                    Some((verifier, _)) => verifier.verify_frame(&frame),
+                    None => verify_first_frame(&secrets, &initiator_hello, &own_hello, &frame, &mut keys),
                 };
-                match opened {
-                    Ok(ask) => answer(answerer.clone(), ask, tx.clone()),
-                    Err(e) => return count_refused(&counts, &e),
+                match verified {
+                    Ok(request) => spawn_handler(handler.clone(), request, tx.clone()),
+                    Err(e) => return count_rejected_frame(&counts, &e),
                 }
             }
         }
@@ -284,42 +298,50 @@
 
 async fn accept(stream: TcpStream) -> Result<(Socket, Hello, Hello)> {
     stream.set_nodelay(true)?;
-    let mut socket =
-        tokio_tungstenite::accept_async_with_config(stream, Some(config())).await.map_err(io)?;
-    let theirs: Hello = decode(&read_frame(&mut socket).await?)?;
-    check_version(&theirs)?;
-    let mine = hello();
-    send_frame(&mut socket, encode(&mine)).await?;
-    Ok((socket, theirs, mine))
+    let mut socket = tokio_tungstenite::accept_async_with_config(stream, Some(websocket_config()))
+        .await
+        .map_err(link_error)?;
+    let peer_hello: Hello = decode(&read_frame(&mut socket).await?)?;
+    check_version(&peer_hello)?;
+    let own_hello = new_hello();
+    send_frame(&mut socket, encode(&own_hello)).await?;
+    Ok((socket, peer_hello, own_hello))
 }
 
 /// The first frame tells which of the accepted secrets the caller signs with.
-fn open_first(
+fn verify_first_frame(
     secrets: &Secrets,
-    caller: &Hello,
-    mine: &Hello,
+    initiator_hello: &Hello,
+    own_hello: &Hello,
     frame: &[u8],
     keys: &mut Option<(Signer, Signer)>,
-) -> Result<Numbered<Ask>> {
-    let all = secrets.lock().expect("never poisoned").clone();
-    let mut refused = Error::new(Kind::Unauthorized, "no secrets are configured");
-    for secret in all {
-        let mut checker = Signer::new(&secret, caller, mine, Side::Caller);
-        match checker.open(frame) {
-            Ok(ask) => {
-                *keys = Some((checker, Signer::new(&secret, caller, mine, Side::Listener)));
-                return Ok(ask);
+) -> Result<Envelope<PeerRequest>> {
+    let accepted_secrets = secrets.lock().expect("never poisoned").clone();
+    let mut rejection = Error::new(Kind::Unauthorized, "no secrets are configured");
+    for secret in accepted_secrets {
+        let mut verifier = Signer::new(&secret, initiator_hello, own_hello, Side::Initiator);
+        match verifier.verify_frame(frame) {
+            Ok(request) => {
+                *keys = Some((
+                    verifier,
+                    Signer::new(&secret, initiator_hello, own_hello, Side::Responder),
+                ));
+                return Ok(request);
             }
-            Err(e) => refused = e,
+            Err(e) => rejection = e,
         }
     }
-    Err(refused)
+    Err(rejection)
 }
 
-fn answer<A: Answerer>(answerer: A, ask: Numbered<Ask>, tx: mpsc::Sender<Numbered<Reply>>) {
+fn spawn_handler<H: PeerHandler>(
+    handler: H,
+    request: Envelope<PeerRequest>,
+    tx: mpsc::Sender<Envelope<PeerReply>>,
+) {
     tokio::spawn(async move {
-        let body = answerer.answer(ask.body).await;
+        let body = handler.handle_request(request.body).await;
         // A link that closed meanwhile needs no reply.
-        let _ = tx.send(Numbered { id: ask.id, body }).await;
+        let _ = tx.send(Envelope { id: request.id, body }).await;
     });
 }
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::view::Entry;
+use super::view::RouterInfo;
 use crate::budget::holder::HoldId;
 use crate::budget::ledger::Bill;
 use crate::budget::witness::Copy;
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ask {
+pub enum PeerRequest {
     /// A heartbeat with entries of several routers.
-    Beat(Vec<Entry>),
+    Beat(Vec<RouterInfo>),
     /// Keep copies of this holder's holds.
     Keep {
         /// The incarnation that is meant to keep them.
@@ -95,7 +95,7 @@
 /// What a router knows of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Found {
+pub struct KnownRequest {
     /// Digest of the request's content.
     pub content: Digest,
     /// The execution, once there is one.
@@ -104,11 +104,11 @@
     pub service: Option<ServiceAnswer>,
 }
 
-impl Found {
+impl KnownRequest {
     /// What a copy tells.
-    pub fn of_copy(copy: &Copy) -> Found {
+    pub fn from_copy(copy: &Copy) -> KnownRequest {
         let run = Some((copy.bill.run.clone(), copy.target.clone()));
-        Found { content: copy.bill.content, run, service: None }
+        KnownRequest { content: copy.bill.content, run, service: None }
     }
 }
 
@@ -116,13 +116,13 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reply {
+pub enum PeerReply {
     /// Done.
     Done,
     /// Entries of several routers.
-    Beat(Vec<Entry>),
+    Beat(Vec<RouterInfo>),
     /// What is known of a request.
-    Found(Option<Found>),
+    Found(Option<KnownRequest>),
     /// Copies of a sealed holder.
     Copies(Vec<Copy>),
     /// So much is free.
@@ -132,43 +132,47 @@
     /// Revisions in order.
     Revisions(Vec<RevisionRow>),
     /// Not done.
-    Refused(Refusal),
+    Refused(PeerError),
 }
 
 /// An error as it travels.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Refusal {
+pub struct PeerError {
     /// Its kind.
     pub kind: crate::error::Kind,
     /// Its message.
     pub message: String,
 }
 
-impl From<Error> for Reply {
-    fn from(e: Error) -> Reply {
-        Reply::Refused(Refusal { kind: e.kind, message: e.message })
+impl From<Error> for PeerReply {
+    fn from(e: Error) -> PeerReply {
+        PeerReply::Refused(PeerError { kind: e.kind, message: e.message })
     }
 }
 
-impl Reply {
+impl PeerReply {
     /// A refusal as an error.
     ///
     /// # Errors
     /// The other router's own error.
-    pub fn accepted(self) -> Result<Reply> {
+    pub fn into_result(self) -> Result<PeerReply> {
         match self {
-            Reply::Refused(r) => Err(Error::new(r.kind, r.message)),
+            PeerReply::Refused(r) => Err(Error::new(r.kind, r.message)),
             other => Ok(other),
         }
     }
 }
 
 /// The other routers as somebody to talk to.
-pub trait Mesh: Clone + Send + Sync + 'static {
+pub trait PeerClient: Clone + Send + Sync + 'static {
     /// Asks `to`, and waits for its reply for a short time.
     ///
     /// # Errors
     /// `Timeout` or `Io` when there is no reply: the message may or may not have arrived.
-    fn ask(&self, to: &Entry, ask: Ask) -> impl Future<Output = Result<Reply>> + Send;
+    fn rpc(
+        &self,
+        to: &RouterInfo,
+        request: PeerRequest,
+    ) -> impl Future<Output = Result<PeerReply>> + Send;
 }
--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -22,8 +22,8 @@
 use crate::config::store::Follower;
 use crate::engine::Engine;
 use crate::ids::{Digest, Incarnation};
-use crate::membership::view::{Entry, View};
-use crate::membership::wire::Mesh;
+use crate::membership::view::{RouterInfo, View};
+use crate::membership::wire::PeerClient;
 use crate::route::picker::{Picker, Policy};
 use crate::table::Platform;
 
@@ -59,7 +59,7 @@
 }
 
 /// A node at work.
-pub struct Booted<P: Platform, E: Engine, M: Mesh> {
+pub struct Booted<P: Platform, E: Engine, M: PeerClient> {
     /// The node.
     pub node: Arc<Node<P, E, M>>,
     /// Answers other routers.
@@ -83,7 +83,7 @@
 
 /// Starts a node. It waits for the platform: without the configuration's head and a holder row
 /// there is nothing that it may serve.
-pub async fn boot<P: Platform, E: Engine, M: Mesh>(b: Boot<P, E, M>) -> Booted<P, E, M> {
+pub async fn boot<P: Platform, E: Engine, M: PeerClient>(b: Boot<P, E, M>) -> Booted<P, E, M> {
     let cfg: Arc<RwLock<Config>> = Arc::default();
     let mut follower = Follower::default();
     while let Err(e) = follower.catch_up(&b.platform, &cfg).await {
@@ -91,7 +91,7 @@
         sleep(PAUSE).await;
     }
     let (session, news) = first_session(&b, &cfg).await;
-    let me = Entry {
+    let me = RouterInfo {
         incarnation: session.incarnation.clone(),
         zone: b.settings.zone.clone(),
         api: b.api,
@@ -123,7 +123,7 @@
     Booted { node, answers, tasks }
 }
 
-async fn first_session<P: Platform, E: Engine, M: Mesh>(
+async fn first_session<P: Platform, E: Engine, M: PeerClient>(
     b: &Boot<P, E, M>,
     cfg: &Arc<RwLock<Config>>,
 ) -> (Arc<Session<P, M>>, mpsc::UnboundedReceiver<News>) {
@@ -155,7 +155,10 @@
 
 /// Gives grants back, flushes bills, and leaves. What is not done by `limit` is left to the
 /// witness.
-pub async fn give_back<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>, limit: Instant) {
+pub async fn give_back<P: Platform, E: Engine, M: PeerClient>(
+    node: &Node<P, E, M>,
+    limit: Instant,
+) {
     const LOOK: Duration = Duration::from_millis(100);
     let session = node.session();
     loop {
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -14,8 +14,8 @@
 use crate::engine::{Engine, Parts, RunUsage, StartRun};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, OrganisationId, RequestKey, RunId, TargetId, Tokens};
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Found, Mesh, Reply};
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{KnownRequest, PeerClient, PeerReply, PeerRequest};
 use crate::request::answer::Taken;
 use crate::request::life::{Next, Repeatable, Stage, after_failure};
 use crate::request::runs::{End, Run};
@@ -70,22 +70,22 @@
 }
 
 /// Asks the routers that may know a key.
-pub async fn find_elsewhere<P: Platform, E: Engine, M: Mesh>(
+pub async fn find_elsewhere<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     organisation: &OrganisationId,
     key: &RequestKey,
-) -> Option<Found> {
+) -> Option<KnownRequest> {
     // This router may itself keep the copy of a dead one.
     if let Some(found) = node.found_copy(organisation, key) {
         return Some(found);
     }
     let others = node.others_for(organisation);
-    let ask = || Ask::Find { organisation: organisation.clone(), key: key.clone() };
+    let ask = || PeerRequest::Find { organisation: organisation.clone(), key: key.clone() };
     let replies =
-        futures_util::future::join_all(others.iter().map(|o| node.mesh.ask(o, ask()))).await;
-    let mut found: Vec<Found> = replies
+        futures_util::future::join_all(others.iter().map(|o| node.mesh.rpc(o, ask()))).await;
+    let mut found: Vec<KnownRequest> = replies
         .into_iter()
-        .filter_map(|r| if let Ok(Reply::Found(f)) = r { f } else { None })
+        .filter_map(|r| if let Ok(PeerReply::Found(f)) = r { f } else { None })
         .collect();
     let started = found.iter().position(|f| f.run.is_some()).unwrap_or(0);
     (!found.is_empty()).then(|| found.swap_remove(started))
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 /// `KeyReused` when the key belongs to other content.
-pub fn open_run<P: Platform, E: Engine, M: Mesh>(
+pub fn open_run<P: Platform, E: Engine, M: PeerClient>(
     node: &Arc<Node<P, E, M>>,
     new: Run,
     job: Job,
@@ -104,7 +104,7 @@
 }
 
 /// Drives `run` to its end. Whatever happens, its callers are told.
-pub async fn drive<P: Platform, E: Engine, M: Mesh>(
+pub async fn drive<P: Platform, E: Engine, M: PeerClient>(
     node: Arc<Node<P, E, M>>,
     run: Arc<Run>,
     job: Job,
@@ -140,14 +140,14 @@
     run.end(end);
 }
 
-fn refuse<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>, run: &Run, e: Error) {
+fn refuse<P: Platform, E: Engine, M: PeerClient>(node: &Node<P, E, M>, run: &Run, e: Error) {
     Counts::add(&node.counts.refused);
     log::info!("request=refused org={} key={} kind={}", run.organisation, run.key, e.kind);
     run.end(End::Failed(e));
 }
 
 /// Joins a run that another router admitted. Whether the request is dealt with.
-async fn join_elsewhere<P: Platform, E: Engine, M: Mesh>(
+async fn join_elsewhere<P: Platform, E: Engine, M: PeerClient>(
     node: &Arc<Node<P, E, M>>,
     run: &Run,
     job: &Job,
@@ -174,7 +174,7 @@
     false
 }
 
-async fn follow<P: Platform, E: Engine, M: Mesh>(
+async fn follow<P: Platform, E: Engine, M: PeerClient>(
     node: &Arc<Node<P, E, M>>,
     run: &Run,
     id: &RunId,
@@ -209,7 +209,7 @@
     }
 }
 
-struct Attempt<'a, P: Platform, E: Engine, M: Mesh> {
+struct Attempt<'a, P: Platform, E: Engine, M: PeerClient> {
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Arc<Run>,
     job: &'a Job,
@@ -219,7 +219,7 @@
 }
 
 /// A hold, and the incarnation that made it: a router that joined again meanwhile has another.
-pub struct Reserved<P: Platform, M: Mesh> {
+pub struct Reserved<P: Platform, M: PeerClient> {
     /// The incarnation.
     pub session: Arc<Session<P, M>>,
     /// The hold.
@@ -228,7 +228,7 @@
     pub purpose: Purpose,
 }
 
-impl<P: Platform, M: Mesh> Reserved<P, M> {
+impl<P: Platform, M: PeerClient> Reserved<P, M> {
     /// Bills what was used.
     pub async fn settle(self, usage: RunUsage) {
         let cost = Tokens(usage.prompt_tokens).plus(Tokens(usage.tokens));
@@ -241,7 +241,7 @@
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Attempt<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: PeerClient> Attempt<'_, P, E, M> {
     async fn run_to_end(&mut self) -> End {
         let late = |_| Error::new(Kind::Timeout, "the answer was not whole before its deadline");
         let ended = timeout_at(self.deadline, self.attempts()).await.map_err(late).flatten();
@@ -427,11 +427,11 @@
 ///
 /// # Errors
 /// As [`Session::reserve`].
-pub async fn reserve_patiently<P: Platform, E: Engine, M: Mesh>(
+pub async fn reserve_patiently<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     session: &Arc<Session<P, M>>,
     purpose: &Purpose,
-    others: &[Entry],
+    others: &[RouterInfo],
 ) -> Result<Held> {
     let mut attempt = 0;
     loop {
@@ -440,7 +440,7 @@
             Err(e) => e,
         };
         attempt += 1;
-        let doubtful = node.lock_view().has_doubtful(node.now());
+        let doubtful = node.lock_view().has_recently_silent(node.now());
         if refused.kind != Kind::BudgetExhausted || !doubtful || attempt > DOUBT_ATTEMPTS {
             return Err(superseded(refused));
         }
@@ -454,13 +454,13 @@
 }
 
 /// Counts a run at its target, whatever way it ends.
-struct InFlight<'a, P: Platform, E: Engine, M: Mesh> {
+struct InFlight<'a, P: Platform, E: Engine, M: PeerClient> {
     node: &'a Node<P, E, M>,
     target: TargetId,
     ok: bool,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Drop for InFlight<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: PeerClient> Drop for InFlight<'_, P, E, M> {
     fn drop(&mut self) {
         self.node.lock_picker().ended(self.node.now(), &self.target, self.ok);
     }
--- a/src/router/drive_call.rs
+++ b/src/router/drive_call.rs
@@ -15,7 +15,7 @@
 use crate::engine::{Engine, RunUsage, ServiceAnswer, ServiceCall};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Incarnation, RunId, TargetId, Tokens};
-use crate::membership::wire::Mesh;
+use crate::membership::wire::PeerClient;
 use crate::request::life::{Next, Repeatable, Stage, after_failure};
 use crate::request::runs::{End, Run};
 use crate::route::picker::Choice;
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// `KeyReused` when the key belongs to other content.
-pub fn open_call<P: Platform, E: Engine, M: Mesh>(
+pub fn open_call<P: Platform, E: Engine, M: PeerClient>(
     node: &Arc<Node<P, E, M>>,
     new: Run,
     job: CallJob,
@@ -79,7 +79,7 @@
 }
 
 /// Drives `run` to its end. Whatever happens, its callers are told.
-pub async fn drive_call<P: Platform, E: Engine, M: Mesh>(
+pub async fn drive_call<P: Platform, E: Engine, M: PeerClient>(
     node: Arc<Node<P, E, M>>,
     run: Arc<Run>,
     job: CallJob,
@@ -114,14 +114,14 @@
     }
 }
 
-struct Driver<'a, P: Platform, E: Engine, M: Mesh> {
+struct Driver<'a, P: Platform, E: Engine, M: PeerClient> {
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Run,
     job: &'a CallJob,
     reserved: Option<Reserved<P, M>>,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Driver<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: PeerClient> Driver<'_, P, E, M> {
     async fn run_to_end(&mut self) -> Result<ServiceAnswer> {
         let choice = self.choose(&[])?;
         let id = self.node.session().new_run();
@@ -252,7 +252,7 @@
     }
 
     fn is_alive(&self, owner: &Incarnation) -> bool {
-        self.node.lock_view().alive(self.node.now(), owner)
+        self.node.lock_view().is_router_alive(self.node.now(), owner)
     }
 
     async fn dispatch(&mut self, id: &RunId, first: Choice) -> (Stage, Result<ServiceAnswer>) {
--- a/src/router/node.rs
+++ b/src/router/node.rs
@@ -17,9 +17,9 @@
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Incarnation, Millis, OrganisationId, RequestKey, TargetId};
-use crate::membership::entry::home;
-use crate::membership::view::{Entry, View};
-use crate::membership::wire::{Ask, Found, Mesh, Reply};
+use crate::membership::selection::home_routers;
+use crate::membership::view::{RouterInfo, View};
+use crate::membership::wire::{KnownRequest, PeerClient, PeerReply, PeerRequest};
 use crate::request::runs::{Lookup, Run, Runs};
 use crate::route::picker::Picker;
 use crate::route::retry::RetryBudget;
@@ -37,21 +37,21 @@
 
 /// Asks backups over the links between routers.
 #[derive(Clone, Debug)]
-pub struct MeshSeals<M: Mesh> {
+pub struct MeshSeals<M: PeerClient> {
     mesh: M,
-    known: Vec<Entry>,
+    known: Vec<RouterInfo>,
 }
 
-impl<M: Mesh> Seals for MeshSeals<M> {
+impl<M: PeerClient> Seals for MeshSeals<M> {
     async fn seal_at(&self, backup: &Incarnation, holder: &Incarnation) -> Result<Vec<Copy>> {
         let unknown = || Error::new(Kind::Io, format!("backup {backup} is not known"));
         let to = self.known.iter().find(|e| e.incarnation == *backup).ok_or_else(unknown)?;
         match self
             .mesh
-            .ask(to, Ask::Seal { keeper: backup.clone(), holder: holder.clone() })
+            .rpc(to, PeerRequest::Seal { keeper: backup.clone(), holder: holder.clone() })
             .await?
         {
-            Reply::Copies(copies) => Ok(copies),
+            PeerReply::Copies(copies) => Ok(copies),
             _ => {
                 Err(Error::new(Kind::BadFormat, format!("backup {backup} answered something else")))
             }
@@ -60,7 +60,7 @@
 }
 
 /// One router.
-pub struct Node<P: Platform, E: Engine, M: Mesh> {
+pub struct Node<P: Platform, E: Engine, M: PeerClient> {
     /// Its settings.
     pub settings: Settings,
     /// Time.
@@ -129,7 +129,7 @@
 }
 
 /// What a node is made of.
-pub struct NodeParts<P: Platform, E: Engine, M: Mesh> {
+pub struct NodeParts<P: Platform, E: Engine, M: PeerClient> {
     /// Its settings.
     pub settings: Settings,
     /// Time.
@@ -158,7 +158,7 @@
     pub sizing: Option<Sizing>,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Node<P, E, M> {
+impl<P: Platform, E: Engine, M: PeerClient> Node<P, E, M> {
     /// Puts a node together.
     pub fn new(parts: NodeParts<P, E, M>) -> Node<P, E, M> {
         Node {
@@ -258,7 +258,7 @@
     /// Stops being named in entry answers.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
-        self.lock_view().update_me(|e| e.leaving = true);
+        self.lock_view().update_local(|e| e.leaving = true);
     }
 
     /// Refuses requests that are new to it, from now on.
@@ -282,35 +282,39 @@
     }
 
     /// All live routers, this one too.
-    pub fn live(&self) -> Vec<Entry> {
-        self.lock_view().live(self.now())
+    pub fn live(&self) -> Vec<RouterInfo> {
+        self.lock_view().live_routers(self.now())
     }
 
     /// The other routers that may hold parts of an organisation's budgets, its home first.
-    pub fn others_for(&self, organisation: &OrganisationId) -> Vec<Entry> {
+    pub fn others_for(&self, organisation: &OrganisationId) -> Vec<RouterInfo> {
         let width = self.cfg.read().expect("never poisoned").fleet.entry_width as usize;
-        let me = self.lock_view().me().incarnation.clone();
+        let me = self.lock_view().local_router().incarnation.clone();
         let live = self.live();
-        let mut out = home(&live, organisation, width.max(MAX_LENDERS));
+        let mut out = home_routers(&live, organisation, width.max(MAX_LENDERS));
         out.retain(|e| e.incarnation != me);
         out
     }
 
     /// What this router keeps for another one about a request.
-    pub fn found_copy(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Found> {
+    pub fn found_copy(
+        &self,
+        organisation: &OrganisationId,
+        key: &RequestKey,
+    ) -> Option<KnownRequest> {
         let witness = self.witness.lock().expect("no code panics while it holds the witness");
-        witness.find(organisation, key).map(Found::of_copy)
+        witness.find(organisation, key).map(KnownRequest::from_copy)
     }
 
     /// The routers to borrow from.
-    pub fn lenders_for(&self, organisation: &OrganisationId) -> Vec<Entry> {
+    pub fn lenders_for(&self, organisation: &OrganisationId) -> Vec<RouterInfo> {
         if self.lending { self.others_for(organisation) } else { Vec::new() }
     }
 
     /// A reclaimer for dead wards.
     pub fn reclaimer(&self) -> Reclaimer<P, E, PickerAddresses, MeshSeals<M>> {
         let session = self.session();
-        let known = self.lock_view().known(self.now()).into_iter().map(|(e, _)| e).collect();
+        let known = self.lock_view().known_peers(self.now()).into_iter().map(|(e, _)| e).collect();
         Reclaimer {
             seals: MeshSeals { mesh: self.mesh.clone(), known },
             table: self.platform.clone(),
--- a/src/router/session.rs
+++ b/src/router/session.rs
@@ -23,8 +23,8 @@
 use crate::config::Config;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Incarnation, RunId, Tokens};
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Mesh, Reply};
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::table::committer::Committer;
 use crate::table::{Mutation, Platform, Version};
 use loans::SearchGate;
@@ -63,14 +63,14 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Pair {
     /// In another zone when there is one; settles everything after this router's death.
-    pub witness: Entry,
+    pub witness: RouterInfo,
     /// In the same zone when there is one, for the time when others cannot be reached.
-    pub backup: Option<Entry>,
+    pub backup: Option<RouterInfo>,
 }
 
 impl Pair {
     /// Both.
-    pub fn members(&self) -> impl Iterator<Item = &Entry> {
+    pub fn members(&self) -> impl Iterator<Item = &RouterInfo> {
         std::iter::once(&self.witness).chain(&self.backup)
     }
 }
@@ -93,7 +93,7 @@
     /// Number of the hold at its holder.
     pub hold: HoldId,
     /// The router whose grant it is of; `None`: this one's.
-    pub lender: Option<Entry>,
+    pub lender: Option<RouterInfo>,
 }
 
 /// What a hold is for.
@@ -120,7 +120,7 @@
 }
 
 /// One incarnation.
-pub struct Session<P: Platform, M: Mesh> {
+pub struct Session<P: Platform, M: PeerClient> {
     /// Its name.
     pub incarnation: Incarnation,
     /// Its writes.
@@ -159,7 +159,7 @@
     pub sizing: Option<Sizing>,
 }
 
-impl<P: Platform, M: Mesh> Session<P, M> {
+impl<P: Platform, M: PeerClient> Session<P, M> {
     /// Writes the holder row and starts the keeper. The receiver gets the session's news.
     ///
     /// # Errors
@@ -222,7 +222,11 @@
     /// # Errors
     /// `BudgetExhausted` when nobody asked has room; `PlatformAway` when the ledger could not be
     /// asked, or no cover could be had; `Fenced` when this incarnation was superseded.
-    pub async fn reserve(self: &Arc<Self>, purpose: &Purpose, others: &[Entry]) -> Result<Held> {
+    pub async fn reserve(
+        self: &Arc<Self>,
+        purpose: &Purpose,
+        others: &[RouterInfo],
+    ) -> Result<Held> {
         let own = match self.hold(&purpose.bill.budget, purpose.amount, true).await {
             Ok(hold) => self.cover_or_cancel(hold, purpose).await,
             Err(e) => Err(e),
@@ -251,11 +255,15 @@
     }
 
     /// What others have free of a budget.
-    async fn ask_free(&self, budget: &BudgetId, others: &[Entry]) -> Vec<(Tokens, Entry)> {
-        let asked = others.iter().map(|o| self.mesh.ask(o, Ask::Free(budget.clone())));
+    async fn ask_free(
+        &self,
+        budget: &BudgetId,
+        others: &[RouterInfo],
+    ) -> Vec<(Tokens, RouterInfo)> {
+        let asked = others.iter().map(|o| self.mesh.rpc(o, PeerRequest::Free(budget.clone())));
         let replies = futures_util::future::join_all(asked).await;
-        let free = |(reply, other): (Result<Reply>, &Entry)| match reply {
-            Ok(Reply::Free(tokens)) => Some((tokens, other.clone())),
+        let free = |(reply, other): (Result<PeerReply>, &RouterInfo)| match reply {
+            Ok(PeerReply::Free(tokens)) => Some((tokens, other.clone())),
             _ => None,
         };
         replies.into_iter().zip(others).filter_map(free).collect()
@@ -354,17 +362,17 @@
     /// Gives copies to one of a pair: a reclaim needs the seals of both, so either is enough.
     async fn give(&self, pair: Option<&Pair>, copies: Vec<Copy>) -> Result<()> {
         let Some(pair) = pair else { return Ok(()) };
-        let mut members: Vec<&Entry> = pair.members().collect();
+        let mut members: Vec<&RouterInfo> = pair.members().collect();
         let suspects = self.suspects();
         members.sort_by_key(|e| suspects.contains(&e.incarnation));
         let mut last = Error::new(Kind::PlatformAway, "no witness is named");
         for member in members {
-            let ask = Ask::Keep {
+            let ask = PeerRequest::Keep {
                 keeper: member.incarnation.clone(),
                 holder: self.incarnation.clone(),
                 copies: copies.clone(),
             };
-            match self.mesh.ask(member, ask).await {
+            match self.mesh.rpc(member, ask).await {
                 Ok(_) => return Ok(()),
                 Err(e) if e.kind == Kind::Fenced => {
                     let _ = self.keeper.tell(Fence).await;
@@ -411,8 +419,8 @@
         // The lender settles by asking the target it knows of. Untold, it would hear there that
         // the run never was, and lend the tokens again.
         let target = purpose.target.clone();
-        let ask = Ask::Move { lender: lender.incarnation.clone(), hold: held.hold, target };
-        self.mesh.ask(lender, ask).await.map(drop)
+        let ask = PeerRequest::Move { lender: lender.incarnation.clone(), hold: held.hold, target };
+        self.mesh.rpc(lender, ask).await.map(drop)
     }
 
     /// Settles a hold with its bill. When this returns, the bill survives this router.
@@ -445,11 +453,12 @@
         let pair = match self.watch() {
             Watch::By(pair) | Watch::Moving(_, pair) => pair,
         };
-        let ask = || Ask::Forget { holder: self.incarnation.clone(), holds: holds.to_vec() };
-        let members: Vec<Entry> = pair.iter().flat_map(Pair::members).cloned().collect();
+        let ask =
+            || PeerRequest::Forget { holder: self.incarnation.clone(), holds: holds.to_vec() };
+        let members: Vec<RouterInfo> = pair.iter().flat_map(Pair::members).cloned().collect();
         // A copy too many costs nothing while this router lives.
         let _ =
-            futures_util::future::join_all(members.iter().map(|m| self.mesh.ask(m, ask()))).await;
+            futures_util::future::join_all(members.iter().map(|m| self.mesh.rpc(m, ask()))).await;
     }
 
     /// Names other witnesses in the holder row.
--- a/src/router/session/loans.rs
+++ b/src/router/session/loans.rs
@@ -12,8 +12,8 @@
 use crate::budget::witness::Copy;
 use crate::error::Result;
 use crate::ids::{BudgetId, Tokens};
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Mesh, Reply};
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::table::Platform;
 
 /// Least time between two calls for the tokens of one budget.
@@ -36,14 +36,14 @@
     }
 }
 
-impl<P: Platform, M: Mesh> Session<P, M> {
-    pub(super) async fn borrow(&self, purpose: &Purpose, lender: &Entry) -> Option<Held> {
-        let ask = Ask::Borrow {
+impl<P: Platform, M: PeerClient> Session<P, M> {
+    pub(super) async fn borrow(&self, purpose: &Purpose, lender: &RouterInfo) -> Option<Held> {
+        let ask = PeerRequest::Borrow {
             budget: purpose.bill.budget.clone(),
             amount: purpose.amount,
             copy: purpose.copy(HoldId(0)),
         };
-        let Ok(Reply::Held(hold)) = self.mesh.ask(lender, ask).await else { return None };
+        let Ok(PeerReply::Held(hold)) = self.mesh.rpc(lender, ask).await else { return None };
         log::info!(
             "borrow=held run={} budget={} from={}",
             purpose.bill.run,
@@ -57,7 +57,7 @@
     /// lost in pockets too small for any request. Requests that need it at the same time share
     /// one call, and calls keep a distance: an exhausted budget must not cost the table a write
     /// for each request that it refuses.
-    pub(super) async fn call_home(&self, budget: &BudgetId, others: &[Entry]) {
+    pub(super) async fn call_home(&self, budget: &BudgetId, others: &[RouterInfo]) {
         let gate = {
             let mut searched = self.searched.lock().expect("never poisoned");
             searched.retain(|(_, gate)| Arc::strong_count(gate) > 1 || gate.is_recent());
@@ -79,20 +79,24 @@
             tokio::time::sleep_until(at + SEARCH_PAUSE).await;
         }
         *began = Some(Instant::now());
-        let asked = others.iter().map(|o| self.mesh.ask(o, Ask::Release(budget.clone())));
+        let asked = others.iter().map(|o| self.mesh.rpc(o, PeerRequest::Release(budget.clone())));
         futures_util::future::join_all(asked).await;
     }
 
     /// Tells a lender what became of its hold, until it knows. Repeats are harmless: a hold
     /// settles once.
-    pub(super) fn repay(self: &Arc<Self>, lender: Entry, hold: HoldId, bill: Option<Bill>) {
+    pub(super) fn repay(self: &Arc<Self>, lender: RouterInfo, hold: HoldId, bill: Option<Bill>) {
         let mesh = self.mesh.clone();
         tokio::spawn(async move {
             for _ in 0..REPAY_ATTEMPTS {
                 if mesh
-                    .ask(
+                    .rpc(
                         &lender,
-                        Ask::Repay { lender: lender.incarnation.clone(), hold, bill: bill.clone() },
+                        PeerRequest::Repay {
+                            lender: lender.incarnation.clone(),
+                            hold,
+                            bill: bill.clone(),
+                        },
                     )
                     .await
                     .is_ok()
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -14,7 +14,7 @@
 use crate::config::settings::Settings;
 use crate::engine::http::HttpEngine;
 use crate::error::Result;
-use crate::membership::link::{LinkCounts, Links, Secrets, listen};
+use crate::membership::link::{LinkCounts, LinkPool, Secrets, listen};
 use crate::route::picker::Policy;
 use crate::standin::Served;
 use crate::table::http::HttpPlatform;
@@ -25,7 +25,7 @@
 const MAX_DRAIN: Duration = Duration::from_secs(180);
 
 /// The node that the daemon runs.
-pub type HttpNode = Node<HttpPlatform, HttpEngine, Links>;
+pub type HttpNode = Node<HttpPlatform, HttpEngine, LinkPool>;
 
 /// A running router.
 pub struct RunningRouter {
@@ -72,7 +72,7 @@
             metrics: metrics(&settings)?,
             platform: HttpPlatform::new(&settings.platform)?,
             engine: HttpEngine::new()?,
-            mesh: Links::new(secrets.clone(), link_counts.clone()),
+            mesh: LinkPool::new(secrets.clone(), link_counts.clone()),
             clock: Clock::start(),
             api: api.to_string().into(),
             peer: peer.to_string().into(),
--- a/src/router/tasks.rs
+++ b/src/router/tasks.rs
@@ -17,9 +17,9 @@
 use crate::engine::Engine;
 use crate::error::{Kind, Result};
 use crate::ids::{Incarnation, TargetId};
-use crate::membership::entry::{backup, witness};
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Mesh, Reply};
+use crate::membership::selection::{select_backup, select_witness};
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::route::picker::Listed;
 use crate::table::{InstanceState, Platform, scan_all};
 
@@ -93,7 +93,7 @@
 }
 
 /// Starts all tasks. They end when the set is dropped.
-pub fn start_all<P: Platform, E: Engine, M: Mesh>(
+pub fn start_all<P: Platform, E: Engine, M: PeerClient>(
     node: &Shared<P, E, M>,
     loans: &Arc<LoanBook>,
     news: mpsc::UnboundedReceiver<News>,
@@ -116,7 +116,7 @@
 }
 
 /// Heartbeats: to the witness and a few others in turn. Bounded whatever the size of the fleet.
-async fn beat<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
+async fn beat<P: Platform, E: Engine, M: PeerClient>(node: Shared<P, E, M>) {
     let mut ticks = every(node.settings.heartbeat.duration());
     let mut turn = 0;
     loop {
@@ -125,20 +125,20 @@
         let load = node.gates.load().0;
         let (entries, to) = {
             let mut view = node.lock_view();
-            view.update_me(|e| e.load = load);
-            let me = view.me().incarnation.clone();
-            let mut others = view.live(now);
+            view.update_local(|e| e.load = load);
+            let me = view.local_router().incarnation.clone();
+            let mut others = view.live_routers(now);
             others.retain(|e| e.incarnation != me);
-            (view.beat(now), others)
+            (view.next_heartbeat(now), others)
         };
-        let candidate = node.lock_view().next_candidate(now);
+        let candidate = node.lock_view().next_silent_candidate(now);
         let n = to.len().max(1);
-        let mut chosen: Vec<Entry> =
+        let mut chosen: Vec<RouterInfo> =
             (0..FANOUT.min(to.len())).map(|i| to[(turn + i) % n].clone()).collect();
         turn = (turn + FANOUT) % n;
         if let Watch::By(Some(pair)) = node.session().watch() {
-            let missing = |m: &&Entry| !chosen.iter().any(|c| c.incarnation == m.incarnation);
-            let missing: Vec<Entry> = pair.members().filter(missing).cloned().collect();
+            let missing = |m: &&RouterInfo| !chosen.iter().any(|c| c.incarnation == m.incarnation);
+            let missing: Vec<RouterInfo> = pair.members().filter(missing).cloned().collect();
             chosen.extend(missing);
         }
         chosen.extend(candidate);
@@ -148,12 +148,12 @@
     }
 }
 
-async fn beat_one<P: Platform, E: Engine, M: Mesh>(
+async fn beat_one<P: Platform, E: Engine, M: PeerClient>(
     node: Shared<P, E, M>,
-    peer: Entry,
-    entries: Vec<Entry>,
+    peer: RouterInfo,
+    entries: Vec<RouterInfo>,
 ) {
-    if let Ok(Reply::Beat(theirs)) = node.mesh.ask(&peer, Ask::Beat(entries)).await {
+    if let Ok(PeerReply::Beat(theirs)) = node.mesh.rpc(&peer, PeerRequest::Beat(entries)).await {
         let now = node.now();
         node.lock_view().merge(now, theirs);
     }
@@ -161,7 +161,7 @@
 
 /// Follows the configuration: by polling its head, at once when another router runs a newer
 /// revision, and from other routers while the platform is away.
-async fn follow_config<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
+async fn follow_config<P: Platform, E: Engine, M: PeerClient>(node: Shared<P, E, M>) {
     loop {
         let before = node.follower.lock().await.head().revision;
         let result = node.follower.lock().await.catch_up(&node.platform, &node.cfg).await;
@@ -179,20 +179,22 @@
 }
 
 /// Tells the others which revision is in force here.
-pub async fn publish_revision<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>) {
+pub async fn publish_revision<P: Platform, E: Engine, M: PeerClient>(node: &Shared<P, E, M>) {
     let revision = node.follower.lock().await.head().revision;
     let mut view = node.lock_view();
-    if view.me().revision < revision {
-        view.update_me(|e| e.revision = revision);
+    if view.local_router().revision < revision {
+        view.update_local(|e| e.revision = revision);
         log::info!("config=in_force revision={revision}");
     }
 }
 
-async fn from_peers<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>) {
+async fn from_peers<P: Platform, E: Engine, M: PeerClient>(node: &Shared<P, E, M>) {
     let have = node.follower.lock().await.head().revision;
-    let ahead: Vec<Entry> = node.live().into_iter().filter(|e| e.revision > have).collect();
+    let ahead: Vec<RouterInfo> = node.live().into_iter().filter(|e| e.revision > have).collect();
     for peer in ahead {
-        if let Ok(Reply::Revisions(rows)) = node.mesh.ask(&peer, Ask::Revisions(have)).await {
+        if let Ok(PeerReply::Revisions(rows)) =
+            node.mesh.rpc(&peer, PeerRequest::Revisions(have)).await
+        {
             let mut follower = node.follower.lock().await;
             for row in &rows {
                 if let Err(e) = follower.apply(row, &node.cfg) {
@@ -205,7 +207,7 @@
 }
 
 /// Targets, from the instance list. A list that cannot be read, or is empty, changes nothing.
-async fn poll_list<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
+async fn poll_list<P: Platform, E: Engine, M: PeerClient>(node: Shared<P, E, M>) {
     let mut ticks = every(LIST_POLL);
     loop {
         ticks.tick().await;
@@ -227,7 +229,7 @@
 }
 
 /// Load reports, each target in turn. At many targets a report is asked for less often.
-async fn poll_reports<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
+async fn poll_reports<P: Platform, E: Engine, M: PeerClient>(node: Shared<P, E, M>) {
     let mut ticks = every(node.settings.report_poll.duration());
     loop {
         ticks.tick().await;
@@ -256,20 +258,20 @@
     }
 }
 
-fn tell_leaving<P: Platform, E: Engine, M: Mesh>(
+fn tell_leaving<P: Platform, E: Engine, M: PeerClient>(
     node: &Shared<P, E, M>,
     id: &crate::ids::TargetId,
 ) {
     for peer in node.live() {
-        let (node, ask) = (node.clone(), Ask::TargetLeaves(id.clone()));
+        let (node, ask) = (node.clone(), PeerRequest::TargetLeaves(id.clone()));
         tokio::spawn(async move {
-            let _ = node.mesh.ask(&peer, ask).await;
+            let _ = node.mesh.rpc(&peer, ask).await;
         });
     }
 }
 
 /// Each router lets through its share of what the targets can take, and a little more.
-fn set_capacities<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>) {
+fn set_capacities<P: Platform, E: Engine, M: PeerClient>(node: &Shared<P, E, M>) {
     let now = node.now();
     let routers = node.live().iter().filter(|e| !e.leaving).count().max(1) as u64;
     let services: Vec<_> = {
@@ -290,13 +292,13 @@
 
 /// Other routers, from the holder rows: how they find each other first, and how one that lost
 /// touch with all others finds them again.
-async fn poll_holders<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
+async fn poll_holders<P: Platform, E: Engine, M: PeerClient>(node: Shared<P, E, M>) {
     loop {
         if let Ok(rows) = read_holders(&node.platform).await {
             let (live, gone): (Vec<_>, Vec<_>) =
                 rows.into_iter().partition(|(_, row)| row.state == HolderState::Live);
             let mut view = node.lock_view();
-            gone.iter().for_each(|(incarnation, _)| view.remove(incarnation));
+            gone.iter().for_each(|(incarnation, _)| view.mark_departed(incarnation));
             view.set_candidates(live.into_iter().map(|(i, row)| entry_of(i, row)).collect());
         }
         sleep(HOLDERS_POLL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
@@ -312,8 +314,8 @@
     rows.iter().map(|r| Ok((r.key[HOLDERS.len()..].parse()?, r.decode()?))).collect()
 }
 
-fn entry_of(incarnation: Incarnation, row: HolderRow) -> Entry {
-    Entry {
+fn entry_of(incarnation: Incarnation, row: HolderRow) -> RouterInfo {
+    RouterInfo {
         incarnation,
         zone: row.zone,
         api: row.api,
@@ -326,7 +328,7 @@
 }
 
 /// Looks after the witness, dead wards, loans to the dead, and old requests.
-async fn care<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>, loans: Arc<LoanBook>) {
+async fn care<P: Platform, E: Engine, M: PeerClient>(node: Shared<P, E, M>, loans: Arc<LoanBook>) {
     let mut ticks = every(CARE);
     let reclaimed = Reclaimed::default();
     loop {
@@ -344,14 +346,18 @@
     }
 }
 
-async fn care_witness<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, live: &[Entry]) {
+async fn care_witness<P: Platform, E: Engine, M: PeerClient>(
+    node: &Shared<P, E, M>,
+    live: &[RouterInfo],
+) {
     let session = node.session();
     let Watch::By(now) = session.watch() else { return };
-    let me = node.lock_view().me().clone();
+    let me = node.lock_view().local_router().clone();
     let suspects = session.suspects();
-    let trusted = |e: &&Entry| !suspects.contains(&e.incarnation);
-    let trusted: Vec<Entry> = live.iter().filter(trusted).cloned().collect();
-    let stays = |m: &Entry| trusted.iter().any(|e| e.incarnation == m.incarnation && !e.leaving);
+    let trusted = |e: &&RouterInfo| !suspects.contains(&e.incarnation);
+    let trusted: Vec<RouterInfo> = live.iter().filter(trusted).cloned().collect();
+    let stays =
+        |m: &RouterInfo| trusted.iter().any(|e| e.incarnation == m.incarnation && !e.leaving);
     let well = match &now {
         None => trusted.len() < 2,
         Some(pair) => pair.members().all(stays) && (pair.backup.is_some() || trusted.len() < 3),
@@ -359,8 +365,8 @@
     if well || node.is_draining() {
         return;
     }
-    let to = witness(&trusted, &me).map(|w| {
-        let backup = backup(&trusted, &me, w).cloned();
+    let to = select_witness(&trusted, &me).map(|w| {
+        let backup = select_backup(&trusted, &me, w).cloned();
         Pair { witness: w.clone(), backup }
     });
     // Nobody to turn to: whom the row names is better than nobody.
@@ -379,13 +385,18 @@
 
 /// Each dead ward is reclaimed by a task of its own: one whose backup cannot be reached must not
 /// keep this router from caring for its own witness.
-fn reclaim_dead<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, reclaimed: &Reclaimed) {
+fn reclaim_dead<P: Platform, E: Engine, M: PeerClient>(
+    node: &Shared<P, E, M>,
+    reclaimed: &Reclaimed,
+) {
     let now = node.now();
     let wards = node.witness.lock().expect("no code panics while it holds the witness").holders();
     let dead: Vec<Incarnation> = {
         let view = node.lock_view();
         let mut started = reclaimed.lock().expect("never poisoned");
-        let dead = |w: &Incarnation| view.knows(w) && !view.alive(now, w) && !started.contains(w);
+        let dead = |w: &Incarnation| {
+            view.is_known(w) && !view.is_router_alive(now, w) && !started.contains(w)
+        };
         let dead: Vec<Incarnation> = wards.into_iter().filter(dead).collect();
         started.extend(dead.iter().cloned());
         dead
@@ -407,14 +418,17 @@
 
 /// A borrower that died cannot repay: the lender follows the run to its end itself. It must not
 /// stop it: a borrower that is only cut off still streams the answer to its caller.
-fn settle_loans<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, loans: &Arc<LoanBook>) {
+fn settle_loans<P: Platform, E: Engine, M: PeerClient>(
+    node: &Shared<P, E, M>,
+    loans: &Arc<LoanBook>,
+) {
     for (hold, copy) in loans.all() {
         let run = copy.bill.run.as_str();
         let borrower = run.rsplit_once('.').and_then(|(b, _)| b.parse::<Incarnation>().ok());
         let now = node.now();
         let dead = borrower.is_none_or(|b| {
             let view = node.lock_view();
-            view.knows(&b) && !view.alive(now, &b)
+            view.is_known(&b) && !view.is_router_alive(now, &b)
         });
         if !dead || !loans.start_settling(hold) {
             continue;
@@ -432,7 +446,7 @@
 }
 
 /// Tells the witness what the table has, and joins again when this incarnation was sealed.
-async fn hear_news<P: Platform, E: Engine, M: Mesh>(
+async fn hear_news<P: Platform, E: Engine, M: PeerClient>(
     node: Shared<P, E, M>,
     loans: Arc<LoanBook>,
     mut news: mpsc::UnboundedReceiver<News>,
@@ -454,12 +468,12 @@
 
 /// A wrong suspicion or a long pause ended this incarnation: what it held is its witness's to
 /// settle, and a new one starts with nothing. Running streams go on.
-async fn rejoin<P: Platform, E: Engine, M: Mesh>(
+async fn rejoin<P: Platform, E: Engine, M: PeerClient>(
     node: &Shared<P, E, M>,
 ) -> mpsc::UnboundedReceiver<News> {
     loop {
         let incarnation = new_incarnation(&node.settings.instance);
-        let me = node.lock_view().me().clone();
+        let me = node.lock_view().local_router().clone();
         let parts = SessionParts {
             platform: node.platform.clone(),
             mesh: node.mesh.clone(),
@@ -480,7 +494,7 @@
         match Session::start(parts).await {
             Ok((session, news)) => {
                 node.set_session(session);
-                node.lock_view().update_me(|e| {
+                node.lock_view().update_local(|e| {
                     e.incarnation = incarnation.clone();
                     e.beat = 0;
                 });
--- a/src/standin/local.rs
+++ b/src/standin/local.rs
@@ -18,9 +18,9 @@
 };
 use crate::error::{Error, Kind, Result};
 use crate::ids::{RequestKey, RunId, ZoneId};
-use crate::membership::link::Answerer;
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Mesh, Reply};
+use crate::membership::link::PeerHandler;
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::router::peers::PeerAnswers;
 use crate::table::memory::Memory;
 use crate::table::{Instance, InstanceState, Instances, Objects, Outcome, Row, RowKey, Table, Txn};
@@ -49,7 +49,7 @@
 pub type LocalNode = crate::router::node::Node<LocalPlatform, LocalEngine, LocalMesh>;
 /// Answers for a node over the fakes.
 pub type LocalAnswers = PeerAnswers<LocalPlatform, LocalEngine, LocalMesh>;
-type Inbox = mpsc::UnboundedSender<(Ask, oneshot::Sender<Reply>)>;
+type Inbox = mpsc::UnboundedSender<(PeerRequest, oneshot::Sender<PeerReply>)>;
 
 struct Slot {
     peer: CompactString,
@@ -168,7 +168,7 @@
             while let Some((ask, tx)) = rx.recv().await {
                 let answers = answers.clone();
                 // Who asked may have stopped waiting.
-                tokio::spawn(async move { tx.send(answers.answer(ask).await) });
+                tokio::spawn(async move { tx.send(answers.handle_request(ask).await) });
             }
         });
     }
@@ -331,8 +331,8 @@
 #[derive(Clone)]
 pub struct LocalMesh(Handle);
 
-impl Mesh for LocalMesh {
-    async fn ask(&self, to: &Entry, ask: Ask) -> Result<Reply> {
+impl PeerClient for LocalMesh {
+    async fn rpc(&self, to: &RouterInfo, ask: PeerRequest) -> Result<PeerReply> {
         let me = &self.0;
         me.alive().await;
         sleep(HOP).await;
@@ -359,7 +359,7 @@
             tokio::time::timeout(NO_ANSWER, rx).await.map_err(|_| late())?.map_err(|_| late())?;
         sleep(HOP).await;
         me.alive().await;
-        reply.accepted()
+        reply.into_result()
     }
 }
 
--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -21,7 +21,7 @@
 use crate::engine::{RunUsage, ServiceAnswer};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Millis, OrganisationId, RequestKey, Revision, ServiceId, Tokens, ZoneId};
-use crate::membership::entry::answer;
+use crate::membership::selection::routers_for_caller;
 use crate::request::life::Repeatable;
 use crate::request::runs::{End, Run};
 use crate::route::picker::Policy;
@@ -275,9 +275,10 @@
                 continue;
             }
             let width = node.cfg.read().expect("never poisoned").fleet.entry_width as usize;
-            let named = answer(&node.live(), organisation, width, None);
-            let place =
-                |peer: &str| self.routers.iter().position(|(_, n)| n.lock_view().me().peer == peer);
+            let named = routers_for_caller(&node.live(), organisation, width, None);
+            let place = |peer: &str| {
+                self.routers.iter().position(|(_, n)| n.lock_view().local_router().peer == peer)
+            };
             out = named.iter().filter_map(|e| place(&e.peer)).collect();
             if self.spread && !out.is_empty() {
                 let n = fastrand::usize(..out.len());
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -8,7 +8,7 @@
 use kingcupwall::error::Kind;
 use kingcupwall::experiment::budget::{BudgetPolicy, Workload, ledger_adds_up, run_one};
 use kingcupwall::ids::{Digest, Incarnation, OrganisationId, RequestKey, Tokens};
-use kingcupwall::membership::wire::{Ask, Mesh};
+use kingcupwall::membership::wire::{PeerClient, PeerRequest};
 use kingcupwall::request::life::Repeatable;
 use kingcupwall::standin::batch::{expected_token, natural_length};
 use kingcupwall::standin::local::{Process, TargetFate};
@@ -215,12 +215,13 @@
     // The question names the incarnation, and only that process may answer it.
     let f = fleet(100_000).await;
     let (asked, asker) = (&f.places[0].node, &f.places[1].node);
-    let to = asked.lock_view().me().clone();
-    let seal = |keeper| Ask::Seal { keeper, holder: name("h@1") };
-    assert!(asker.mesh.ask(&to, seal(to.incarnation.clone())).await.is_ok());
-    assert!(asker.mesh.ask(&to, seal(name("r0@before"))).await.is_err());
-    let keep = Ask::Keep { keeper: name("r0@before"), holder: name("h@2"), copies: Vec::new() };
-    assert!(asker.mesh.ask(&to, keep).await.is_err());
+    let to = asked.lock_view().local_router().clone();
+    let seal = |keeper| PeerRequest::Seal { keeper, holder: name("h@1") };
+    assert!(asker.mesh.rpc(&to, seal(to.incarnation.clone())).await.is_ok());
+    assert!(asker.mesh.rpc(&to, seal(name("r0@before"))).await.is_err());
+    let keep =
+        PeerRequest::Keep { keeper: name("r0@before"), holder: name("h@2"), copies: Vec::new() };
+    assert!(asker.mesh.rpc(&to, keep).await.is_err());
 }
 
 #[tokio::test(start_paused = true)]
--- a/tests/test_link.rs
+++ b/tests/test_link.rs
@@ -7,9 +7,9 @@
 use kingcupwall::error::Kind;
 use kingcupwall::ids::{Millis, Revision};
 use kingcupwall::membership::frame::{Hello, Side, Signer, decode};
-use kingcupwall::membership::link::{Answerer, LinkCounts, Links, Secrets, listen};
-use kingcupwall::membership::view::{Entry, MAX_ENTRIES, View};
-use kingcupwall::membership::wire::{Ask, Mesh, Reply};
+use kingcupwall::membership::link::{LinkCounts, LinkPool, PeerHandler, Secrets, listen};
+use kingcupwall::membership::view::{MAX_GOSSIP_ENTRIES, RouterInfo, View};
+use kingcupwall::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -20,7 +20,7 @@
 }
 
 fn pair() -> (Signer, Signer) {
-    let signer = || Signer::new("secret", &hello(1), &hello(2), Side::Caller);
+    let signer = || Signer::new("secret", &hello(1), &hello(2), Side::Initiator);
     (signer(), signer())
 }
 
@@ -28,26 +28,26 @@
 fn open_replayed_frame() {
     // Tokens are given back twice, because somebody sent a recorded frame again.
     let (mut a, mut b) = pair();
-    let frame = a.seal(&Ask::Revisions(Revision(1)));
-    assert!(b.open::<Ask>(&frame).is_ok());
-    assert_eq!(b.open::<Ask>(&frame).unwrap_err().kind, Kind::Unauthorized);
+    let frame = a.sign_frame(&PeerRequest::Revisions(Revision(1)));
+    assert!(b.verify_frame::<PeerRequest>(&frame).is_ok());
+    assert_eq!(b.verify_frame::<PeerRequest>(&frame).unwrap_err().kind, Kind::Unauthorized);
 }
 
 #[test]
 fn open_altered_frame() {
     let (mut a, mut b) = pair();
-    let mut frame = a.seal(&Ask::Revisions(Revision(1)));
+    let mut frame = a.sign_frame(&PeerRequest::Revisions(Revision(1)));
     *frame.last_mut().unwrap() ^= 1;
-    assert_eq!(b.open::<Ask>(&frame).unwrap_err().kind, Kind::Unauthorized);
-    assert_eq!(b.open::<Ask>(&[1, 2, 3]).unwrap_err().kind, Kind::BadFormat);
+    assert_eq!(b.verify_frame::<PeerRequest>(&frame).unwrap_err().kind, Kind::Unauthorized);
+    assert_eq!(b.verify_frame::<PeerRequest>(&[1, 2, 3]).unwrap_err().kind, Kind::BadFormat);
 }
 
 #[test]
 fn open_own_frame_sent_back() {
-    let mut caller = Signer::new("secret", &hello(1), &hello(2), Side::Caller);
-    let mut listener = Signer::new("secret", &hello(1), &hello(2), Side::Listener);
-    let frame = caller.seal(&Reply::Done);
-    assert!(listener.open::<Reply>(&frame).is_err());
+    let mut caller = Signer::new("secret", &hello(1), &hello(2), Side::Initiator);
+    let mut listener = Signer::new("secret", &hello(1), &hello(2), Side::Responder);
+    let frame = caller.sign_frame(&PeerReply::Done);
+    assert!(listener.verify_frame::<PeerReply>(&frame).is_err());
 }
 
 proptest! {
@@ -55,8 +55,8 @@
 
     #[test]
     fn decode_any_bytes(data in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = decode::<Ask>(&data);
-        let _ = decode::<Reply>(&data);
+        let _ = decode::<PeerRequest>(&data);
+        let _ = decode::<PeerReply>(&data);
         let _ = decode::<Hello>(&data);
     }
 }
@@ -64,9 +64,9 @@
 #[derive(Clone)]
 struct AlwaysDone;
 
-impl Answerer for AlwaysDone {
-    async fn answer(&self, _: Ask) -> Reply {
-        Reply::Done
+impl PeerHandler for AlwaysDone {
+    async fn handle_request(&self, _: PeerRequest) -> PeerReply {
+        PeerReply::Done
     }
 }
 
@@ -74,8 +74,8 @@
     Arc::new(Mutex::new(all.iter().map(|s| CompactString::from(*s)).collect()))
 }
 
-fn entry(n: u64, beat: u64) -> Entry {
-    Entry {
+fn entry(n: u64, beat: u64) -> RouterInfo {
+    RouterInfo {
         incarnation: name(&format!("r{n}@1")),
         zone: name("a"),
         api: "127.0.0.1:1".into(),
@@ -98,9 +98,9 @@
     let addr = listener.local_addr().unwrap();
     let counts: Arc<LinkCounts> = Arc::default();
     let task = listen(listener, secrets(theirs), counts.clone(), AlwaysDone).unwrap();
-    let links = Links::new(secrets(mine), Arc::default());
-    let to = Entry { peer: addr.to_string().into(), ..entry(1, 1) };
-    let reply = links.ask(&to, Ask::Beat(Vec::new())).await;
+    let links = LinkPool::new(secrets(mine), Arc::default());
+    let to = RouterInfo { peer: addr.to_string().into(), ..entry(1, 1) };
+    let reply = links.rpc(&to, PeerRequest::Beat(Vec::new())).await;
     assert_eq!(reply.is_ok(), accepted);
     assert_eq!(counts.unauthorized.load(Ordering::Relaxed), u64::from(!accepted));
     task.abort();
@@ -111,16 +111,16 @@
     // A dead router is named to callers again, because its last heartbeat arrived late.
     let mut view = View::new(entry(0, 0), Millis(1_000));
     view.merge(Millis(10_000), vec![entry(1, 5)]);
-    assert!(view.alive(Millis(10_500), &name("r1@1")));
+    assert!(view.is_router_alive(Millis(10_500), &name("r1@1")));
     view.merge(Millis(11_500), vec![entry(1, 5), entry(1, 4)]);
-    assert!(!view.alive(Millis(11_500), &name("r1@1")));
+    assert!(!view.is_router_alive(Millis(11_500), &name("r1@1")));
     view.merge(Millis(11_600), vec![entry(1, 6)]);
-    assert!(view.alive(Millis(11_600), &name("r1@1")));
+    assert!(view.is_router_alive(Millis(11_600), &name("r1@1")));
 }
 
 #[test]
 fn entries_bounded() {
     let mut view = View::new(entry(0, 0), Millis(1_000));
     view.merge(Millis(10_000), (1..500).map(|n| entry(n, 1)).collect());
-    assert!(view.beat(Millis(10_000)).len() <= MAX_ENTRIES);
+    assert!(view.next_heartbeat(Millis(10_000)).len() <= MAX_GOSSIP_ENTRIES);
 }
