--- a/src/budget/keeper.rs
+++ b/src/budget/keeper.rs
@@ -328,7 +328,7 @@
         }
         let limit = self.limit(&msg.budget);
         let now = self.now();
-        let stuck = self.parts.committer.is_stuck();
+        let stuck = self.parts.committer.is_write_failing();
         let patient = msg.patient && !stuck;
         let (admit, effects) =
             self.holder.admit(now, &msg.budget, limit, msg.amount, Cover::Witness, patient);
--- a/src/cmd/standin.rs
+++ b/src/cmd/standin.rs
@@ -13,7 +13,7 @@
 use crate::standin::batch::BatchSize;
 use crate::standin::platform::{PlatformLimits, platform_app};
 use crate::standin::target::{Target, TargetSetup};
-use crate::table::memory::Memory;
+use crate::table::memory::MemoryPlatform;
 use crate::table::{Instance, InstanceState};
 
 /// Attempts to be listed at the platform.
@@ -91,7 +91,7 @@
                     reads_per_s: reads,
                     ..PlatformLimits::default()
                 };
-                Served::start(listen, platform_app(Memory::default(), limits)).await?
+                Served::start(listen, platform_app(MemoryPlatform::default(), limits)).await?
             }
             Which::Target { listen, name, zone, platform, serves, slots, pace, lag } => {
                 let setup = TargetSetup {
--- a/src/experiment/capacity.rs
+++ b/src/experiment/capacity.rs
@@ -23,7 +23,7 @@
 use crate::membership::wire::PeerRequest;
 use crate::route::picker::{Listed, Picker, Policy};
 use crate::table::committer::Committer;
-use crate::table::memory::Memory;
+use crate::table::memory::MemoryPlatform;
 use crate::table::{Mutation, Table, Txn};
 
 /// One measured point.
@@ -180,7 +180,7 @@
 /// Time of a hold out of a grant that is there, through the keeper, with `n` budgets in use.
 async fn admission(n: u64) -> Result<(f64, f64)> {
     const HOLDS: u64 = 20_000;
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let incarnation: Incarnation = "r@1".parse()?;
     let row = HolderRow {
         zone: zone(0),
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -18,7 +18,7 @@
 use crate::ids::{Digest, Millis, Revision, ZoneId};
 use crate::operator::Operator;
 use crate::router::start::RunningRouter;
-use crate::table::memory::Memory;
+use crate::table::memory::MemoryPlatform;
 use crate::table::{Instance, InstanceState};
 
 /// The operator key of fleets in one process.
@@ -32,7 +32,7 @@
 /// A platform in this process.
 pub struct PlatformHost {
     /// Its state, for looking at it from outside.
-    pub memory: Memory,
+    pub memory: MemoryPlatform,
     /// Its server.
     pub served: Served,
 }
@@ -43,7 +43,7 @@
     /// # Errors
     /// `Io` when no port can be bound.
     pub async fn start(limits: PlatformLimits) -> Result<PlatformHost> {
-        let memory = Memory::default();
+        let memory = MemoryPlatform::default();
         let served = Served::start(loopback(), platform_app(memory.clone(), limits)).await?;
         Ok(PlatformHost { memory, served })
     }
@@ -65,7 +65,7 @@
     /// # Errors
     /// `Io` when no port can be bound.
     pub async fn start(
-        platform: &Memory,
+        platform: &MemoryPlatform,
         name: &str,
         zone: &ZoneId,
         setup: TargetSetup,
--- a/src/standin/local.rs
+++ b/src/standin/local.rs
@@ -22,8 +22,10 @@
 use crate::membership::view::RouterInfo;
 use crate::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::router::peers::PeerAnswers;
-use crate::table::memory::Memory;
-use crate::table::{Instance, InstanceState, Instances, Objects, Outcome, Row, RowKey, Table, Txn};
+use crate::table::memory::MemoryPlatform;
+use crate::table::{
+    Instance, InstanceList, InstanceState, ObjectStore, Outcome, Row, RowKey, Table, Txn,
+};
 
 /// One way between routers, and to targets.
 const HOP: Duration = Duration::from_micros(500);
@@ -74,7 +76,7 @@
 /// Everything between the routers.
 pub struct Net {
     /// The platform's state.
-    pub memory: Memory,
+    pub memory: MemoryPlatform,
     slots: Mutex<Vec<Arc<Slot>>>,
     targets: Mutex<Vec<LocalTarget>>,
     cut_zones: Mutex<Vec<(ZoneId, ZoneId)>>,
@@ -87,7 +89,7 @@
     /// A net whose targets take `pace` for a token.
     pub fn new(pace: Duration, report_lag: Duration) -> Arc<Net> {
         Arc::new(Net {
-            memory: Memory::default(),
+            memory: MemoryPlatform::default(),
             slots: Mutex::default(),
             targets: Mutex::default(),
             cut_zones: Mutex::default(),
@@ -277,7 +279,7 @@
         self.net.slots.lock().expect("never poisoned").get(self.at).map(|s| s.zone.clone())
     }
 
-    async fn platform(&self) -> Result<&Memory> {
+    async fn platform(&self) -> Result<&MemoryPlatform> {
         self.alive().await;
         sleep(PLATFORM_CALL).await;
         let zone = self.zone();
@@ -311,7 +313,7 @@
     }
 }
 
-impl Objects for LocalPlatform {
+impl ObjectStore for LocalPlatform {
     async fn put(&self, name: RowKey, data: Vec<u8>) -> Result<()> {
         self.0.platform().await?.put(name, data).await
     }
@@ -321,7 +323,7 @@
     }
 }
 
-impl Instances for LocalPlatform {
+impl InstanceList for LocalPlatform {
     async fn list(&self) -> Result<Vec<Instance>> {
         self.0.platform().await?.list().await
     }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -13,8 +13,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::error::{Error, Kind};
-use crate::table::memory::{Faults, Memory};
-use crate::table::{Instance, Instances, Objects, RowKey, Table, Txn};
+use crate::table::memory::{Faults, MemoryPlatform};
+use crate::table::{Instance, InstanceList, ObjectStore, RowKey, Table, Txn};
 
 /// How the stand-in misbehaves; the body of `POST /admin/faults`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -76,7 +76,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    memory: Memory,
+    memory: MemoryPlatform,
     slow: Mutex<Duration>,
     writes: Pacer,
     reads: Pacer,
@@ -106,7 +106,7 @@
 }
 
 /// The stand-in's HTTP service over `memory`.
-pub fn platform_app(memory: Memory, limits: PlatformLimits) -> axum::Router {
+pub fn platform_app(memory: MemoryPlatform, limits: PlatformLimits) -> axum::Router {
     let inner = Inner {
         memory,
         slow: Mutex::new(Duration::ZERO),
--- a/src/table/committer.rs
+++ b/src/table/committer.rs
@@ -16,15 +16,15 @@
 use crate::ids::Incarnation;
 
 /// Mutations in one transaction at most.
-const MAX_BATCH: usize = 256;
+const MAX_BATCH_MUTATIONS: usize = 256;
 /// Mutations waiting at most; past that new ones are refused.
-pub const MAX_QUEUE: usize = 20_000;
+pub const MAX_QUEUED_MUTATIONS: usize = 20_000;
 /// First pause after a failed write; doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest pause between attempts at the same transaction.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-struct Entry {
+struct QueuedMutation {
     mutation: Mutation,
     tx: oneshot::Sender<Option<Version>>,
 }
@@ -32,9 +32,9 @@
 /// A handle to the committer. The committer ends when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct Committer {
-    tx: mpsc::UnboundedSender<Entry>,
+    tx: mpsc::UnboundedSender<QueuedMutation>,
     queued: Arc<AtomicUsize>,
-    stuck: Arc<AtomicBool>,
+    write_failing: Arc<AtomicBool>,
 }
 
 impl Committer {
@@ -42,18 +42,18 @@
     pub fn start<T: Table>(table: T, owner: &Incarnation, interval: Duration) -> Committer {
         let (tx, rx) = mpsc::unbounded_channel();
         let queued = Arc::new(AtomicUsize::new(0));
-        let stuck = Arc::new(AtomicBool::new(false));
+        let write_failing = Arc::new(AtomicBool::new(false));
         let writer = Writer {
             table,
-            prefix: CompactString::from(owner.as_str()),
-            next: 0,
+            txn_id_prefix: CompactString::from(owner.as_str()),
+            next_txn: 0,
             interval,
             rx,
             queued: queued.clone(),
-            stuck: stuck.clone(),
+            write_failing: write_failing.clone(),
         };
         tokio::spawn(writer.run());
-        Committer { tx, queued, stuck }
+        Committer { tx, queued, write_failing }
     }
 
     /// Mutations that wait for their transaction.
@@ -62,8 +62,8 @@
     }
 
     /// Whether the last attempt to write had no answer. Who can do without a write should.
-    pub fn is_stuck(&self) -> bool {
-        self.stuck.load(Ordering::Relaxed)
+    pub fn is_write_failing(&self) -> bool {
+        self.write_failing.load(Ordering::Relaxed)
     }
 
     /// Writes `mutation` with whatever else waits. The version of the rows written, or `None`
@@ -72,43 +72,43 @@
     /// # Errors
     /// `PlatformAway` when the queue is full: the mutation was not taken.
     pub async fn write(&self, mutation: Mutation) -> Result<Option<Version>> {
-        let away = || Error::new(Kind::PlatformAway, "the queue of writes is full");
-        if self.queued() >= MAX_QUEUE {
-            return Err(away());
+        let platform_away = || Error::new(Kind::PlatformAway, "the queue of writes is full");
+        if self.queued() >= MAX_QUEUED_MUTATIONS {
+            return Err(platform_away());
         }
         let (tx, rx) = oneshot::channel();
         self.queued.fetch_add(1, Ordering::Relaxed);
-        self.tx.send(Entry { mutation, tx }).map_err(|_| away())?;
-        rx.await.map_err(|_| away())
+        self.tx.send(QueuedMutation { mutation, tx }).map_err(|_| platform_away())?;
+        rx.await.map_err(|_| platform_away())
     }
 }
 
 struct Writer<T> {
     table: T,
-    prefix: CompactString,
-    next: u64,
+    txn_id_prefix: CompactString,
+    next_txn: u64,
     interval: Duration,
-    rx: mpsc::UnboundedReceiver<Entry>,
+    rx: mpsc::UnboundedReceiver<QueuedMutation>,
     queued: Arc<AtomicUsize>,
-    stuck: Arc<AtomicBool>,
+    write_failing: Arc<AtomicBool>,
 }
 
 impl<T: Table> Writer<T> {
     async fn run(mut self) {
         let mut batch = Vec::new();
-        let mut due = Instant::now();
+        let mut next_write_at = Instant::now();
         loop {
-            if batch.is_empty() && self.rx.recv_many(&mut batch, MAX_BATCH).await == 0 {
+            if batch.is_empty() && self.rx.recv_many(&mut batch, MAX_BATCH_MUTATIONS).await == 0 {
                 return;
             }
-            sleep_until(due).await;
-            while batch.len() < MAX_BATCH
+            sleep_until(next_write_at).await;
+            while batch.len() < MAX_BATCH_MUTATIONS
                 && let Ok(e) = self.rx.try_recv()
             {
                 batch.push(e);
             }
             batch = self.commit(batch).await;
-            due = Instant::now() + self.interval;
+            next_write_at = Instant::now() + self.interval;
         }
     }
 
@@ -116,28 +116,28 @@
     ///
     /// A mutation that fails is answered, and the rest is written again at once, without new
     /// ones: a writer that keeps failing must not hold up its neighbours.
-    async fn commit(&mut self, batch: Vec<Entry>) -> Vec<Entry> {
-        let (mut batch, later) = separate(batch);
+    async fn commit(&mut self, batch: Vec<QueuedMutation>) -> Vec<QueuedMutation> {
+        let (mut batch, deferred) = split_conflicting(batch);
         while !batch.is_empty() {
-            self.next += 1;
-            let id = CompactString::from(format!("{}/{}", self.prefix, self.next));
+            self.next_txn += 1;
+            let id = CompactString::from(format!("{}/{}", self.txn_id_prefix, self.next_txn));
             let mutations = batch.iter().map(|e| e.mutation.clone()).collect();
-            match self.write_until_known(Txn { id, mutations }).await {
+            match self.write_until_answered(Txn { id, mutations }).await {
                 Outcome::Committed(version) => {
-                    batch.drain(..).for_each(|e| self.answer(e, Some(version)));
+                    batch.drain(..).for_each(|e| self.send_version(e, Some(version)));
                 }
                 Outcome::Conflict(failed) => {
-                    let (lost, rest): (Vec<_>, Vec<_>) =
+                    let (failed_entries, rest): (Vec<_>, Vec<_>) =
                         batch.into_iter().enumerate().partition(|(i, _)| failed.contains(i));
-                    lost.into_iter().for_each(|(_, e)| self.answer(e, None));
+                    failed_entries.into_iter().for_each(|(_, e)| self.send_version(e, None));
                     batch = rest.into_iter().map(|(_, e)| e).collect();
                 }
             }
         }
-        later
+        deferred
     }
 
-    fn answer(&self, entry: Entry, version: Option<Version>) {
+    fn send_version(&self, entry: QueuedMutation, version: Option<Version>) {
         self.queued.fetch_sub(1, Ordering::Relaxed);
         // A submitter that went away wants no answer.
         let _ = entry.tx.send(version);
@@ -146,19 +146,19 @@
     /// Guards against a write whose answer is lost after it took effect: a new transaction would
     /// fail on its own guards, or count twice. The same id is sent until the table tells the
     /// first outcome. Pauses grow and carry jitter, so that a returning table is not overrun.
-    async fn write_until_known(&self, txn: Txn) -> Outcome {
-        let mut pause = MIN_BACKOFF;
+    async fn write_until_answered(&self, txn: Txn) -> Outcome {
+        let mut backoff = MIN_BACKOFF;
         loop {
             match self.table.write(txn.clone()).await {
                 Ok(outcome) => {
-                    self.stuck.store(false, Ordering::Relaxed);
+                    self.write_failing.store(false, Ordering::Relaxed);
                     return outcome;
                 }
                 Err(e) => log::warn!("write=retry txn={} error={:?}", txn.id, e.message),
             }
-            self.stuck.store(true, Ordering::Relaxed);
-            sleep(pause.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
-            pause = (pause * 2).min(MAX_BACKOFF);
+            self.write_failing.store(true, Ordering::Relaxed);
+            sleep(backoff.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 }
@@ -168,30 +168,33 @@
 /// Guards against a lost update inside one transaction: all its guards are checked before any of
 /// its writes, so two changes of one row that were made from the same version would both pass,
 /// and the second undo the first. It showed as a bill in the table that no grant had settled.
-fn separate(batch: Vec<Entry>) -> (Vec<Entry>, Vec<Entry>) {
+fn split_conflicting(batch: Vec<QueuedMutation>) -> (Vec<QueuedMutation>, Vec<QueuedMutation>) {
     let (mut read, mut written): (Vec<RowKey>, Vec<RowKey>) = (Vec::new(), Vec::new());
-    let (mut now, mut later) = (Vec::new(), Vec::new());
+    let (mut ready, mut deferred) = (Vec::new(), Vec::new());
     for entry in batch {
         let m = &entry.mutation;
-        let clash = m.puts.iter().any(|p| has(&written, &p.key) || has(&read, &p.key))
-            || m.guards.iter().any(|g| has(&written, &g.key));
-        if clash {
-            later.push(entry);
+        let conflicts = m
+            .puts
+            .iter()
+            .any(|p| sorted_contains(&written, &p.key) || sorted_contains(&read, &p.key))
+            || m.guards.iter().any(|g| sorted_contains(&written, &g.key));
+        if conflicts {
+            deferred.push(entry);
             continue;
         }
-        m.guards.iter().for_each(|g| add(&mut read, &g.key));
-        m.puts.iter().for_each(|p| add(&mut written, &p.key));
-        now.push(entry);
+        m.guards.iter().for_each(|g| sorted_insert(&mut read, &g.key));
+        m.puts.iter().for_each(|p| sorted_insert(&mut written, &p.key));
+        ready.push(entry);
     }
-    (now, later)
+    (ready, deferred)
 }
 
-fn has(sorted: &[RowKey], key: &RowKey) -> bool {
+fn sorted_contains(sorted: &[RowKey], key: &RowKey) -> bool {
     sorted.binary_search(key).is_ok()
 }
 
-fn add(sorted: &mut Vec<RowKey>, key: &RowKey) {
-    if let Err(place) = sorted.binary_search(key) {
-        sorted.insert(place, key.clone());
+fn sorted_insert(sorted: &mut Vec<RowKey>, key: &RowKey) {
+    if let Err(index) = sorted.binary_search(key) {
+        sorted.insert(index, key.clone());
     }
 }
--- a/src/table/http.rs
+++ b/src/table/http.rs
@@ -6,12 +6,12 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::{Instance, Instances, Objects, Outcome, Row, RowKey, Table, Txn};
+use super::{Instance, InstanceList, ObjectStore, Outcome, Row, RowKey, Table, Txn};
 use crate::error::{Error, Kind, Result};
 
 /// How long a call may bring nothing before its outcome counts as unknown. Not its whole time,
 /// which grows with the answer: a router with a narrow link would never get a large snapshot.
-const SILENCE: Duration = Duration::from_secs(3);
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A client of the platform.
 #[derive(Clone, Debug)]
@@ -26,46 +26,46 @@
     /// # Errors
     /// `Io` when the HTTP client cannot be set up.
     pub fn new(addr: &str) -> Result<HttpPlatform> {
-        let client = reqwest::Client::builder().read_timeout(SILENCE).no_proxy().build()?;
+        let client = reqwest::Client::builder().read_timeout(READ_TIMEOUT).no_proxy().build()?;
         Ok(HttpPlatform { base: CompactString::from(format!("http://{addr}")), client })
     }
 
-    async fn call<B: Serialize + Sync, T: DeserializeOwned>(
+    async fn post_json<B: Serialize + Sync, T: DeserializeOwned>(
         &self,
         path: &str,
         body: &B,
     ) -> Result<T> {
         let req = self.client.post(format!("{}{path}", self.base)).json(body);
-        let resp = req.send().await.map_err(away)?;
+        let resp = req.send().await.map_err(platform_error)?;
         if !resp.status().is_success() {
             return Err(Error::new(
                 Kind::PlatformAway,
                 format!("platform answered {}", resp.status()),
             ));
         }
-        resp.json().await.map_err(away)
+        resp.json().await.map_err(platform_error)
     }
 }
 
-fn away(e: reqwest::Error) -> Error {
+fn platform_error(e: reqwest::Error) -> Error {
     Error::new(Kind::PlatformAway, format!("platform: {}", e.without_url()))
 }
 
 impl Table for HttpPlatform {
     async fn read(&self, keys: Vec<RowKey>) -> Result<Vec<Row>> {
-        self.call("/table/read", &keys).await
+        self.post_json("/table/read", &keys).await
     }
 
     async fn scan(&self, prefix: RowKey, after: RowKey, limit: usize) -> Result<Vec<Row>> {
-        self.call("/table/scan", &(prefix, after, limit)).await
+        self.post_json("/table/scan", &(prefix, after, limit)).await
     }
 
     async fn write(&self, txn: Txn) -> Result<Outcome> {
-        self.call("/table/write", &txn).await
+        self.post_json("/table/write", &txn).await
     }
 }
 
-impl Objects for HttpPlatform {
+impl ObjectStore for HttpPlatform {
     async fn put(&self, name: RowKey, data: Vec<u8>) -> Result<()> {
         let resp = self
             .client
@@ -73,23 +73,27 @@
             .body(data)
             .send()
             .await
-            .map_err(away)?;
-        resp.error_for_status().map(drop).map_err(away)
+            .map_err(platform_error)?;
+        resp.error_for_status().map(drop).map_err(platform_error)
     }
 
     async fn get(&self, name: RowKey) -> Result<Vec<u8>> {
-        let resp =
-            self.client.get(format!("{}/objects/{name}", self.base)).send().await.map_err(away)?;
+        let resp = self
+            .client
+            .get(format!("{}/objects/{name}", self.base))
+            .send()
+            .await
+            .map_err(platform_error)?;
         if resp.status() == reqwest::StatusCode::NOT_FOUND {
             return Err(Error::new(Kind::NotFound, format!("no object {name}")));
         }
-        let resp = resp.error_for_status().map_err(away)?;
-        Ok(resp.bytes().await.map_err(away)?.to_vec())
+        let resp = resp.error_for_status().map_err(platform_error)?;
+        Ok(resp.bytes().await.map_err(platform_error)?.to_vec())
     }
 }
 
-impl Instances for HttpPlatform {
+impl InstanceList for HttpPlatform {
     async fn list(&self) -> Result<Vec<Instance>> {
-        self.call("/instances/list", &()).await
+        self.post_json("/instances/list", &()).await
     }
 }
--- a/src/table/memory.rs
+++ b/src/table/memory.rs
@@ -6,11 +6,13 @@
 
 use compact_str::CompactString;
 
-use super::{Instance, Instances, Mutation, Objects, Outcome, Row, RowKey, Table, Txn, Version};
+use super::{
+    Instance, InstanceList, Mutation, ObjectStore, Outcome, Row, RowKey, Table, Txn, Version,
+};
 use crate::error::{Error, Kind, Result};
 
 /// Outcomes kept for repeats, oldest forgotten first.
-const KEPT_OUTCOMES: usize = 200_000;
+const MAX_KEPT_OUTCOMES: usize = 200_000;
 
 /// How the fake misbehaves.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -25,7 +27,7 @@
 
 /// Counts of what the table was asked to do.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Counts {
+pub struct TableCounts {
     /// Transactions, repeats not counted.
     pub txns: u64,
     /// Rows written.
@@ -37,25 +39,25 @@
 #[derive(Debug, Default)]
 struct State {
     rows: BTreeMap<RowKey, (Version, String)>,
-    older: VecDeque<(RowKey, Option<(Version, String)>)>,
+    overwritten: VecDeque<(RowKey, Option<(Version, String)>)>,
     outcomes: HashMap<CompactString, Outcome>,
-    order: VecDeque<CompactString>,
+    outcome_order: VecDeque<CompactString>,
     objects: HashMap<RowKey, Vec<u8>>,
     instances: Vec<Instance>,
-    last: Version,
+    last_version: Version,
     faults: Faults,
-    counts: Counts,
+    counts: TableCounts,
 }
 
 /// A shared in-memory platform.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(Arc<Mutex<State>>);
+pub struct MemoryPlatform(Arc<Mutex<State>>);
 
 /// Writes remembered so that a stale read can be served.
-const KEPT_OLDER: usize = 1_000;
+const MAX_OVERWRITTEN_ROWS: usize = 1_000;
 
 impl State {
-    fn check(&self, m: &Mutation) -> bool {
+    fn guards_hold(&self, m: &Mutation) -> bool {
         m.guards.iter().all(|g| self.rows.get(&g.key).map(|(v, _)| *v) == g.version)
     }
 
@@ -64,32 +66,32 @@
             .mutations
             .iter()
             .enumerate()
-            .filter(|(_, m)| !self.check(m))
+            .filter(|(_, m)| !self.guards_hold(m))
             .map(|(i, _)| i)
             .collect();
         if !failed.is_empty() {
             return Outcome::Conflict(failed);
         }
-        self.last = Version(self.last.0 + 1);
+        self.last_version = Version(self.last_version.0 + 1);
         for put in txn.mutations.iter().flat_map(|m| &m.puts) {
             self.counts.rows += 1;
-            let was = match &put.value {
-                Some(v) => self.rows.insert(put.key.clone(), (self.last, v.clone())),
+            let previous = match &put.value {
+                Some(v) => self.rows.insert(put.key.clone(), (self.last_version, v.clone())),
                 None => self.rows.remove(&put.key),
             };
-            self.older.push_back((put.key.clone(), was));
+            self.overwritten.push_back((put.key.clone(), previous));
         }
-        while self.older.len() > KEPT_OLDER {
-            self.older.pop_front();
+        while self.overwritten.len() > MAX_OVERWRITTEN_ROWS {
+            self.overwritten.pop_front();
         }
-        Outcome::Committed(self.last)
+        Outcome::Committed(self.last_version)
     }
 
-    fn remember(&mut self, id: CompactString, outcome: Outcome) {
-        self.order.push_back(id.clone());
+    fn record_outcome(&mut self, id: CompactString, outcome: Outcome) {
+        self.outcome_order.push_back(id.clone());
         self.outcomes.insert(id, outcome);
-        if self.order.len() > KEPT_OUTCOMES
-            && let Some(old) = self.order.pop_front()
+        if self.outcome_order.len() > MAX_KEPT_OUTCOMES
+            && let Some(old) = self.outcome_order.pop_front()
         {
             self.outcomes.remove(&old);
         }
@@ -97,15 +99,15 @@
 
     fn get(&self, key: &RowKey) -> Option<(Version, String)> {
         let stale = self.faults.stale_writes;
-        let skip = self.older.len().saturating_sub(stale);
-        match self.older.iter().skip(skip).find(|(k, _)| stale > 0 && k == key) {
-            Some((_, was)) => was.clone(),
+        let skip = self.overwritten.len().saturating_sub(stale);
+        match self.overwritten.iter().skip(skip).find(|(k, _)| stale > 0 && k == key) {
+            Some((_, previous)) => previous.clone(),
             None => self.rows.get(key).cloned(),
         }
     }
 }
 
-impl Memory {
+impl MemoryPlatform {
     /// Changes how the fake misbehaves from now on.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
@@ -117,7 +119,7 @@
     }
 
     /// What was asked so far.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> TableCounts {
         self.lock().counts
     }
 
@@ -137,7 +139,7 @@
         self.0.lock().expect("no code panics while it holds the fake's lock")
     }
 
-    fn reachable(&self) -> Result<MutexGuard<'_, State>> {
+    fn lock_if_reachable(&self) -> Result<MutexGuard<'_, State>> {
         let state = self.lock();
         match state.faults.away {
             true => Err(Error::new(Kind::PlatformAway, "the platform does not answer")),
@@ -146,9 +148,9 @@
     }
 }
 
-impl Table for Memory {
+impl Table for MemoryPlatform {
     async fn read(&self, mut keys: Vec<RowKey>) -> Result<Vec<Row>> {
-        let mut state = self.reachable()?;
+        let mut state = self.lock_if_reachable()?;
         state.counts.reads += 1;
         keys.sort();
         keys.dedup();
@@ -157,7 +159,7 @@
     }
 
     async fn scan(&self, prefix: RowKey, after: RowKey, limit: usize) -> Result<Vec<Row>> {
-        let mut state = self.reachable()?;
+        let mut state = self.lock_if_reachable()?;
         state.counts.reads += 1;
         let from =
             if after > prefix { Bound::Excluded(after) } else { Bound::Included(prefix.clone()) };
@@ -171,13 +173,13 @@
     }
 
     async fn write(&self, txn: Txn) -> Result<Outcome> {
-        let mut state = self.reachable()?;
+        let mut state = self.lock_if_reachable()?;
         if let Some(outcome) = state.outcomes.get(&txn.id) {
             return Ok(outcome.clone());
         }
         state.counts.txns += 1;
         let outcome = state.apply(&txn);
-        state.remember(txn.id, outcome.clone());
+        state.record_outcome(txn.id, outcome.clone());
         if state.faults.lose_answers > 0 {
             state.faults.lose_answers -= 1;
             return Err(Error::new(Kind::Timeout, "the answer to the write was lost"));
@@ -186,20 +188,20 @@
     }
 }
 
-impl Objects for Memory {
+impl ObjectStore for MemoryPlatform {
     async fn put(&self, name: RowKey, data: Vec<u8>) -> Result<()> {
-        self.reachable()?.objects.insert(name, data);
+        self.lock_if_reachable()?.objects.insert(name, data);
         Ok(())
     }
 
     async fn get(&self, name: RowKey) -> Result<Vec<u8>> {
         let missing = || Error::new(Kind::NotFound, format!("no object {name}"));
-        self.reachable()?.objects.get(&name).cloned().ok_or_else(missing)
+        self.lock_if_reachable()?.objects.get(&name).cloned().ok_or_else(missing)
     }
 }
 
-impl Instances for Memory {
+impl InstanceList for MemoryPlatform {
     async fn list(&self) -> Result<Vec<Instance>> {
-        Ok(self.reachable()?.instances.clone())
+        Ok(self.lock_if_reachable()?.instances.clone())
     }
 }
--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -146,7 +146,7 @@
 }
 
 /// The object store, for content too large for a row. Objects are never overwritten.
-pub trait Objects: Clone + Send + Sync + 'static {
+pub trait ObjectStore: Clone + Send + Sync + 'static {
     /// Stores an object.
     ///
     /// # Errors
@@ -186,7 +186,7 @@
 }
 
 /// The platform's lagging list of instances.
-pub trait Instances: Clone + Send + Sync + 'static {
+pub trait InstanceList: Clone + Send + Sync + 'static {
     /// The list as the platform saw it some time ago.
     ///
     /// # Errors
@@ -195,9 +195,9 @@
 }
 
 /// All three services behind one handle.
-pub trait Platform: Table + Objects + Instances {}
+pub trait Platform: Table + ObjectStore + InstanceList {}
 
-impl<T: Table + Objects + Instances> Platform for T {}
+impl<T: Table + ObjectStore + InstanceList> Platform for T {}
 
 /// Reads one row.
 ///
@@ -212,15 +212,15 @@
 /// # Errors
 /// As [`Table::scan`].
 pub async fn scan_all<T: Table>(table: &T, prefix: impl Into<RowKey>) -> Result<Vec<Row>> {
-    const PAGE: usize = 1_000;
+    const PAGE_ROWS: usize = 1_000;
     let prefix = prefix.into();
     let mut rows: Vec<Row> = Vec::new();
     loop {
         let after = rows.last().map(|r| r.key.clone()).unwrap_or_default();
-        let page = table.scan(prefix.clone(), after, PAGE).await?;
-        let whole = page.len() < PAGE;
+        let page = table.scan(prefix.clone(), after, PAGE_ROWS).await?;
+        let is_last_page = page.len() < PAGE_ROWS;
         rows.extend(page);
-        if whole {
+        if is_last_page {
             return Ok(rows);
         }
     }
--- a/tests/test_budget_reclaim.rs
+++ b/tests/test_budget_reclaim.rs
@@ -14,15 +14,15 @@
 use kingcupwall::error::Kind;
 use kingcupwall::ids::{BudgetId, Incarnation, Tokens};
 use kingcupwall::table::committer::Committer;
-use kingcupwall::table::memory::{Faults, Memory};
+use kingcupwall::table::memory::{Faults, MemoryPlatform};
 use kingcupwall::table::{Mutation, Outcome, Table, Txn, Version, read_one};
 
 use crate::workdir::{Anywhere, FakeBackup, FakeEngine, bill, name};
 
 struct World {
-    memory: Memory,
+    memory: MemoryPlatform,
     engine: FakeEngine,
-    reclaimer: Reclaimer<Memory, FakeEngine, Anywhere, FakeBackup>,
+    reclaimer: Reclaimer<MemoryPlatform, FakeEngine, Anywhere, FakeBackup>,
     backup: FakeBackup,
     holder: Incarnation,
     budget: BudgetId,
@@ -40,7 +40,7 @@
 
 /// A holder with a grant of 100 tokens, 20 of them solo when asked for, watched by `w@1`.
 async fn world(solo: u64) -> World {
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let (holder, budget): (Incarnation, BudgetId) = (name("h@1"), name("acme/main"));
     let row = HolderRow {
         zone: name("a"),
--- a/tests/test_committer.rs
+++ b/tests/test_committer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcupwall::table::committer::Committer;
-use kingcupwall::table::memory::{Faults, Memory};
+use kingcupwall::table::memory::{Faults, MemoryPlatform};
 use kingcupwall::table::{Mutation, Table, Version, read_one};
 
 use crate::workdir::name;
@@ -12,7 +12,7 @@
     Mutation::default().guard(key, None).put(key, &1)
 }
 
-fn committer(memory: &Memory) -> Committer {
+fn committer(memory: &MemoryPlatform) -> Committer {
     Committer::start(memory.clone(), &name("r@1"), Duration::from_millis(50))
 }
 
@@ -21,7 +21,7 @@
     // An operator sees a grant twice as large as what its holder knows of.
     // A write takes effect, its answer is lost, and the writer tries again as something new.
     // The repeat carries the same id, so the table tells the first outcome.
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     memory.set_faults(Faults { lose_answers: 3, ..Faults::default() });
     let version = committer(&memory).write(insert("a")).await.unwrap();
     assert_eq!(version, Some(Version(1)));
@@ -31,7 +31,7 @@
 #[tokio::test(start_paused = true)]
 async fn write_one_conflict_among_many() {
     // One organisation's lost race must not undo its neighbours' writes.
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let committer = committer(&memory);
     committer.write(insert("b")).await.unwrap();
     let (a, b, c) = tokio::join!(
@@ -46,7 +46,7 @@
 #[tokio::test(start_paused = true)]
 async fn write_table_away() {
     // Bills made while the table is away must be there when it is back, each once.
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let committer = committer(&memory);
     memory.set_faults(Faults { away: true, ..Faults::default() });
     let writes: Vec<_> = (0..300)
@@ -72,7 +72,7 @@
     // Two parts of a router change the same row from the same version at the same moment, and
     // their changes travel in one transaction, which checks all guards before it writes.
     // The second one has to go into a transaction of its own, and fail there.
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let committer = committer(&memory);
     let version = committer.write(insert("row")).await.unwrap();
     let change = |n: u32| Mutation::default().guard("row", version).put("row", &n);
@@ -84,7 +84,7 @@
 
 #[tokio::test]
 async fn read_stale() {
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let committer = committer(&memory);
     committer.write(Mutation::default().put("a", &1)).await.unwrap();
     committer.write(Mutation::default().put("a", &2)).await.unwrap();
--- a/tests/test_config.rs
+++ b/tests/test_config.rs
@@ -9,7 +9,7 @@
 use kingcupwall::config::store::{Follower, Submission, read_revisions, submit};
 use kingcupwall::error::Kind;
 use kingcupwall::ids::{Digest, Revision};
-use kingcupwall::table::memory::{Faults, Memory};
+use kingcupwall::table::memory::{Faults, MemoryPlatform};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -30,7 +30,7 @@
 impl Operator {
     async fn submit(
         &mut self,
-        memory: &Memory,
+        memory: &MemoryPlatform,
         id: &str,
         base: u64,
         edits: &str,
@@ -81,7 +81,7 @@
 async fn submit_ten_at_once() {
     // Operators race: one of them is told that it won, and its text is not there.
     // Ten submit from the same revision at the same time. One wins, nine get the difference.
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     Operator::default().submit(&memory, "first", 0, &text(5)).await.unwrap();
     let racers = (0..10).map(|n| {
         let memory = memory.clone();
@@ -106,7 +106,7 @@
 async fn submit_lost_answer() {
     // An operator hands the same change in twice, because the first answer never came.
     // The submission's id finds the first outcome.
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     memory.set_faults(Faults { lose_answers: 1, ..Faults::default() });
     let mut o = Operator::default();
     assert!(o.submit(&memory, "s1", 0, &text(5)).await.is_err());
@@ -118,7 +118,7 @@
 #[tokio::test]
 async fn catch_up_stale_read() {
     // A router goes back to an older text, because a read was stale.
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let mut o = Operator::default();
     o.submit(&memory, "s1", 0, &text(5)).await.unwrap();
     o.submit(&memory, "s2", 1, "[budget o/b]\nprepaid = 9\n").await.unwrap();
@@ -130,7 +130,7 @@
 #[tokio::test]
 async fn apply_old_and_altered_revisions() {
     // An old peer spreads an old revision, another one a damaged one.
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let mut o = Operator::default();
     o.submit(&memory, "s1", 0, &text(5)).await.unwrap();
     o.submit(&memory, "s2", 1, "[budget o/b]\nprepaid = 9\n").await.unwrap();
@@ -162,7 +162,7 @@
 
 #[tokio::test]
 async fn submit_removed_organisation_in_use() {
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let mut o = Operator::default();
     o.submit(&memory, "s1", 0, &text(5)).await.unwrap();
     let e = o.submit(&memory, "s2", 1, "[organisation o]\nremove\n").await.unwrap_err();
--- a/tests/test_table_http.rs
+++ b/tests/test_table_http.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcupwall::error::Kind;
-use kingcupwall::table::Objects;
+use kingcupwall::table::ObjectStore;
 use kingcupwall::table::http::HttpPlatform;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
