--- a/src/budget/reclaim.rs
+++ b/src/budget/reclaim.rs
@@ -11,7 +11,7 @@
     Bill, Change, HolderRow, HolderState, bill_key, budget_key, grant_key, grants_of, holder_key,
 };
 use super::witness::{Copy, Witness};
-use crate::engine::{Cancelled, Engine, Parts, Piece, RunUsage};
+use crate::engine::{CancelOutcome, Engine, Piece, PieceStream, RunUsage};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Incarnation, RunId, TargetId, Tokens};
 use crate::table::committer::Committer;
@@ -316,8 +316,8 @@
     /// to start it: a holder that was paused before its dispatch may still send it.
     async fn forbid(&self, addr: &str, run: &RunId) -> Result<Evidence> {
         Ok(match self.engine.cancel(addr, run).await? {
-            Cancelled::NeverRan => Evidence::NeverRan,
-            Cancelled::Stopped(usage) | Cancelled::Ended(usage) => Evidence::Ended(usage),
+            CancelOutcome::NeverRan => Evidence::NeverRan,
+            CancelOutcome::Stopped(usage) | CancelOutcome::Ended(usage) => Evidence::Ended(usage),
         })
     }
 }
--- a/src/config/ini.rs
+++ b/src/config/ini.rs
@@ -30,7 +30,7 @@
 
 /// A `key = value` line.
 #[derive(Clone, Debug)]
-pub struct Entry<'a> {
+pub struct KeyValue<'a> {
     /// Left of the equals sign.
     pub key: &'a str,
     /// Right of it.
@@ -49,11 +49,11 @@
     /// Line of the header.
     pub line: u32,
     /// In the order of the file.
-    pub entries: Vec<Entry<'a>>,
+    pub entries: Vec<KeyValue<'a>>,
 }
 
 /// Splits `text` into sections.
-pub fn sections<'a>(text: &'a str, findings: &mut Vec<Finding>) -> Vec<Section<'a>> {
+pub fn parse_sections<'a>(text: &'a str, findings: &mut Vec<Finding>) -> Vec<Section<'a>> {
     let mut out: Vec<Section<'a>> = Vec::new();
     let mut parser = Parser::new(text).auto_trim(true);
     while let Some(item) = parser.next() {
@@ -64,7 +64,7 @@
                 out.push(Section { kind, name: name.trim(), line, entries: Vec::new() });
             }
             Item::Property(key, Some(value)) => match out.last_mut() {
-                Some(s) => s.entries.push(Entry { key, value, line }),
+                Some(s) => s.entries.push(KeyValue { key, value, line }),
                 None => findings.push(Finding {
                     line,
                     message: format!("{key:?} stands before any [section]"),
@@ -82,16 +82,16 @@
 }
 
 /// Reads typed values out of a section, and finds keys that nobody asked for.
-pub struct Reader<'a, 'f> {
+pub struct SectionReader<'a, 'f> {
     section: &'a Section<'a>,
-    taken: Vec<&'static str>,
+    read_keys: Vec<&'static str>,
     findings: &'f mut Vec<Finding>,
 }
 
-impl<'a, 'f> Reader<'a, 'f> {
+impl<'a, 'f> SectionReader<'a, 'f> {
     /// A reader of `section` that reports to `findings`.
-    pub fn new(section: &'a Section<'a>, findings: &'f mut Vec<Finding>) -> Reader<'a, 'f> {
-        Reader { section, taken: Vec::new(), findings }
+    pub fn new(section: &'a Section<'a>, findings: &'f mut Vec<Finding>) -> SectionReader<'a, 'f> {
+        SectionReader { section, read_keys: Vec::new(), findings }
     }
 
     /// Reports a mistake at `line`.
@@ -99,14 +99,14 @@
         self.findings.push(Finding { line, message });
     }
 
-    fn entry(&mut self, key: &'static str) -> Option<&'a Entry<'a>> {
-        self.taken.push(key);
+    fn entry(&mut self, key: &'static str) -> Option<&'a KeyValue<'a>> {
+        self.read_keys.push(key);
         let section = self.section;
         let mut all = section.entries.iter().filter(|e| e.key == key);
         let first = all.next();
-        if let Some(again) = all.next() {
+        if let Some(duplicate) = all.next() {
             self.report(
-                again.line,
+                duplicate.line,
                 format!("{key} stands twice in [{} {}]", section.kind, section.name),
             );
         }
@@ -126,7 +126,7 @@
     }
 
     /// The value of `key`, or `default`.
-    pub fn or<T: FromStr<Err = Error>>(&mut self, key: &'static str, default: T) -> T {
+    pub fn value_or<T: FromStr<Err = Error>>(&mut self, key: &'static str, default: T) -> T {
         self.optional(key).unwrap_or(default)
     }
 
@@ -164,8 +164,8 @@
     /// Reports keys that were not read.
     pub fn finish(self) {
         for e in &self.section.entries {
-            if !self.taken.contains(&e.key) {
-                let known = self.taken.join(", ");
+            if !self.read_keys.contains(&e.key) {
+                let known = self.read_keys.join(", ");
                 let message =
                     format!("unknown key {:?} in [{}]; known: {known}", e.key, self.section.kind);
                 self.findings.push(Finding { line: e.line, message });
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -73,7 +73,7 @@
 
 /// Policy for the whole fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Fleet {
+pub struct FleetPolicy {
     /// Part of each grant that may be spent without a witness and stays in doubt when its holder
     /// dies. 0% strands least, more refuses less while a router is cut off.
     pub solo_share: PerMille,
@@ -88,9 +88,9 @@
     pub retry_share: PerMille,
 }
 
-impl Default for Fleet {
-    fn default() -> Fleet {
-        Fleet {
+impl Default for FleetPolicy {
+    fn default() -> FleetPolicy {
+        FleetPolicy {
             solo_share: PerMille(0),
             grant_horizon: Millis(600_000),
             entry_lifetime: Millis(10_000),
@@ -114,7 +114,7 @@
     /// Organisations by the digest of their key, in digest order.
     pub keys: Vec<(Digest, OrganisationId)>,
     /// Fleet-wide policy.
-    pub fleet: Fleet,
+    pub fleet: FleetPolicy,
 }
 
 impl Config {
@@ -126,7 +126,7 @@
     /// The budget of that name.
     pub fn budget(&self, id: &BudgetId) -> Option<&Budget> {
         self.budgets
-            .binary_search_by(|b| order_key(&b.id).cmp(&order_key(id)))
+            .binary_search_by(|b| budget_sort_key(&b.id).cmp(&budget_sort_key(id)))
             .ok()
             .map(|i| &self.budgets[i])
     }
@@ -139,15 +139,15 @@
     /// The organisation that owns an API key.
     pub fn organisation_by_key(&self, key: &[u8]) -> Option<&Organisation> {
         let digest = Digest::of(key);
-        let place = self.keys.binary_search_by(|(d, _)| d.cmp(&digest)).ok()?;
-        self.organisation(&self.keys[place].1)
+        let index = self.keys.binary_search_by(|(d, _)| d.cmp(&digest)).ok()?;
+        self.organisation(&self.keys[index].1)
     }
 
     /// Budgets of an organisation, in order of their ids.
     pub fn budgets_of(&self, id: &str) -> impl Iterator<Item = &Budget> {
         let from = self.budgets.partition_point(|b| b.id.organisation() < id);
-        let own = move |b: &&Budget| b.id.organisation() == id;
-        self.budgets[from..].iter().take_while(own)
+        let belongs = move |b: &&Budget| b.id.organisation() == id;
+        self.budgets[from..].iter().take_while(belongs)
     }
 
     /// The first budget of an organisation that `service` may draw on.
@@ -160,17 +160,17 @@
     pub fn index(&mut self) {
         self.services.sort_by(|a, b| a.id.cmp(&b.id));
         self.organisations.sort_by(|a, b| a.id.cmp(&b.id));
-        self.budgets.sort_by(budget_order);
+        self.budgets.sort_by(compare_budgets);
         self.keys = self.organisations.iter().map(|o| (o.key, o.id.clone())).collect();
         self.keys.sort();
     }
 }
 
 /// Organisation first: plain id order would put `a-b/x` between `a/x` and `a/y`'s neighbours.
-fn budget_order(a: &Budget, b: &Budget) -> std::cmp::Ordering {
-    order_key(&a.id).cmp(&order_key(&b.id))
+fn compare_budgets(a: &Budget, b: &Budget) -> std::cmp::Ordering {
+    budget_sort_key(&a.id).cmp(&budget_sort_key(&b.id))
 }
 
-fn order_key(id: &BudgetId) -> (&str, &str) {
+fn budget_sort_key(id: &BudgetId) -> (&str, &str) {
     (id.organisation(), id.as_str())
 }
--- a/src/config/parse.rs
+++ b/src/config/parse.rs
@@ -2,8 +2,8 @@
 
 use compact_str::CompactString;
 
-use super::ini::{Count, Finding, PerMille, Reader, Section, Text, sections};
-use super::{Budget, Config, Fleet, Organisation, Service, ServiceKind};
+use super::ini::{Count, Finding, PerMille, Section, SectionReader, Text, parse_sections};
+use super::{Budget, Config, FleetPolicy, Organisation, Service, ServiceKind};
 use crate::ids::{Digest, Millis, Tokens};
 
 /// Time for a whole answer unless the service says otherwise.
@@ -11,7 +11,7 @@
 /// Answer tokens unless the service says otherwise.
 const DEFAULT_MAX_TOKENS: u64 = 1_024;
 /// Requests in flight per organisation and router unless it says otherwise.
-const DEFAULT_IN_FLIGHT: u64 = 512;
+const DEFAULT_MAX_IN_FLIGHT: u64 = 512;
 
 /// Parses and checks `text`.
 ///
@@ -20,13 +20,13 @@
 pub fn parse(text: &str) -> std::result::Result<Config, Vec<Finding>> {
     let mut findings = Vec::new();
     let mut cfg = Config::default();
-    let parts = sections(text, &mut findings);
-    for s in &parts {
+    let parsed_sections = parse_sections(text, &mut findings);
+    for s in &parsed_sections {
         read_section(s, &mut cfg, &mut findings);
     }
-    find_doubles(&parts, &mut findings);
+    check_duplicates(&parsed_sections, &mut findings);
     cfg.index();
-    check_references(&parts, &cfg, &mut findings);
+    check_references(&parsed_sections, &cfg, &mut findings);
     findings.sort();
     if findings.is_empty() { Ok(cfg) } else { Err(findings) }
 }
@@ -48,7 +48,7 @@
 
 fn read_name<T: std::str::FromStr<Err = crate::error::Error>>(
     s: &Section<'_>,
-    r: &mut Reader<'_, '_>,
+    r: &mut SectionReader<'_, '_>,
 ) -> Option<T> {
     match s.name.parse() {
         Ok(id) => Some(id),
@@ -60,9 +60,9 @@
 }
 
 fn read_service(s: &Section<'_>, findings: &mut Vec<Finding>) -> Option<Service> {
-    let mut r = Reader::new(s, findings);
+    let mut r = SectionReader::new(s, findings);
     let id = read_name(s, &mut r);
-    let kind = match r.or("kind", Text(CompactString::const_new("model"))).0.as_str() {
+    let kind = match r.value_or("kind", Text(CompactString::const_new("model"))).0.as_str() {
         "model" => read_model(&mut r),
         "plain" => read_plain(&mut r),
         other => {
@@ -72,16 +72,16 @@
         }
     };
     let depends = r.list("depends");
-    let min_copies = r.or("min_copies", Count(1)).0.min(u64::from(u32::MAX)) as u32;
-    let deadline = r.or("deadline", DEFAULT_DEADLINE);
+    let min_copies = r.value_or("min_copies", Count(1)).0.min(u64::from(u32::MAX)) as u32;
+    let deadline = r.value_or("deadline", DEFAULT_DEADLINE);
     r.finish();
     Some(Service { id: id?, kind: kind?, depends, min_copies, deadline })
 }
 
-fn read_model(r: &mut Reader<'_, '_>) -> Option<ServiceKind> {
+fn read_model(r: &mut SectionReader<'_, '_>) -> Option<ServiceKind> {
     let model = r.required::<Text>("model");
-    let bytes_per_token = r.or("bytes_per_token", Count(1)).0;
-    let max_tokens = r.or("max_tokens", Count(DEFAULT_MAX_TOKENS)).0;
+    let bytes_per_token = r.value_or("bytes_per_token", Count(1)).0;
+    let max_tokens = r.value_or("max_tokens", Count(DEFAULT_MAX_TOKENS)).0;
     if bytes_per_token == 0 || max_tokens == 0 {
         let line = r.line(if max_tokens == 0 { "max_tokens" } else { "bytes_per_token" });
         r.report(line, "bytes_per_token and max_tokens must be at least 1".into());
@@ -89,25 +89,25 @@
     Some(ServiceKind::Model { model: model?.0, bytes_per_token, max_tokens })
 }
 
-fn read_plain(r: &mut Reader<'_, '_>) -> Option<ServiceKind> {
-    let cost = r.or("cost", Tokens(1));
+fn read_plain(r: &mut SectionReader<'_, '_>) -> Option<ServiceKind> {
+    let cost = r.value_or("cost", Tokens(1));
     let repeatable = r.list::<Text>("repeatable").into_iter().map(|t| t.0).collect();
     Some(ServiceKind::Plain { cost, repeatable })
 }
 
 fn read_organisation(s: &Section<'_>, findings: &mut Vec<Finding>) -> Option<Organisation> {
-    let mut r = Reader::new(s, findings);
+    let mut r = SectionReader::new(s, findings);
     let id = read_name(s, &mut r);
     let key = r.required::<Digest>("key");
-    let weight = r.or("weight", Count(1)).0.clamp(1, 1_000) as u32;
+    let weight = r.value_or("weight", Count(1)).0.clamp(1, 1_000) as u32;
     let max_in_flight =
-        r.or("max_in_flight", Count(DEFAULT_IN_FLIGHT)).0.min(u64::from(u32::MAX)) as u32;
+        r.value_or("max_in_flight", Count(DEFAULT_MAX_IN_FLIGHT)).0.min(u64::from(u32::MAX)) as u32;
     r.finish();
     Some(Organisation { id: id?, key: key?, weight, max_in_flight })
 }
 
 fn read_budget(s: &Section<'_>, findings: &mut Vec<Finding>) -> Option<Budget> {
-    let mut r = Reader::new(s, findings);
+    let mut r = SectionReader::new(s, findings);
     let id = read_name(s, &mut r);
     let prepaid = r.required("prepaid");
     let services = r.list("services");
@@ -115,38 +115,49 @@
     Some(Budget { id: id?, prepaid: prepaid?, services })
 }
 
-fn read_fleet(s: &Section<'_>, findings: &mut Vec<Finding>) -> Fleet {
-    let d = Fleet::default();
-    let mut r = Reader::new(s, findings);
-    let fleet = Fleet {
-        solo_share: r.or("solo_share", d.solo_share),
-        grant_horizon: r.or("grant_horizon", d.grant_horizon),
-        entry_lifetime: r.or("entry_lifetime", d.entry_lifetime),
-        entry_width: r.or("entry_width", Count(u64::from(d.entry_width))).0.clamp(1, 16) as u32,
-        retry_share: r.or::<PerMille>("retry_share", d.retry_share),
+fn read_fleet(s: &Section<'_>, findings: &mut Vec<Finding>) -> FleetPolicy {
+    let defaults = FleetPolicy::default();
+    let mut r = SectionReader::new(s, findings);
+    let fleet = FleetPolicy {
+        solo_share: r.value_or("solo_share", defaults.solo_share),
+        grant_horizon: r.value_or("grant_horizon", defaults.grant_horizon),
+        entry_lifetime: r.value_or("entry_lifetime", defaults.entry_lifetime),
+        entry_width: r
+            .value_or("entry_width", Count(u64::from(defaults.entry_width)))
+            .0
+            .clamp(1, 16) as u32,
+        retry_share: r.value_or::<PerMille>("retry_share", defaults.retry_share),
     };
     r.finish();
     fleet
 }
 
-fn find_doubles(parts: &[Section<'_>], findings: &mut Vec<Finding>) {
+fn check_duplicates(parsed_sections: &[Section<'_>], findings: &mut Vec<Finding>) {
     let mut named: Vec<(&str, &str, u32)> =
-        parts.iter().map(|s| (s.kind, s.name, s.line)).collect();
+        parsed_sections.iter().map(|s| (s.kind, s.name, s.line)).collect();
     named.sort();
-    for pair in named.windows(2).filter(|w| (w[0].0, w[0].1) == (w[1].0, w[1].1)) {
-        let message = format!("[{} {}] stands already at line {}", pair[1].0, pair[1].1, pair[0].2);
-        findings.push(Finding { line: pair[1].2, message });
+    for duplicate in named.windows(2).filter(|w| (w[0].0, w[0].1) == (w[1].0, w[1].1)) {
+        let message = format!(
+            "[{} {}] stands already at line {}",
+            duplicate[1].0, duplicate[1].1, duplicate[0].2
+        );
+        findings.push(Finding { line: duplicate[1].2, message });
     }
 }
 
-pub(super) fn check_references(parts: &[Section<'_>], cfg: &Config, findings: &mut Vec<Finding>) {
-    let mut standing: Vec<(&str, &str)> = parts.iter().map(|p| (p.kind, p.name)).collect();
-    standing.sort();
+pub(super) fn check_references(
+    parsed_sections: &[Section<'_>],
+    cfg: &Config,
+    findings: &mut Vec<Finding>,
+) {
+    let mut declared: Vec<(&str, &str)> =
+        parsed_sections.iter().map(|p| (p.kind, p.name)).collect();
+    declared.sort();
     let missing = |name: &str| {
-        let stands = standing.binary_search(&("service", name)).is_ok();
-        !stands && !cfg.services.iter().any(|s| s.id.as_str() == name)
+        let is_declared = declared.binary_search(&("service", name)).is_ok();
+        !is_declared && !cfg.services.iter().any(|s| s.id.as_str() == name)
     };
-    for s in parts {
+    for s in parsed_sections {
         for e in &s.entries {
             let names = e.value.split(',').map(str::trim).filter(|n| !n.is_empty());
             let unknown: Vec<&str> = match (s.kind, e.key) {
@@ -160,23 +171,23 @@
             findings.extend(unknown.into_iter().map(report));
         }
         if s.kind == "budget" {
-            check_owner(s, &standing, cfg, findings);
+            check_owner(s, &declared, cfg, findings);
         }
     }
-    check_cycles(parts, cfg, findings);
+    check_cycles(parsed_sections, cfg, findings);
 }
 
 fn check_owner(
     s: &Section<'_>,
-    standing: &[(&str, &str)],
+    declared: &[(&str, &str)],
     cfg: &Config,
     findings: &mut Vec<Finding>,
 ) {
     let owner = s.name.split_once('/').map_or("", |(o, _)| o);
     // One with mistakes of its own counts: it is reported where it stands.
-    let stands = standing.binary_search(&("organisation", owner)).is_ok();
+    let is_declared = declared.binary_search(&("organisation", owner)).is_ok();
     if let Ok(id) = owner.parse()
-        && !stands
+        && !is_declared
         && cfg.organisation(&id).is_none()
     {
         findings.push(Finding { line: s.line, message: format!("no [organisation {id}]") });
@@ -184,20 +195,21 @@
 }
 
 /// Services that wait for each other could never be served.
-fn check_cycles(parts: &[Section<'_>], cfg: &Config, findings: &mut Vec<Finding>) {
+fn check_cycles(parsed_sections: &[Section<'_>], cfg: &Config, findings: &mut Vec<Finding>) {
     for service in &cfg.services {
-        let mut seen = vec![];
-        let mut next: Vec<_> = service.depends.iter().collect();
-        while let Some(id) = next.pop() {
-            if seen.contains(&id) {
+        let mut visited = vec![];
+        let mut pending: Vec<_> = service.depends.iter().collect();
+        while let Some(id) = pending.pop() {
+            if visited.contains(&id) {
                 continue;
             }
-            seen.push(id);
-            next.extend(cfg.service(id).iter().flat_map(|s| &s.depends));
+            visited.push(id);
+            pending.extend(cfg.service(id).iter().flat_map(|s| &s.depends));
         }
-        if seen.contains(&&service.id) {
-            let header =
-                parts.iter().find(|s| s.kind == "service" && s.name == service.id.as_str());
+        if visited.contains(&&service.id) {
+            let header = parsed_sections
+                .iter()
+                .find(|s| s.kind == "service" && s.name == service.id.as_str());
             let message = format!("service {} depends on itself", service.id);
             findings.push(Finding { line: header.map_or(0, |s| s.line), message });
         }
--- a/src/config/revision.rs
+++ b/src/config/revision.rs
@@ -7,9 +7,9 @@
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-use super::ini::{Finding, findings_error, sections};
+use super::ini::{Finding, findings_error, parse_sections};
 use super::parse::{check_references, read_section};
-use super::{Config, order_key};
+use super::{Config, budget_sort_key};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, Revision, Tokens};
 
@@ -67,10 +67,10 @@
 pub struct Document {
     /// Sections in header order.
     sections: Vec<(CompactString, Box<str>)>,
-    sum: u128,
+    digest_sum: u128,
 }
 
-fn section_number(header: &str, body: &str) -> u128 {
+fn section_digest(header: &str, body: &str) -> u128 {
     Digest::of(format!("[{header}]\n{body}").as_bytes()).number()
 }
 
@@ -79,20 +79,22 @@
     /// section is dropped.
     pub fn parse(text: &str) -> Document {
         let mut doc = Document::default();
-        let edits = split(text).into_iter().map(|(header, body)| Edit { header, body: Some(body) });
+        let edits = split_sections(text)
+            .into_iter()
+            .map(|(header, body)| Edit { header, body: Some(body) });
         doc.apply(&edits.collect::<Vec<_>>());
         doc
     }
 
     /// The digest of the whole.
     pub fn digest(&self) -> Digest {
-        Digest::from_number(self.sum)
+        Digest::from_number(self.digest_sum)
     }
 
     /// The body of a section.
     pub fn section(&self, header: &str) -> Option<&str> {
-        let place = self.sections.binary_search_by(|(h, _)| h.as_str().cmp(header)).ok()?;
-        Some(&self.sections[place].1)
+        let index = self.sections.binary_search_by(|(h, _)| h.as_str().cmp(header)).ok()?;
+        Some(&self.sections[index].1)
     }
 
     /// Applies edits; the digest follows.
@@ -104,19 +106,19 @@
     }
 
     fn apply_one(&mut self, edit: &Edit) {
-        let found = self.sections.binary_search_by(|(h, _)| h.cmp(&edit.header));
-        if let Ok(place) = found {
-            let (header, body) = &self.sections[place];
-            self.sum = self.sum.wrapping_sub(section_number(header, body));
+        let position = self.sections.binary_search_by(|(h, _)| h.cmp(&edit.header));
+        if let Ok(index) = position {
+            let (header, body) = &self.sections[index];
+            self.digest_sum = self.digest_sum.wrapping_sub(section_digest(header, body));
         }
         if let Some(body) = &edit.body {
-            self.sum = self.sum.wrapping_add(section_number(&edit.header, body));
+            self.digest_sum = self.digest_sum.wrapping_add(section_digest(&edit.header, body));
         }
-        match (found, &edit.body) {
-            (Ok(place), Some(body)) => self.sections[place].1 = body.as_str().into(),
-            (Ok(place), None) => drop(self.sections.remove(place)),
-            (Err(place), Some(body)) => {
-                self.sections.insert(place, (edit.header.clone(), body.as_str().into()));
+        match (position, &edit.body) {
+            (Ok(index), Some(body)) => self.sections[index].1 = body.as_str().into(),
+            (Ok(index), None) => drop(self.sections.remove(index)),
+            (Err(index), Some(body)) => {
+                self.sections.insert(index, (edit.header.clone(), body.as_str().into()));
             }
             (Err(_), None) => {}
         }
@@ -132,17 +134,17 @@
             }
         }
         self.sections = all.into_iter().collect();
-        let numbers = self.sections.iter().map(|(h, b)| section_number(h, b));
-        self.sum = numbers.fold(0, u128::wrapping_add);
+        let numbers = self.sections.iter().map(|(h, b)| section_digest(h, b));
+        self.digest_sum = numbers.fold(0, u128::wrapping_add);
     }
 
     /// The edits that lead from this document to `other`.
     pub fn diff(&self, other: &Document) -> Vec<Edit> {
-        let gone = self.sections.iter().filter(|(h, _)| other.section(h).is_none());
-        let gone = gone.map(|(h, _)| Edit { header: h.clone(), body: None });
-        let new = other.sections.iter().filter(|(h, b)| self.section(h) != Some(b));
-        let new = new.map(|(h, b)| Edit { header: h.clone(), body: Some(b.to_string()) });
-        gone.chain(new).collect()
+        let removed = self.sections.iter().filter(|(h, _)| other.section(h).is_none());
+        let removed = removed.map(|(h, _)| Edit { header: h.clone(), body: None });
+        let changed = other.sections.iter().filter(|(h, b)| self.section(h) != Some(b));
+        let changed = changed.map(|(h, b)| Edit { header: h.clone(), body: Some(b.to_string()) });
+        removed.chain(changed).collect()
     }
 
     /// The whole as text, sections in header order.
@@ -153,8 +155,9 @@
 
     /// The whole as a snapshot: a line with format, revision and digest, then the text.
     pub fn snapshot(&self, revision: Revision) -> Vec<u8> {
-        let first = format!("{SNAPSHOT_MAGIC} {SNAPSHOT_FORMAT} {revision} {}\n", self.digest());
-        (first + &self.text()).into_bytes()
+        let header_line =
+            format!("{SNAPSHOT_MAGIC} {SNAPSHOT_FORMAT} {revision} {}\n", self.digest());
+        (header_line + &self.text()).into_bytes()
     }
 
     /// Reads a snapshot.
@@ -162,30 +165,32 @@
     /// # Errors
     /// `BadFormat` for one that is damaged, cut short, or of a newer format.
     pub fn from_snapshot(data: &[u8]) -> Result<(Revision, Document)> {
-        let bad = |what: &str| Error::new(Kind::BadFormat, format!("snapshot: {what}"));
-        let text = std::str::from_utf8(data).map_err(|_| bad("not UTF-8"))?;
-        let (first, rest) =
-            text.split_once('\n').ok_or_else(|| bad("cut short in its first line"))?;
-        let words: Vec<&str> = first.split(' ').collect();
+        let format_error = |what: &str| Error::new(Kind::BadFormat, format!("snapshot: {what}"));
+        let text = std::str::from_utf8(data).map_err(|_| format_error("not UTF-8"))?;
+        let (header_line, body) =
+            text.split_once('\n').ok_or_else(|| format_error("cut short in its first line"))?;
+        let words: Vec<&str> = header_line.split(' ').collect();
         let [SNAPSHOT_MAGIC, format, revision, digest] = words[..] else {
-            return Err(bad("first line is no snapshot header"));
+            return Err(format_error("first line is no snapshot header"));
         };
-        let format: u32 = format.parse().map_err(|_| bad("format is no number"))?;
+        let format: u32 = format.parse().map_err(|_| format_error("format is no number"))?;
         if format > SNAPSHOT_FORMAT {
-            return Err(bad(&format!(
+            return Err(format_error(&format!(
                 "format {format} is newer than {SNAPSHOT_FORMAT}, update this program"
             )));
         }
-        let doc = Document::parse(rest);
+        let doc = Document::parse(body);
         if doc.digest() != digest.parse()? {
-            return Err(bad("content does not match its digest; it is damaged or cut short"));
+            return Err(format_error(
+                "content does not match its digest; it is damaged or cut short",
+            ));
         }
         Ok((revision.parse()?, doc))
     }
 }
 
 /// Splits a text into `(header, body)` pairs.
-fn split(text: &str) -> Vec<(CompactString, String)> {
+fn split_sections(text: &str) -> Vec<(CompactString, String)> {
     let mut out: Vec<(CompactString, String)> = Vec::new();
     for line in text.lines() {
         let trimmed = line.trim();
@@ -207,7 +212,7 @@
         "remove" => Edit { header, body: None },
         _ => Edit { header, body: Some(body) },
     };
-    split(text).into_iter().map(edit).collect()
+    split_sections(text).into_iter().map(edit).collect()
 }
 
 /// A budget whose ledger row has to be looked at before an edit is accepted.
@@ -218,7 +223,7 @@
     /// The new prepaid amount; `None`: the budget is removed.
     pub prepaid: Option<Tokens>,
     /// Whether routers may know a larger amount.
-    pub lowers: bool,
+    pub is_reduction: bool,
 }
 
 impl Config {
@@ -231,7 +236,7 @@
         for e in edits {
             self.remove(&e.header);
         }
-        let many = parsed.budgets.len() > 1_000;
+        let is_bulk = parsed.budgets.len() > 1_000;
         parsed.services.into_iter().for_each(|s| self.services.push(s));
         if !parsed.organisations.is_empty() {
             self.organisations.extend(parsed.organisations);
@@ -243,14 +248,15 @@
         if edits.iter().any(|e| e.header == "fleet") {
             self.fleet = parsed.fleet;
         }
-        if many {
+        if is_bulk {
             self.budgets.extend(parsed.budgets);
-            self.budgets.sort_by(super::budget_order);
+            self.budgets.sort_by(super::compare_budgets);
             return Ok(());
         }
         for b in parsed.budgets {
-            let place = self.budgets.partition_point(|x| order_key(&x.id) < order_key(&b.id));
-            self.budgets.insert(place, b);
+            let index =
+                self.budgets.partition_point(|x| budget_sort_key(&x.id) < budget_sort_key(&b.id));
+            self.budgets.insert(index, b);
         }
         Ok(())
     }
@@ -264,10 +270,11 @@
             }
             ("budget", name) => {
                 if let Ok(id) = name.parse::<BudgetId>()
-                    && let Ok(place) =
-                        self.budgets.binary_search_by(|b| order_key(&b.id).cmp(&order_key(&id)))
+                    && let Ok(index) = self
+                        .budgets
+                        .binary_search_by(|b| budget_sort_key(&b.id).cmp(&budget_sort_key(&id)))
                 {
-                    self.budgets.remove(place);
+                    self.budgets.remove(index);
                 }
             }
             _ => {}
@@ -284,34 +291,34 @@
             .filter_map(|e| e.body.as_ref().map(|b| format!("[{}]\n{b}", e.header)))
             .collect();
         let mut findings = Vec::new();
-        let parts = sections(&text, &mut findings);
+        let parsed_sections = parse_sections(&text, &mut findings);
         let mut parsed = Config::default();
-        parts.iter().for_each(|s| read_section(s, &mut parsed, &mut findings));
+        parsed_sections.iter().for_each(|s| read_section(s, &mut parsed, &mut findings));
         parsed.index();
-        let mut known = Config {
+        let mut merged = Config {
             services: self.services.clone(),
             organisations: self.organisations.clone(),
             ..Config::default()
         };
         for e in edits.iter().filter(|e| !e.header.starts_with("budget ")) {
-            known.remove(&e.header);
+            merged.remove(&e.header);
         }
-        known.services.extend(parsed.services.iter().cloned());
-        known.organisations.extend(parsed.organisations.iter().cloned());
-        known.index();
-        check_references(&parts, &known, &mut findings);
-        self.check_removed(edits, &known, &mut findings);
+        merged.services.extend(parsed.services.iter().cloned());
+        merged.organisations.extend(parsed.organisations.iter().cloned());
+        merged.index();
+        check_references(&parsed_sections, &merged, &mut findings);
+        self.check_removed(edits, &merged, &mut findings);
         if findings.is_empty() { Ok(parsed) } else { Err(findings_error("edit", &findings)) }
     }
 
     /// A removed organisation or service must not be named by what stays.
-    fn check_removed(&self, edits: &[Edit], known: &Config, findings: &mut Vec<Finding>) {
+    fn check_removed(&self, edits: &[Edit], merged: &Config, findings: &mut Vec<Finding>) {
         let edited = |b: &BudgetId| {
             edits.iter().any(|e| e.header.strip_prefix("budget ") == Some(b.as_str()))
         };
         for e in edits.iter().filter(|e| e.body.is_none()) {
             let (kind, name) = e.header.split_once(' ').unwrap_or((&e.header, ""));
-            let users: Vec<&BudgetId> = match kind {
+            let dependent_budgets: Vec<&BudgetId> = match kind {
                 "organisation" => {
                     self.budgets_of(name).map(|b| &b.id).filter(|b| !edited(b)).collect()
                 }
@@ -327,10 +334,13 @@
                 _ => continue,
             };
             let depends =
-                known.services.iter().filter(|s| s.depends.iter().any(|d| d.as_str() == name));
-            let message = |who: String| format!("{} cannot go: {who} needs it", e.header);
+                merged.services.iter().filter(|s| s.depends.iter().any(|d| d.as_str() == name));
+            let message =
+                |dependent: String| format!("{} cannot go: {dependent} needs it", e.header);
             findings.extend(
-                users.first().map(|b| Finding { line: 0, message: message(format!("budget {b}")) }),
+                dependent_budgets
+                    .first()
+                    .map(|b| Finding { line: 0, message: message(format!("budget {b}")) }),
             );
             if kind == "service" {
                 findings.extend(
@@ -347,10 +357,14 @@
     pub fn ledger_checks(&self, edits: &[Edit], parsed: &Config) -> Vec<LedgerCheck> {
         let check = |e: &Edit| {
             let budget: BudgetId = e.header.strip_prefix("budget ")?.parse().ok()?;
-            let was = self.budget(&budget).map(|b| b.prepaid);
+            let previous = self.budget(&budget).map(|b| b.prepaid);
             let prepaid = parsed.budget(&budget).map(|b| b.prepaid);
-            let lowers = was.is_some() && prepaid < was;
-            (lowers || was.is_none()).then_some(LedgerCheck { budget, prepaid, lowers })
+            let is_reduction = previous.is_some() && prepaid < previous;
+            (is_reduction || previous.is_none()).then_some(LedgerCheck {
+                budget,
+                prepaid,
+                is_reduction,
+            })
         };
         edits.iter().filter_map(check).collect()
     }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -5,7 +5,7 @@
 
 use compact_str::CompactString;
 
-use super::ini::{Finding, Reader, Text, findings_error, sections};
+use super::ini::{Finding, SectionReader, Text, findings_error, parse_sections};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Millis, ZoneId};
 
@@ -60,20 +60,20 @@
 /// `BadConfig` with every finding as `file:line: message`.
 pub fn parse_settings(file: &str, text: &str) -> Result<Settings> {
     let mut findings = Vec::new();
-    let parts = sections(text, &mut findings);
+    let parsed_sections = parse_sections(text, &mut findings);
     let mut out = None;
-    for s in &parts {
+    for s in &parsed_sections {
         if s.kind != "router" {
             let message = format!("unknown section [{}]; known: router", s.kind);
             findings.push(Finding { line: s.line, message });
             continue;
         }
-        let mut r = Reader::new(s, &mut findings);
+        let mut r = SectionReader::new(s, &mut findings);
         let parsed = read_router(&mut r);
         r.finish();
         out = out.or(parsed);
     }
-    if parts.is_empty() {
+    if parsed_sections.is_empty() {
         findings.push(Finding { line: 1, message: "a [router] section is needed".into() });
     }
     findings.sort();
@@ -83,8 +83,8 @@
     }
 }
 
-fn read_router(r: &mut Reader<'_, '_>) -> Option<Settings> {
-    let any = Addr(SocketAddr::from(([127, 0, 0, 1], 0)));
+fn read_router(r: &mut SectionReader<'_, '_>) -> Option<Settings> {
+    let loopback_any_port = Addr(SocketAddr::from(([127, 0, 0, 1], 0)));
     let instance = r.required::<Text>("instance");
     let zone = r.required("zone");
     let platform = r.required::<Addr>("platform");
@@ -94,15 +94,15 @@
         r.report(line, "link_keys needs at least one secret, the same on every router".into());
     }
     let settings = Settings {
-        listen: r.or("listen", any).0,
-        peer_listen: r.or("peer_listen", any).0,
+        listen: r.value_or("listen", loopback_any_port).0,
+        peer_listen: r.value_or("peer_listen", loopback_any_port).0,
         link_keys: link_keys.into_iter().map(|t| t.0).collect(),
         operator_key: r.optional("operator_key"),
-        commit_interval: r.or("commit_interval", Millis(50)),
-        heartbeat: r.or("heartbeat", Millis(250)),
-        dead_after: r.or("dead_after", Millis(2_000)),
-        config_poll: r.or("config_poll", Millis(1_000)),
-        report_poll: r.or("report_poll", Millis(250)),
+        commit_interval: r.value_or("commit_interval", Millis(50)),
+        heartbeat: r.value_or("heartbeat", Millis(250)),
+        dead_after: r.value_or("dead_after", Millis(2_000)),
+        config_poll: r.value_or("config_poll", Millis(1_000)),
+        report_poll: r.value_or("report_poll", Millis(250)),
         statsd: r.optional::<Addr>("statsd").map(|a| a.0),
         instance: instance?.0,
         zone: zone?,
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -14,15 +14,15 @@
 use crate::table::{Mutation, Outcome, Platform, Row, RowKey, Table, Txn, Version, read_one};
 
 /// Row of the newest revision.
-const HEAD: &str = "config/head";
+const HEAD_KEY: &str = "config/head";
 /// Row that names the newest snapshot.
-const SNAPSHOT: &str = "config/snapshot";
+const SNAPSHOT_KEY: &str = "config/snapshot";
 /// Revisions between snapshots.
-const SNAPSHOT_EVERY: u64 = 64;
+const REVISIONS_PER_SNAPSHOT: u64 = 64;
 /// Bytes of edits that fit a row; larger ones go to an object.
-const MAX_ROW: usize = 64 * 1024;
+const MAX_ROW_BYTES: usize = 64 * 1024;
 /// Revisions fetched at once.
-const PAGE: usize = 200;
+const MAX_ROWS_PER_READ: usize = 200;
 
 fn revision_key(revision: Revision) -> RowKey {
     format_compact!("config/rev/{:020}", revision.0)
@@ -59,7 +59,7 @@
 /// # Errors
 /// `PlatformAway`, or `BadFormat` for a row that cannot be read.
 pub async fn read_head<T: Table>(table: &T) -> Result<Seen<Head>> {
-    seen(read_one(table, HEAD).await?.as_ref())
+    seen(read_one(table, HEAD_KEY).await?.as_ref())
 }
 
 /// Reads revisions after `from`, a page at most.
@@ -67,7 +67,7 @@
 /// # Errors
 /// `PlatformAway`, or `BadFormat` for a row that cannot be read.
 pub async fn read_revisions<P: Platform>(platform: &P, from: Revision) -> Result<Vec<RevisionRow>> {
-    let rows = platform.scan("config/rev/".into(), revision_key(from), PAGE).await?;
+    let rows = platform.scan("config/rev/".into(), revision_key(from), MAX_ROWS_PER_READ).await?;
     let mut out = Vec::with_capacity(rows.len());
     for row in &rows {
         let mut r: RevisionRow = row.decode()?;
@@ -81,19 +81,19 @@
 }
 
 /// Revisions kept for routers that cannot reach the platform.
-const KEPT_REVISIONS: usize = 256;
+const MAX_RECENT_REVISIONS: usize = 256;
 /// Bytes of edits kept for them in one revision; a larger one waits for the platform.
-const MAX_KEPT_EDITS: usize = 256 * 1024;
+const MAX_RECENT_EDIT_BYTES: usize = 256 * 1024;
 
 /// Follows the configuration revision by revision.
 #[derive(Debug, Default)]
-pub struct Follower {
+pub struct ConfigFollower {
     doc: Document,
     head: Head,
     recent: VecDeque<RevisionRow>,
 }
 
-impl Follower {
+impl ConfigFollower {
     /// The revision in force here.
     pub fn head(&self) -> Head {
         self.head
@@ -121,37 +121,37 @@
             let message = format!("revision {} was made from other content", row.revision);
             return Err(Error::new(Kind::BadFormat, message));
         }
-        let undo = self.undo(&row.edits);
+        let inverse = self.inverse(&row.edits);
         self.doc.apply(&row.edits);
         if self.doc.digest() != row.after {
-            self.doc.apply(&undo);
+            self.doc.apply(&inverse);
             let message = format!("revision {} does not lead to its digest", row.revision);
             return Err(Error::new(Kind::BadFormat, message));
         }
         let mut cfg = cfg.write().expect("the configuration lock is never poisoned");
         if let Err(e) = cfg.apply(&row.edits) {
-            self.doc.apply(&undo);
+            self.doc.apply(&inverse);
             return Err(e);
         }
         cfg.revision = row.revision;
         self.head = Head { revision: row.revision, digest: row.after };
-        self.keep(row);
+        self.keep_recent(row);
         Ok(true)
     }
 
-    fn keep(&mut self, row: &RevisionRow) {
+    fn keep_recent(&mut self, row: &RevisionRow) {
         let bytes: usize = row.edits.iter().map(|e| e.body.as_ref().map_or(0, String::len)).sum();
-        if bytes > MAX_KEPT_EDITS {
+        if bytes > MAX_RECENT_EDIT_BYTES {
             return self.recent.clear();
         }
         self.recent.push_back(row.clone());
-        if self.recent.len() > KEPT_REVISIONS {
+        if self.recent.len() > MAX_RECENT_REVISIONS {
             self.recent.pop_front();
         }
     }
 
     /// Recent revisions after `from`, without a gap; empty when they are no longer here.
-    pub fn after(&self, from: Revision) -> Vec<RevisionRow> {
+    pub fn revisions_after(&self, from: Revision) -> Vec<RevisionRow> {
         let first = self.recent.front().map_or(u64::MAX, |r| r.revision.0);
         if first > from.0 + 1 {
             return Vec::new();
@@ -159,12 +159,12 @@
         self.recent.iter().filter(|r| r.revision > from).cloned().collect()
     }
 
-    fn undo(&self, edits: &[Edit]) -> Vec<Edit> {
-        let was = |e: &Edit| Edit {
+    fn inverse(&self, edits: &[Edit]) -> Vec<Edit> {
+        let previous = |e: &Edit| Edit {
             header: e.header.clone(),
             body: self.doc.section(&e.header).map(String::from),
         };
-        edits.iter().map(was).collect()
+        edits.iter().map(previous).collect()
     }
 
     /// Reads whatever is newer from the platform. The revision in force after it.
@@ -184,7 +184,7 @@
             for row in &page {
                 self.apply(row, cfg)?;
             }
-            if page.len() < PAGE {
+            if page.len() < MAX_ROWS_PER_READ {
                 return Ok(self.head.revision);
             }
         }
@@ -197,7 +197,7 @@
         platform: &P,
         cfg: &RwLock<Config>,
     ) -> Result<()> {
-        let Some(row) = read_one(platform, SNAPSHOT).await? else { return Ok(()) };
+        let Some(row) = read_one(platform, SNAPSHOT_KEY).await? else { return Ok(()) };
         let row: SnapshotRow = row.decode()?;
         let data = platform.get(row.object.clone()).await?;
         match read_snapshot(&data) {
@@ -232,14 +232,14 @@
 /// submission was taken: repeat it with the same id.
 pub async fn submit<P: Platform>(
     platform: &P,
-    follower: &mut Follower,
+    follower: &mut ConfigFollower,
     cfg: &RwLock<Config>,
     submission: &Submission,
 ) -> Result<Revision> {
     loop {
-        if let Some(done) = find_submission(platform, &submission.id).await? {
+        if let Some(accepted) = find_submission(platform, &submission.id).await? {
             follower.catch_up(platform, cfg).await?;
-            return Ok(done);
+            return Ok(accepted);
         }
         follower.catch_up(platform, cfg).await?;
         let head = read_head(platform).await?;
@@ -247,7 +247,7 @@
             continue;
         }
         check_base(platform, submission, head.row.revision).await?;
-        let txn = prepare(platform, follower, cfg, submission, &head).await?;
+        let txn = build_txn(platform, follower, cfg, submission, &head).await?;
         // The head's version is part of the id: the same attempt repeated finds its outcome, a
         // new attempt after a lost race is a new transaction.
         match platform.write(txn).await? {
@@ -267,67 +267,81 @@
 }
 
 /// The loser of a race learns what the winners changed.
-async fn check_base<P: Platform>(platform: &P, s: &Submission, head: Revision) -> Result<()> {
-    if s.base == head {
+async fn check_base<P: Platform>(
+    platform: &P,
+    submission: &Submission,
+    head: Revision,
+) -> Result<()> {
+    if submission.base == head {
         return Ok(());
     }
-    if s.base > head {
+    if submission.base > head {
         return Err(Error::new(
             Kind::Conflict,
-            format!("base {} is newer than the head {head}", s.base),
+            format!("base {} is newer than the head {head}", submission.base),
         ));
     }
-    let since = read_revisions(platform, s.base).await?;
-    let theirs = since.iter().flat_map(|r| r.edits.iter().map(move |e| (r.revision, e)));
-    let both: Vec<_> =
-        theirs.clone().filter(|(_, e)| s.edits.iter().any(|m| m.header == e.header)).collect();
-    if s.merge && both.is_empty() {
+    let since = read_revisions(platform, submission.base).await?;
+    let concurrent = since.iter().flat_map(|r| r.edits.iter().map(move |e| (r.revision, e)));
+    let overlapping: Vec<_> = concurrent
+        .clone()
+        .filter(|(_, e)| submission.edits.iter().any(|m| m.header == e.header))
+        .collect();
+    if submission.merge && overlapping.is_empty() {
         return Ok(());
     }
-    let shown: Vec<String> = if both.is_empty() {
-        theirs.take(50).map(describe).collect()
+    let shown: Vec<String> = if overlapping.is_empty() {
+        concurrent.take(50).map(describe_edit).collect()
     } else {
-        both.into_iter().map(describe).collect()
+        overlapping.into_iter().map(describe_edit).collect()
     };
-    let message =
-        format!("the head is {head}, not {}; changed since:\n{}", s.base, shown.join("\n"));
+    let message = format!(
+        "the head is {head}, not {}; changed since:\n{}",
+        submission.base,
+        shown.join("\n")
+    );
     Err(Error::new(Kind::Conflict, message))
 }
 
-fn describe((revision, e): (Revision, &Edit)) -> String {
+fn describe_edit((revision, e): (Revision, &Edit)) -> String {
     match &e.body {
         Some(body) => format!("revision {revision}: [{}]\n{}", e.header, body.trim_end()),
         None => format!("revision {revision}: [{}] removed", e.header),
     }
 }
 
-async fn prepare<P: Platform>(
+async fn build_txn<P: Platform>(
     platform: &P,
-    follower: &Follower,
+    follower: &ConfigFollower,
     cfg: &RwLock<Config>,
-    s: &Submission,
+    submission: &Submission,
     head: &Seen<Head>,
 ) -> Result<Txn> {
     let checks = {
         let cfg = cfg.read().expect("the configuration lock is never poisoned");
-        let parsed = cfg.check(&s.edits)?;
-        cfg.ledger_checks(&s.edits, &parsed)
+        let parsed = cfg.check(&submission.edits)?;
+        cfg.ledger_checks(&submission.edits, &parsed)
     };
     let revision = Revision(head.row.revision.0 + 1);
     let mut after = follower.document().clone();
-    after.apply(&s.edits);
-    let row = revision_row(platform, s, revision, head.row.digest, after.digest()).await?;
+    after.apply(&submission.edits);
+    let row = revision_row(platform, submission, revision, head.row.digest, after.digest()).await?;
     let new_head = Head { revision, digest: after.digest() };
-    let mut m = Mutation::default().guard(HEAD, head.version).guard(submission_key(&s.id), None);
-    m = m
-        .put(HEAD, &new_head)
+    let mut mutation = Mutation::default()
+        .guard(HEAD_KEY, head.version)
+        .guard(submission_key(&submission.id), None);
+    mutation = mutation
+        .put(HEAD_KEY, &new_head)
         .put(revision_key(revision), &row)
-        .put(submission_key(&s.id), &revision);
-    for page in checks.chunks(PAGE) {
-        m = check_ledger(platform, page, revision, m).await?;
+        .put(submission_key(&submission.id), &revision);
+    for page in checks.chunks(MAX_ROWS_PER_READ) {
+        mutation = check_ledger(platform, page, revision, mutation).await?;
     }
     let version = head.version.unwrap_or(Version(0));
-    Ok(Txn { id: format_compact!("submit/{}/{}", s.id, version.0), mutations: vec![m] })
+    Ok(Txn {
+        id: format_compact!("submit/{}/{}", submission.id, version.0),
+        mutations: vec![mutation],
+    })
 }
 
 /// A prepaid amount must not fall below what is committed. Its row then carries the revision, so
@@ -337,48 +351,48 @@
     table: &T,
     page: &[LedgerCheck],
     revision: Revision,
-    m: Mutation,
+    mutation: Mutation,
 ) -> Result<Mutation> {
-    let rows = table.read(page.iter().map(|c| budget_key(&c.budget)).collect()).await?;
-    let mut m = m;
-    for c in page {
-        let key = budget_key(&c.budget);
-        let was: Seen<BudgetRow> = seen(rows.iter().find(|r| r.key == key))?;
-        if let Some(prepaid) = c.prepaid
-            && was.row.committed > prepaid
+    let rows = table.read(page.iter().map(|check| budget_key(&check.budget)).collect()).await?;
+    let mut mutation = mutation;
+    for check in page {
+        let key = budget_key(&check.budget);
+        let previous: Seen<BudgetRow> = seen(rows.iter().find(|r| r.key == key))?;
+        if let Some(prepaid) = check.prepaid
+            && previous.row.committed > prepaid
         {
             let message = format!(
                 "budget {}: {} are settled or granted, so {} is the lowest prepaid amount possible now",
-                c.budget, was.row.committed, was.row.committed
+                check.budget, previous.row.committed, previous.row.committed
             );
             return Err(Error::new(Kind::Conflict, message));
         }
-        if c.lowers || was.version.is_some() {
-            m = m
-                .guard(key.clone(), was.version)
-                .put(key, &BudgetRow { floor: revision, ..was.row });
+        if check.is_reduction || previous.version.is_some() {
+            mutation = mutation
+                .guard(key.clone(), previous.version)
+                .put(key, &BudgetRow { floor: revision, ..previous.row });
         }
     }
-    Ok(m)
+    Ok(mutation)
 }
 
 async fn revision_row<P: Platform>(
     platform: &P,
-    s: &Submission,
+    submitted: &Submission,
     revision: Revision,
     before: Digest,
     after: Digest,
 ) -> Result<RevisionRow> {
     let row = RevisionRow {
         revision,
-        submission: s.id.clone(),
+        submission: submitted.id.clone(),
         before,
         after,
-        edits: s.edits.clone(),
+        edits: submitted.edits.clone(),
         object: None,
     };
-    let data = serde_json::to_vec(&s.edits)?;
-    if data.len() <= MAX_ROW {
+    let data = serde_json::to_vec(&submitted.edits)?;
+    if data.len() <= MAX_ROW_BYTES {
         return Ok(row);
     }
     let object = format_compact!("config/edits/{}", Digest::of(&data));
@@ -387,9 +401,9 @@
 }
 
 /// Writes a snapshot now and then. Failing is harmless: the next one will do.
-async fn write_snapshot<P: Platform>(platform: &P, follower: &Follower) {
+async fn write_snapshot<P: Platform>(platform: &P, follower: &ConfigFollower) {
     let revision = follower.head().revision;
-    if !revision.0.is_multiple_of(SNAPSHOT_EVERY) {
+    if !revision.0.is_multiple_of(REVISIONS_PER_SNAPSHOT) {
         return;
     }
     if let Err(e) = try_snapshot(platform, follower, revision).await {
@@ -399,14 +413,14 @@
 
 async fn try_snapshot<P: Platform>(
     platform: &P,
-    follower: &Follower,
+    follower: &ConfigFollower,
     revision: Revision,
 ) -> Result<()> {
     let object = format_compact!("config/snap/{revision}");
     platform.put(object.clone(), follower.document().snapshot(revision)).await?;
-    let row = read_one(platform, SNAPSHOT).await?;
-    let m = Mutation::default().guard(SNAPSHOT, row.map(|r| r.version));
-    let m = m.put(SNAPSHOT, &SnapshotRow { revision, object });
+    let row = read_one(platform, SNAPSHOT_KEY).await?;
+    let mutation = Mutation::default().guard(SNAPSHOT_KEY, row.map(|r| r.version));
+    let mutation = mutation.put(SNAPSHOT_KEY, &SnapshotRow { revision, object });
     let id = format_compact!("snapshot/{revision}");
-    platform.write(Txn { id, mutations: vec![m] }).await.map(drop)
+    platform.write(Txn { id, mutations: vec![mutation] }).await.map(drop)
 }
--- a/src/engine/http.rs
+++ b/src/engine/http.rs
@@ -8,7 +8,8 @@
 use serde::de::DeserializeOwned;
 
 use super::{
-    Cancelled, Engine, LoadReport, Order, Part, Parts, ServiceAnswer, ServiceCall, StartRun,
+    CancelOutcome, Engine, LoadReport, Order, PieceStream, RunPiece, ServiceAnswer, ServiceCall,
+    StartRun,
 };
 use crate::error::{Error, Kind, Result};
 use crate::ids::RunId;
@@ -18,9 +19,9 @@
 /// Time for a short call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Silence in a stream after which the target counts as failed.
-const SILENCE: Duration = Duration::from_secs(5);
+const STREAM_READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Bytes of one line at most.
-const MAX_LINE: usize = 64 * 1024;
+const MAX_LINE_BYTES: usize = 64 * 1024;
 
 /// A client of targets.
 #[derive(Clone, Debug)]
@@ -34,25 +35,26 @@
     /// # Errors
     /// `Io` when the HTTP client cannot be set up.
     pub fn new() -> Result<HttpEngine> {
-        let builder =
-            reqwest::Client::builder().connect_timeout(CONNECT_TIMEOUT).read_timeout(SILENCE);
+        let builder = reqwest::Client::builder()
+            .connect_timeout(CONNECT_TIMEOUT)
+            .read_timeout(STREAM_READ_TIMEOUT);
         Ok(HttpEngine { client: builder.no_proxy().tcp_nodelay(true).build()? })
     }
 
     async fn post<B: Serialize, T: DeserializeOwned>(&self, url: String, body: &B) -> Result<T> {
         let req = self.client.post(url).timeout(CALL_TIMEOUT).json(body);
-        let resp = check(req.send().await.map_err(failed)?)?;
-        resp.json().await.map_err(failed)
+        let resp = check_status(req.send().await.map_err(request_error)?)?;
+        resp.json().await.map_err(request_error)
     }
 }
 
 /// Only a failed connect proves that no byte left.
-fn failed(e: reqwest::Error) -> Error {
+fn request_error(e: reqwest::Error) -> Error {
     let kind = if e.is_connect() { Kind::NoTarget } else { Kind::TargetFailed };
     Error::new(kind, format!("target: {}", e.without_url()))
 }
 
-fn check(resp: reqwest::Response) -> Result<reqwest::Response> {
+fn check_status(resp: reqwest::Response) -> Result<reqwest::Response> {
     let kind = match resp.status().as_u16() {
         200 => return Ok(resp),
         404 | 410 => Kind::RunLost,
@@ -66,33 +68,33 @@
 
 /// A streaming answer.
 #[derive(Debug)]
-pub struct Lines {
+pub struct LineStream {
     resp: reqwest::Response,
     buf: BytesMut,
 }
 
-impl Lines {
-    fn new(resp: reqwest::Response) -> Lines {
-        Lines { resp, buf: BytesMut::new() }
+impl LineStream {
+    fn new(resp: reqwest::Response) -> LineStream {
+        LineStream { resp, buf: BytesMut::new() }
     }
 
-    fn take_line(&mut self) -> Result<Option<Part>> {
+    fn take_buffered_piece(&mut self) -> Result<Option<RunPiece>> {
         let Some(end) = self.buf.iter().position(|b| *b == b'\n') else { return Ok(None) };
         let line = self.buf.split_to(end);
         self.buf.advance(1);
-        let bad =
+        let malformed =
             |e| Error::new(Kind::TargetFailed, format!("malformed piece from the target: {e}"));
-        serde_json::from_slice(&line).map(Some).map_err(bad)
+        serde_json::from_slice(&line).map(Some).map_err(malformed)
     }
 }
 
-impl Parts for Lines {
-    async fn next(&mut self) -> Result<Option<Part>> {
+impl PieceStream for LineStream {
+    async fn next(&mut self) -> Result<Option<RunPiece>> {
         loop {
-            if let Some(part) = self.take_line()? {
+            if let Some(part) = self.take_buffered_piece()? {
                 return Ok(Some(part));
             }
-            if self.buf.len() > MAX_LINE {
+            if self.buf.len() > MAX_LINE_BYTES {
                 return Err(Error::new(Kind::TargetFailed, "the target sent an overlong line"));
             }
             match self.resp.chunk().await {
@@ -110,25 +112,25 @@
 }
 
 impl Engine for HttpEngine {
-    type Parts = Lines;
+    type PieceStream = LineStream;
 
-    async fn start(&self, addr: &str, run: &StartRun) -> Result<Lines> {
+    async fn start(&self, addr: &str, run: &StartRun) -> Result<LineStream> {
         let req = self.client.post(format!("http://{addr}/v1/runs")).json(run);
-        Ok(Lines::new(check(req.send().await.map_err(failed)?)?))
+        Ok(LineStream::new(check_status(req.send().await.map_err(request_error)?)?))
     }
 
-    async fn resume(&self, addr: &str, run: &RunId, from: u64) -> Result<Lines> {
+    async fn resume(&self, addr: &str, run: &RunId, from: u64) -> Result<LineStream> {
         let req = self.client.get(format!("http://{addr}/v1/runs/{run}?from={from}"));
-        Ok(Lines::new(check(req.send().await.map_err(failed)?)?))
+        Ok(LineStream::new(check_status(req.send().await.map_err(request_error)?)?))
     }
 
-    async fn cancel(&self, addr: &str, run: &RunId) -> Result<Cancelled> {
+    async fn cancel(&self, addr: &str, run: &RunId) -> Result<CancelOutcome> {
         self.post(format!("http://{addr}/v1/cancel"), run).await
     }
 
     async fn report(&self, addr: &str) -> Result<LoadReport> {
         let req = self.client.get(format!("http://{addr}/v1/load")).timeout(CALL_TIMEOUT);
-        check(req.send().await.map_err(failed)?)?.json().await.map_err(failed)
+        check_status(req.send().await.map_err(request_error)?)?.json().await.map_err(request_error)
     }
 
     async fn order(&self, addr: &str, order: &Order) -> Result<()> {
@@ -137,7 +139,7 @@
 
     async fn call(&self, addr: &str, call: &ServiceCall) -> Result<ServiceAnswer> {
         let req = self.client.post(format!("http://{addr}/v1/call")).json(call);
-        let resp = check(req.send().await.map_err(failed)?)?;
-        resp.json().await.map_err(failed)
+        let resp = check_status(req.send().await.map_err(request_error)?)?;
+        resp.json().await.map_err(request_error)
     }
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -57,7 +57,7 @@
 /// A piece and the run that it belongs to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Part {
+pub struct RunPiece {
     /// Whose piece it is.
     pub run: RunId,
     /// The piece.
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cancelled {
+pub enum CancelOutcome {
     /// It never started, and from now on never will.
     NeverRan,
     /// It had run this far, and is stopped.
@@ -134,25 +134,28 @@
 }
 
 /// The pieces of a running answer.
-pub trait Parts: Send {
+pub trait PieceStream: Send {
     /// The next piece; `None` when the stream broke off or ended.
     ///
     /// # Errors
     /// `TargetFailed` for a broken stream or a malformed piece.
-    fn next(&mut self) -> impl Future<Output = Result<Option<Part>>> + Send;
+    fn next(&mut self) -> impl Future<Output = Result<Option<RunPiece>>> + Send;
 }
 
 /// The protocol of targets.
 pub trait Engine: Clone + Send + Sync + 'static {
     /// The pieces of a run.
-    type Parts: Parts + 'static;
+    type PieceStream: PieceStream + 'static;
 
     /// Starts a run, or joins the one of the same id.
     ///
     /// # Errors
     /// `NoTarget` when no byte can have left; `TargetFailed` otherwise.
-    fn start(&self, addr: &str, run: &StartRun)
-    -> impl Future<Output = Result<Self::Parts>> + Send;
+    fn start(
+        &self,
+        addr: &str,
+        run: &StartRun,
+    ) -> impl Future<Output = Result<Self::PieceStream>> + Send;
 
     /// Joins a run at a token.
     ///
@@ -163,13 +166,14 @@
         addr: &str,
         run: &RunId,
         from: u64,
-    ) -> impl Future<Output = Result<Self::Parts>> + Send;
+    ) -> impl Future<Output = Result<Self::PieceStream>> + Send;
 
     /// Stops a run, and forbids it for the future.
     ///
     /// # Errors
     /// `NoTarget` or `TargetFailed`: nothing is known then.
-    fn cancel(&self, addr: &str, run: &RunId) -> impl Future<Output = Result<Cancelled>> + Send;
+    fn cancel(&self, addr: &str, run: &RunId)
+    -> impl Future<Output = Result<CancelOutcome>> + Send;
 
     /// The target's load.
     ///
--- a/src/experiment/overhead.rs
+++ b/src/experiment/overhead.rs
@@ -7,7 +7,7 @@
 
 use crate::client::{Caller, ChatCall};
 use crate::engine::http::HttpEngine;
-use crate::engine::{Engine, Parts, StartRun};
+use crate::engine::{Engine, PieceStream, StartRun};
 use crate::error::Result;
 use crate::ids::{Digest, ZoneId};
 use crate::standin::fleet::{PlatformHost, RouterHost, TargetHost, router_settings, submit_first};
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 
-use crate::engine::{Part, Piece, RunUsage};
+use crate::engine::{Piece, RunPiece, RunUsage};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, RunId};
 
@@ -36,7 +36,7 @@
     /// # Errors
     /// `TargetFailed` for a hole, or an end that does not match the tokens: the stream cannot be
     /// trusted and has to be fetched again.
-    pub fn take(&mut self, run: &RunId, part: Part) -> Result<Taken> {
+    pub fn take(&mut self, run: &RunId, part: RunPiece) -> Result<Taken> {
         if part.run != *run {
             self.dropped += 1;
             return Ok(Taken::Dropped);
--- a/src/request/runs.rs
+++ b/src/request/runs.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 
 use super::answer::{Assembler, Taken};
-use crate::engine::{Part, RunUsage, ServiceAnswer};
+use crate::engine::{RunPiece, RunUsage, ServiceAnswer};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, Millis, OrganisationId, RequestKey, RunId, TargetId};
 
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// As [`Assembler::take`].
-    pub fn take(&self, run: &RunId, part: Part) -> Result<Taken> {
+    pub fn take(&self, run: &RunId, part: RunPiece) -> Result<Taken> {
         let taken = self.lock().answer.take(run, part)?;
         if taken == Taken::Grew {
             self.bump();
--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -19,7 +19,7 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::config::settings::Settings;
-use crate::config::store::Follower;
+use crate::config::store::ConfigFollower;
 use crate::engine::Engine;
 use crate::ids::{Digest, Incarnation};
 use crate::membership::view::{RouterInfo, View};
@@ -85,7 +85,7 @@
 /// there is nothing that it may serve.
 pub async fn boot<P: Platform, E: Engine, M: PeerClient>(b: Boot<P, E, M>) -> Booted<P, E, M> {
     let cfg: Arc<RwLock<Config>> = Arc::default();
-    let mut follower = Follower::default();
+    let mut follower = ConfigFollower::default();
     while let Err(e) = follower.catch_up(&b.platform, &cfg).await {
         log::warn!("start=waits for=configuration error={:?}", e.message);
         sleep(PAUSE).await;
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -11,7 +11,7 @@
 use super::node::{Counts, Node};
 use super::session::{Held, Purpose, Session};
 use crate::budget::ledger::Bill;
-use crate::engine::{Engine, Parts, RunUsage, StartRun};
+use crate::engine::{Engine, PieceStream, RunUsage, StartRun};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, OrganisationId, RequestKey, RunId, TargetId, Tokens};
 use crate::membership::view::RouterInfo;
@@ -192,7 +192,7 @@
 }
 
 /// Reads a stream to its end.
-async fn read_parts<S: Parts>(run: &Run, id: &RunId, parts: &mut S) -> Result<RunUsage> {
+async fn read_parts<S: PieceStream>(run: &Run, id: &RunId, parts: &mut S) -> Result<RunUsage> {
     let mut alone = Instant::now();
     loop {
         let broke = || Error::new(Kind::TargetFailed, "the stream broke off");
@@ -277,11 +277,11 @@
     }
 
     async fn stop_run(&self, id: &RunId, target: &TargetId) -> Option<RunUsage> {
-        use crate::engine::Cancelled;
+        use crate::engine::CancelOutcome;
         let addr = self.node.lock_picker().addr(target)?;
         match self.node.engine.cancel(&addr, id).await.ok()? {
-            Cancelled::NeverRan => None,
-            Cancelled::Stopped(usage) | Cancelled::Ended(usage) => Some(usage),
+            CancelOutcome::NeverRan => None,
+            CancelOutcome::Stopped(usage) | CancelOutcome::Ended(usage) => Some(usage),
         }
     }
 
--- a/src/router/node.rs
+++ b/src/router/node.rs
@@ -13,7 +13,7 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::config::settings::Settings;
-use crate::config::store::Follower;
+use crate::config::store::ConfigFollower;
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Incarnation, Millis, OrganisationId, RequestKey, TargetId};
@@ -74,7 +74,7 @@
     /// The configuration in force.
     pub cfg: Arc<RwLock<Config>>,
     /// Follows the configuration.
-    pub follower: tokio::sync::Mutex<Follower>,
+    pub follower: tokio::sync::Mutex<ConfigFollower>,
     /// Wakes the follower.
     pub new_revision: tokio::sync::Notify,
     /// Who else is there.
@@ -143,7 +143,7 @@
     /// The configuration in force.
     pub cfg: Arc<RwLock<Config>>,
     /// Follows the configuration.
-    pub follower: Follower,
+    pub follower: ConfigFollower,
     /// Who else is there.
     pub view: View,
     /// Target choice.
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -137,7 +137,7 @@
     }
 
     async fn revisions(&self, from: Revision) -> Vec<crate::config::revision::RevisionRow> {
-        self.node.follower.lock().await.after(from)
+        self.node.follower.lock().await.revisions_after(from)
     }
 }
 
--- a/src/standin/batch.rs
+++ b/src/standin/batch.rs
@@ -4,7 +4,7 @@
 
 use compact_str::{CompactString, format_compact};
 
-use crate::engine::{Cancelled, RunUsage, StartRun};
+use crate::engine::{CancelOutcome, RunUsage, StartRun};
 use crate::ids::{Digest, RunId};
 
 /// Bytes of prompt per token in this engine.
@@ -186,17 +186,17 @@
     }
 
     /// Stops a run. One that is not known is remembered as cancelled, and never starts.
-    pub fn cancel(&mut self, id: &RunId) -> Cancelled {
+    pub fn cancel(&mut self, id: &RunId) -> CancelOutcome {
         match self.find(id) {
             Ok(place) => {
                 let run = &mut self.runs[place];
                 let usage = run.usage();
                 match run.state {
-                    RunState::Ended => Cancelled::Ended(usage),
-                    RunState::Cancelled if usage.tokens == 0 => Cancelled::NeverRan,
+                    RunState::Ended => CancelOutcome::Ended(usage),
+                    RunState::Cancelled if usage.tokens == 0 => CancelOutcome::NeverRan,
                     _ => {
                         run.state = RunState::Cancelled;
-                        Cancelled::Stopped(usage)
+                        CancelOutcome::Stopped(usage)
                     }
                 }
             }
@@ -213,7 +213,7 @@
                 };
                 self.runs.insert(place, run);
                 self.remember(id.clone());
-                Cancelled::NeverRan
+                CancelOutcome::NeverRan
             }
         }
     }
--- a/src/standin/local.rs
+++ b/src/standin/local.rs
@@ -14,7 +14,8 @@
 
 use super::batch::{Batch, BatchSize};
 use crate::engine::{
-    Cancelled, Engine, LoadReport, Order, Part, Parts, Piece, ServiceAnswer, ServiceCall, StartRun,
+    CancelOutcome, Engine, LoadReport, Order, Piece, PieceStream, RunPiece, ServiceAnswer,
+    ServiceCall, StartRun,
 };
 use crate::error::{Error, Kind, Result};
 use crate::ids::{RequestKey, RunId, ZoneId};
@@ -421,15 +422,15 @@
     }
 }
 
-impl Parts for LocalParts {
-    async fn next(&mut self) -> Result<Option<Part>> {
+impl PieceStream for LocalParts {
+    async fn next(&mut self) -> Result<Option<RunPiece>> {
         loop {
             self.engine.0.alive().await;
             if self.over {
                 return Ok(None);
             }
             match self.look()? {
-                Some(Some(piece)) => return Ok(Some(Part { run: self.run.clone(), piece })),
+                Some(Some(piece)) => return Ok(Some(RunPiece { run: self.run.clone(), piece })),
                 Some(None) => sleep(self.engine.0.net.pace).await,
                 None => return Ok(None),
             }
@@ -438,7 +439,7 @@
 }
 
 impl Engine for LocalEngine {
-    type Parts = LocalParts;
+    type PieceStream = LocalParts;
 
     async fn start(&self, addr: &str, run: &StartRun) -> Result<LocalParts> {
         self.with(addr, |t| {
@@ -455,7 +456,7 @@
         Ok(self.parts(addr, run, from))
     }
 
-    async fn cancel(&self, addr: &str, run: &RunId) -> Result<Cancelled> {
+    async fn cancel(&self, addr: &str, run: &RunId) -> Result<CancelOutcome> {
         self.with(addr, |t| Ok(t.batch.cancel(run))).await
     }
 
--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -16,7 +16,7 @@
 use crate::budget::sizing::Sizing;
 use crate::clock::Clock;
 use crate::config::revision::{Document, Edit, parse_edits};
-use crate::config::store::{Follower, Submission, submit};
+use crate::config::store::{ConfigFollower, Submission, submit};
 use crate::config::{Config, ServiceKind};
 use crate::engine::{RunUsage, ServiceAnswer};
 use crate::error::{Error, Kind, Result};
@@ -95,7 +95,7 @@
     /// Time.
     pub clock: Clock,
     setup: Setup,
-    operator: Arc<tokio::sync::Mutex<Follower>>,
+    operator: Arc<tokio::sync::Mutex<ConfigFollower>>,
     operator_cfg: Arc<RwLock<Config>>,
 }
 
--- a/src/standin/target.rs
+++ b/src/standin/target.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 use super::batch::{Batch, BatchSize};
-use crate::engine::{LoadReport, Order, Part, Piece, ServiceAnswer, ServiceCall, StartRun};
+use crate::engine::{LoadReport, Order, Piece, RunPiece, ServiceAnswer, ServiceCall, StartRun};
 use crate::ids::{RequestKey, RunId};
 
 /// How the stand-in misbehaves; the body of `POST /admin/faults`.
@@ -241,7 +241,7 @@
             next += 1;
         }
         if r.is_whole() {
-            let end = Part { run: run.clone(), piece: Piece::End(r.usage()) };
+            let end = RunPiece { run: run.clone(), piece: Piece::End(r.usage()) };
             out += &serde_json::to_string(&end).expect("pieces serialize");
             out.push('\n');
         }
@@ -253,7 +253,7 @@
 }
 
 fn line(run: RunId, offset: u64, text: &CompactString) -> String {
-    let part = Part { run, piece: Piece::Token { offset, text: text.clone() } };
+    let part = RunPiece { run, piece: Piece::Token { offset, text: text.clone() } };
     serde_json::to_string(&part).expect("pieces serialize") + "\n"
 }
 
--- a/tests/test_answer.rs
+++ b/tests/test_answer.rs
@@ -1,6 +1,6 @@
 //! Answers piece by piece.
 
-use kingcupwall::engine::{Part, Piece, RunUsage};
+use kingcupwall::engine::{Piece, RunPiece, RunUsage};
 use kingcupwall::error::{Kind, NotRun};
 use kingcupwall::request::answer::{Assembler, Taken};
 use kingcupwall::request::life::{Next, Repeatable, Stage, after_failure, not_run};
@@ -8,12 +8,12 @@
 
 use crate::workdir::name;
 
-fn token(run: &str, offset: u64) -> Part {
-    Part { run: name(run), piece: Piece::Token { offset, text: format!(" t{offset}").into() } }
+fn token(run: &str, offset: u64) -> RunPiece {
+    RunPiece { run: name(run), piece: Piece::Token { offset, text: format!(" t{offset}").into() } }
 }
 
-fn end(run: &str, tokens: u64) -> Part {
-    Part { run: name(run), piece: Piece::End(RunUsage { prompt_tokens: 3, tokens }) }
+fn end(run: &str, tokens: u64) -> RunPiece {
+    RunPiece { run: name(run), piece: Piece::End(RunUsage { prompt_tokens: 3, tokens }) }
 }
 
 #[test]
--- a/tests/test_config.rs
+++ b/tests/test_config.rs
@@ -6,7 +6,7 @@
 use kingcupwall::config::parse::parse;
 use kingcupwall::config::revision::{Document, Edit, parse_edits};
 use kingcupwall::config::settings::parse_settings;
-use kingcupwall::config::store::{Follower, Submission, read_revisions, submit};
+use kingcupwall::config::store::{ConfigFollower, Submission, read_revisions, submit};
 use kingcupwall::error::Kind;
 use kingcupwall::ids::{Digest, Revision};
 use kingcupwall::table::memory::{Faults, MemoryPlatform};
@@ -23,7 +23,7 @@
 
 #[derive(Default)]
 struct Operator {
-    follower: Follower,
+    follower: ConfigFollower,
     cfg: RwLock<Config>,
 }
 
--- a/tests/workdir.rs
+++ b/tests/workdir.rs
@@ -8,8 +8,8 @@
 use kingcupwall::budget::reclaim::{Addresses, Seals};
 use kingcupwall::budget::witness::{Copy, Witness};
 use kingcupwall::engine::{
-    Cancelled, Engine, LoadReport, Order, Part, Parts, Piece, RunUsage, ServiceAnswer, ServiceCall,
-    StartRun,
+    CancelOutcome, Engine, LoadReport, Order, Piece, PieceStream, RunPiece, RunUsage,
+    ServiceAnswer, ServiceCall, StartRun,
 };
 use kingcupwall::error::{Error, Kind, Result};
 use kingcupwall::ids::{Digest, Incarnation, RunId, TargetId, Tokens};
@@ -77,10 +77,10 @@
 
 /// The end of a fake run.
 #[derive(Debug)]
-pub struct FakeParts(Option<Part>);
+pub struct FakeParts(Option<RunPiece>);
 
-impl Parts for FakeParts {
-    async fn next(&mut self) -> Result<Option<Part>> {
+impl PieceStream for FakeParts {
+    async fn next(&mut self) -> Result<Option<RunPiece>> {
         Ok(self.0.take())
     }
 }
@@ -90,7 +90,7 @@
 }
 
 impl Engine for FakeEngine {
-    type Parts = FakeParts;
+    type PieceStream = FakeParts;
 
     async fn start(&self, _: &str, run: &StartRun) -> Result<FakeParts> {
         self.resume("", &run.run, 0).await
@@ -100,20 +100,20 @@
         self.reachable()?;
         match self.find(run) {
             Some(FakeRun::Ended(cost)) => {
-                Ok(FakeParts(Some(Part { run: run.clone(), piece: Piece::End(usage(cost)) })))
+                Ok(FakeParts(Some(RunPiece { run: run.clone(), piece: Piece::End(usage(cost)) })))
             }
             _ => Err(Error::new(Kind::RunLost, "not known")),
         }
     }
 
-    async fn cancel(&self, _: &str, run: &RunId) -> Result<Cancelled> {
+    async fn cancel(&self, _: &str, run: &RunId) -> Result<CancelOutcome> {
         self.reachable()?;
         match self.find(run) {
-            Some(FakeRun::Ended(cost)) => Ok(Cancelled::Ended(usage(cost))),
-            Some(FakeRun::Forbidden) => Ok(Cancelled::NeverRan),
+            Some(FakeRun::Ended(cost)) => Ok(CancelOutcome::Ended(usage(cost))),
+            Some(FakeRun::Forbidden) => Ok(CancelOutcome::NeverRan),
             None => {
                 self.runs.lock().unwrap().push((run.clone(), FakeRun::Forbidden));
-                Ok(Cancelled::NeverRan)
+                Ok(CancelOutcome::NeverRan)
             }
         }
     }
