--- a/src/engine/http.rs
+++ b/src/engine/http.rs
@@ -1,5 +1,5 @@
-//! Targets over HTTP, answers as a JSON object a line. The users' real protocol replaces this
-//! one file.
+//! HTTP client of targets. Response streams are JSON objects, one per line. The users' real
+//! protocol will replace this file.
 
 use std::time::Duration;
 
@@ -14,23 +14,23 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::RunId;
 
-/// Time to connect; within it no byte of a request can have left.
+/// Connect timeout. When it expires, no byte of the request was sent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a short call.
+/// Timeout for requests with a short response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Silence in a stream after which the target counts as failed.
+/// How long a response may make no progress before the target counts as failed.
 const STREAM_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes of one line at most.
+/// The longest line of a response stream, in bytes.
 const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// A client of targets.
+/// A client of targets, shared by all requests.
 #[derive(Clone, Debug)]
 pub struct HttpEngine {
     client: reqwest::Client,
 }
 
 impl HttpEngine {
-    /// A client.
+    /// Creates a client with the timeouts of this module.
     ///
     /// # Errors
     /// `Io` when the HTTP client cannot be set up.
@@ -48,7 +48,8 @@
     }
 }
 
-/// Only a failed connect proves that no byte left.
+/// `NoTarget` only for a failed connect, since only that proves that no byte of the request was
+/// sent; `TargetFailed` otherwise.
 fn request_error(e: reqwest::Error) -> Error {
     let kind = if e.is_connect() { Kind::NoTarget } else { Kind::TargetFailed };
     Error::new(kind, format!("target: {}", e.without_url()))
@@ -59,14 +60,14 @@
         200 => return Ok(resp),
         404 | 410 => Kind::RunLost,
         409 => Kind::Fenced,
-        // The target says itself that it did not take the request.
+        // With this status the target states that it did not accept the request.
         503 => Kind::NoTarget,
         _ => Kind::TargetFailed,
     };
-    Err(Error::new(kind, format!("target answered {}", resp.status())))
+    Err(Error::new(kind, format!("target returned HTTP status {}", resp.status())))
 }
 
-/// A streaming answer.
+/// A response stream of one JSON object per line.
 #[derive(Debug)]
 pub struct LineStream {
     resp: reqwest::Response,
@@ -82,8 +83,12 @@
         let Some(end) = self.buf.iter().position(|b| *b == b'\n') else { return Ok(None) };
         let line = self.buf.split_to(end);
         self.buf.advance(1);
-        let malformed =
-            |e| Error::new(Kind::TargetFailed, format!("malformed piece from the target: {e}"));
+        let malformed = |e| {
+            Error::new(
+                Kind::TargetFailed,
+                format!("malformed line in the target's response stream: {e}"),
+            )
+        };
         serde_json::from_slice(&line).map(Some).map_err(malformed)
     }
 }
@@ -91,11 +96,14 @@
 impl PieceStream for LineStream {
     async fn next(&mut self) -> Result<Option<RunPiece>> {
         loop {
-            if let Some(part) = self.take_buffered_piece()? {
-                return Ok(Some(part));
+            if let Some(piece) = self.take_buffered_piece()? {
+                return Ok(Some(piece));
             }
             if self.buf.len() > MAX_LINE_BYTES {
-                return Err(Error::new(Kind::TargetFailed, "the target sent an overlong line"));
+                return Err(Error::new(
+                    Kind::TargetFailed,
+                    "line in the target's response stream exceeds the size limit",
+                ));
             }
             match self.resp.chunk().await {
                 Ok(Some(chunk)) => self.buf.extend_from_slice(&chunk),
@@ -103,7 +111,7 @@
                 Err(e) => {
                     return Err(Error::new(
                         Kind::TargetFailed,
-                        format!("stream: {}", e.without_url()),
+                        format!("target's response stream: {}", e.without_url()),
                     ));
                 }
             }
--- a/src/membership/link.rs
+++ b/src/membership/link.rs
@@ -1,4 +1,4 @@
-//! Links between routers over WebSocket.
+//! Links between routers: authenticated request and reply frames over WebSocket.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -20,16 +20,16 @@
 use super::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::error::{Error, Kind, Result};
 
-/// Time for a connection and its handshake.
+/// Timeout for connecting and for the handshake.
 const LINK_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a reply.
+/// Timeout for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
-/// Questions in flight on one link at most.
+/// The most requests in flight on one link.
 const MAX_REQUESTS_IN_FLIGHT: usize = 4_096;
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// A question or a reply, numbered by the side that asked.
+/// A request or a reply. The requesting router assigns the id, and the reply carries the same one.
 #[derive(Debug)]
 #[derive(Deserialize, Serialize)]
 struct Envelope<T> {
@@ -37,12 +37,12 @@
     body: T,
 }
 
-/// Counts of what a router's links refused.
+/// Traffic and rejected frames on a router's links.
 #[derive(Debug, Default)]
 pub struct LinkCounts {
-    /// Handshakes and frames with a wrong signature.
+    /// Frames with a wrong signature.
     pub unauthorized: AtomicU64,
-    /// Frames that could not be read.
+    /// Failed handshakes and frames that could not be decoded.
     pub malformed: AtomicU64,
     /// Bytes sent.
     pub sent: AtomicU64,
@@ -50,8 +50,9 @@
     pub received: AtomicU64,
 }
 
-/// Secrets that routers share; the first signs, all are accepted. Replaced while running, a new
-/// secret is first added last everywhere, then moved to the front, then the old one removed.
+/// Shared secrets of the routers. Outgoing links sign with the first one, incoming links accept any
+/// of them. To rotate a secret while the fleet runs, append the new one on every router, then move
+/// it to the front, then remove the old one.
 pub type Secrets = Arc<Mutex<Vec<CompactString>>>;
 
 fn websocket_config() -> WebSocketConfig {
@@ -66,7 +67,7 @@
 
 fn new_hello() -> Hello {
     let mut nonce = [0; 16];
-    getrandom::fill(&mut nonce).expect("the system has random bytes");
+    getrandom::fill(&mut nonce).expect("the operating system provides random bytes");
     Hello { version: VERSION, nonce }
 }
 
@@ -75,7 +76,7 @@
         match socket.next().await {
             Some(Ok(Message::Binary(data))) => return Ok(data),
             Some(Ok(Message::Ping(_) | Message::Pong(_))) => {}
-            Some(Ok(_)) | None => return Err(link_error("closed")),
+            Some(Ok(_)) | None => return Err(link_error("connection closed")),
             Some(Err(e)) => return Err(link_error(e)),
         }
     }
@@ -89,19 +90,22 @@
     let old = || {
         Error::new(
             Kind::BadFormat,
-            format!("link version {} is older than {MIN_VERSION}", h.version),
+            format!(
+                "link protocol version {} is older than {MIN_VERSION}, the oldest supported",
+                h.version
+            ),
         )
     };
     if h.version < MIN_VERSION { Err(old()) } else { Ok(()) }
 }
 
-/// A link to one router, for asking it.
+/// An open link that sends requests to one router.
 #[derive(Clone, Debug)]
 struct Link {
     tx: mpsc::Sender<(PeerRequest, oneshot::Sender<PeerReply>)>,
 }
 
-/// All links of a router to others, opened on first use.
+/// A router's outgoing links to other routers, opened on first use.
 #[derive(Clone, Debug)]
 pub struct LinkPool {
     secrets: Secrets,
@@ -110,7 +114,7 @@
 }
 
 impl LinkPool {
-    /// Links under these secrets.
+    /// An empty pool whose links are signed with the first of `secrets`.
     pub fn new(secrets: Secrets, counts: Arc<LinkCounts>) -> LinkPool {
         LinkPool { secrets, counts, open: Arc::default() }
     }
@@ -122,7 +126,8 @@
             return Ok(open[index].1.clone());
         }
         drop(open);
-        let timed_out = |_| Error::new(Kind::Timeout, format!("no link to {peer} in time"));
+        let timed_out =
+            |_| Error::new(Kind::Timeout, format!("connecting to router {peer} timed out"));
         let link = timeout(LINK_CONNECT_TIMEOUT, self.connect(peer)).await.map_err(timed_out)??;
         let mut open = self.open.lock().await;
         match open.binary_search_by(|(p, _)| p.cmp(peer)) {
@@ -144,8 +149,13 @@
         send_frame(&mut socket, encode(&own_hello)).await?;
         let peer_hello: Hello = decode(&read_frame(&mut socket).await?)?;
         check_version(&peer_hello)?;
-        let secret =
-            self.secrets.lock().expect("never poisoned").first().cloned().unwrap_or_default();
+        let secret = self
+            .secrets
+            .lock()
+            .expect("the lock on the link secrets is never poisoned")
+            .first()
+            .cloned()
+            .unwrap_or_default();
         let signer = Signer::new(&secret, &own_hello, &peer_hello, Side::Initiator);
         let verifier = Signer::new(&secret, &own_hello, &peer_hello, Side::Responder);
         let (tx, rx) = mpsc::channel(MAX_REQUESTS_IN_FLIGHT);
@@ -158,9 +168,12 @@
     async fn rpc(&self, to: &RouterInfo, request: PeerRequest) -> Result<PeerReply> {
         let link = self.link(&to.peer).await?;
         let (tx, rx) = oneshot::channel();
-        let link_broken = || Error::new(Kind::Io, format!("link to {} broke", to.incarnation));
+        let link_broken =
+            || Error::new(Kind::Io, format!("link to router {} was lost", to.incarnation));
         link.tx.try_send((request, tx)).map_err(|_| link_broken())?;
-        let timed_out = |_| Error::new(Kind::Timeout, format!("no reply from {}", to.incarnation));
+        let timed_out = |_| {
+            Error::new(Kind::Timeout, format!("no reply from router {} in time", to.incarnation))
+        };
         timeout(REPLY_TIMEOUT, rx)
             .await
             .map_err(timed_out)?
@@ -200,7 +213,7 @@
                 };
                 if let Ok(index) = waiting.binary_search_by(|(id, _)| id.cmp(&reply.id)) {
                     let (_, tx) = waiting.remove(index);
-                    // Who asked may have stopped waiting.
+                    // The requester may have timed out and dropped its receiver.
                     let _ = tx.send(reply.body);
                 }
             }
@@ -215,13 +228,14 @@
     log::warn!("link=refused error={:?}", e.message);
 }
 
-/// Answers other routers' questions.
+/// Handles requests from other routers.
 pub trait PeerHandler: Clone + Send + Sync + 'static {
-    /// The reply to one question.
+    /// Returns the reply to one request.
     fn handle_request(&self, request: PeerRequest) -> impl Future<Output = PeerReply> + Send;
 }
 
-/// Accepts links. The task ends when it is aborted, and all links with it.
+/// Accepts links from other routers until the returned task is aborted, which also closes all
+/// accepted links.
 ///
 /// # Errors
 /// `Io` when the listener cannot be used.
@@ -239,7 +253,7 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(e) => {
-                    // Out of descriptors, most likely: others have to close first.
+                    // Most likely out of file descriptors: wait until other connections close.
                     log::warn!("link=accept_failed error={e:?}");
                     tokio::time::sleep(LINK_CONNECT_TIMEOUT).await;
                     continue;
@@ -308,7 +322,8 @@
     Ok((socket, peer_hello, own_hello))
 }
 
-/// The first frame tells which of the accepted secrets the caller signs with.
+/// Tries each accepted secret on the first signed frame, and keeps the keys of the one that the
+/// initiator signs with.
 fn verify_first_frame(
     secrets: &Secrets,
     initiator_hello: &Hello,
@@ -316,8 +331,9 @@
     frame: &[u8],
     keys: &mut Option<(Signer, Signer)>,
 ) -> Result<Envelope<PeerRequest>> {
-    let accepted_secrets = secrets.lock().expect("never poisoned").clone();
-    let mut rejection = Error::new(Kind::Unauthorized, "no secrets are configured");
+    let accepted_secrets =
+        secrets.lock().expect("the lock on the link secrets is never poisoned").clone();
+    let mut rejection = Error::new(Kind::Unauthorized, "no link secrets are configured");
     for secret in accepted_secrets {
         let mut verifier = Signer::new(&secret, initiator_hello, own_hello, Side::Initiator);
         match verifier.verify_frame(frame) {
@@ -341,7 +357,7 @@
 ) {
     tokio::spawn(async move {
         let body = handler.handle_request(request.body).await;
-        // A link that closed meanwhile needs no reply.
+        // The link may have closed while the request was handled; the reply is then dropped.
         let _ = tx.send(Envelope { id: request.id, body }).await;
     });
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Who else is there: gossip among routers, entry answers, authenticated links.
+//! Membership of the router fleet: gossip among routers, selection of routers for callers, and
+//! authenticated links between routers.
 
 pub mod frame;
 pub mod link;
--- a/src/membership/selection.rs
+++ b/src/membership/selection.rs
@@ -1,17 +1,17 @@
-//! Entry answers: which routers an organisation should call, and which share its work.
+//! Selects the routers that an organisation calls, and the witness and backup of each router.
 
 use super::view::RouterInfo;
 use crate::ids::{Digest, OrganisationId, ZoneId};
 
-/// Rank of a router for an organisation: the same at every router, and stable while others
-/// come and go.
+/// Rendezvous hashing score of a router for an organisation. Every router computes the same score,
+/// and it does not change when other routers join or leave.
 fn rank(organisation: &OrganisationId, e: &RouterInfo) -> u64 {
     Digest::of(format!("{organisation}\n{}", e.incarnation).as_bytes()).word()
 }
 
-/// The routers that serve an organisation: `width` of them by rendezvous hashing, in different
-/// zones as long as there are any, so that few routers hold parts of a budget and yet no zone's
-/// loss takes them all.
+/// The routers that serve an organisation: `width` of them by rendezvous hashing, spread over as
+/// many availability zones as possible. Few routers then hold grants of a budget, and the loss of
+/// one zone does not take all of them.
 pub fn home_routers(
     live_routers: &[RouterInfo],
     organisation: &OrganisationId,
@@ -35,8 +35,8 @@
     chosen
 }
 
-/// The answer to a caller: the home routers, those in the caller's zone first, in an order that
-/// differs from answer to answer.
+/// The routers to name to a caller: the organisation's routers, those in the caller's zone first,
+/// in an order that differs from call to call.
 pub fn routers_for_caller(
     live_routers: &[RouterInfo],
     organisation: &OrganisationId,
@@ -45,7 +45,8 @@
 ) -> Vec<RouterInfo> {
     let mut chosen = home_routers(live_routers, organisation, width);
     if !chosen.is_empty() {
-        // Callers use the first address: each answer starts elsewhere, so that they spread.
+        // Callers use the first address, so each answer starts at a random router to spread the
+        // callers.
         let start = fastrand::usize(..chosen.len());
         chosen.rotate_left(start);
     }
@@ -53,7 +54,8 @@
     chosen
 }
 
-/// The witness for a router: the best ranked live one in another zone, or else any other.
+/// Selects the witness of a router: the live router in another zone with the highest score, or, if
+/// there is none, the one with the highest score in the same zone.
 pub fn select_witness<'a>(
     live_routers: &'a [RouterInfo],
     router: &RouterInfo,
@@ -65,8 +67,9 @@
     others.max_by_key(|e| (e.zone != router.zone, hash_weight(e)))
 }
 
-/// The backup for a router: the best ranked live one in its own zone besides `witness`, or else
-/// any other. While a zone is cut off, its routers go on with each other's word.
+/// Selects the backup of a router: the live router in its own zone with the highest score that is
+/// not its witness, or, if there is none, one in another zone. With a backup in the same zone,
+/// routers of a zone that is cut off can still confirm each other's holds.
 pub fn select_backup<'a>(
     live_routers: &'a [RouterInfo],
     router: &RouterInfo,
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -1,35 +1,36 @@
-//! The routers as one of them sees them: gossiped heartbeat counters, no clock of others.
+//! One router's view of the fleet, from gossiped heartbeat counters. It uses only the local clock:
+//! other routers' clocks are never compared.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Incarnation, Millis, Revision, ZoneId};
 
-/// Entries in one gossip message at most; bounds the bytes whatever the size of the fleet.
+/// The most entries in one gossip message, so that its size does not grow with the fleet.
 pub const MAX_GOSSIP_ENTRIES: usize = 16;
-/// Dead members are remembered this many times the silence that made them dead, so that a late
-/// message cannot bring them back.
+/// A dead member is forgotten after this many times `dead_after`. Until then its last counter is
+/// kept, so that a late message cannot make it look alive again.
 const FORGET_AFTER_FACTOR: u64 = 30;
 
-/// What a router tells about itself, and others pass on.
+/// What a router announces about itself; other routers pass it on by gossip.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct RouterInfo {
-    /// Which start of which router.
+    /// Identifies the router process: instance and start.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// The router's availability zone.
     pub zone: ZoneId,
-    /// Its listener for callers.
+    /// Address of its listener for callers, `ip:port`.
     pub api: CompactString,
-    /// Its listener for routers.
+    /// Address of its listener for other routers, `ip:port`.
     pub peer: CompactString,
-    /// Grows with each of its heartbeats.
+    /// Heartbeat counter; grows with each of the router's heartbeats.
     pub beat: u64,
-    /// It drains.
+    /// Whether the router is draining.
     pub leaving: bool,
-    /// The configuration revision that it runs.
+    /// The configuration revision in force at the router.
     pub revision: Revision,
-    /// Requests in flight at it.
+    /// Number of requests in flight at the router.
     pub load: u32,
 }
 
@@ -39,7 +40,7 @@
     last_heartbeat: Millis,
 }
 
-/// All routers known to one of them.
+/// All routers that one router knows, with the time of each one's last heartbeat.
 #[derive(Debug)]
 pub struct View {
     local_router: RouterInfo,
@@ -51,7 +52,8 @@
 }
 
 impl View {
-    /// A view that knows only `local_router`.
+    /// A view that contains only the local router. A peer without a heartbeat for `dead_after`
+    /// counts as dead.
     pub fn new(local_router: RouterInfo, dead_after: Millis) -> View {
         View {
             local_router,
@@ -63,12 +65,12 @@
         }
     }
 
-    /// This router's own entry.
+    /// What the local router announces about itself.
     pub fn local_router(&self) -> &RouterInfo {
         &self.local_router
     }
 
-    /// Changes what this router tells about itself.
+    /// Changes what the local router announces about itself.
     pub fn update_local(&mut self, update: impl FnOnce(&mut RouterInfo)) {
         update(&mut self.local_router);
     }
@@ -77,10 +79,10 @@
         self.peer_members.binary_search_by(|m| m.entry.incarnation.cmp(id))
     }
 
-    /// Takes entries from a message or the holder rows.
+    /// Merges entries from a gossip message or from the table's holder rows.
     ///
-    /// Only a larger counter renews a member: a message that is late or sent again cannot make
-    /// a dead one look alive.
+    /// Only a larger heartbeat counter refreshes a member, so a message that is late or repeated
+    /// cannot make a dead router look alive. `leaving` stays set once it was seen.
     pub fn merge(&mut self, now: Millis, entries: Vec<RouterInfo>) {
         for e in entries.into_iter().filter(|e| e.incarnation != self.local_router.incarnation) {
             match self.find(&e.incarnation) {
@@ -97,14 +99,14 @@
         }
     }
 
-    /// Routers as the table's rows name them: those not heard of are asked, and count as alive
-    /// once they are.
+    /// Sets the routers that the table's rows name. Those without a recent heartbeat are contacted
+    /// in turn, and count as alive once they reply.
     pub fn set_candidates(&mut self, candidates: Vec<RouterInfo>) {
         self.candidates = candidates;
     }
 
-    /// One candidate that is silent, in turn: a new router, or one behind a cut that may have
-    /// mended.
+    /// The next candidate without a recent heartbeat, in turn: either a new router, or one behind a
+    /// network partition that may have healed.
     pub fn next_silent_candidate(&mut self, now: Millis) -> Option<RouterInfo> {
         let silent = |e: &&RouterInfo| !self.is_router_alive(now, &e.incarnation);
         let silent: Vec<&RouterInfo> = self.candidates.iter().filter(silent).collect();
@@ -113,7 +115,8 @@
         next
     }
 
-    /// A router said itself, or the table says, that it is gone for good.
+    /// Marks a router as gone for good, because it announced its stop or the table says so. No
+    /// later heartbeat can bring it back.
     pub fn mark_departed(&mut self, id: &Incarnation) {
         if let Ok(index) = self.find(id) {
             self.peer_members[index].last_heartbeat = Millis(0);
@@ -125,18 +128,18 @@
         now.since(m.last_heartbeat) < self.dead_after
     }
 
-    /// Whether a router counts as alive.
+    /// Whether a router's last heartbeat is recent enough. The local router is always alive.
     pub fn is_router_alive(&self, now: Millis, id: &Incarnation) -> bool {
         *id == self.local_router.incarnation
             || self.find(id).is_ok_and(|index| self.is_member_alive(now, &self.peer_members[index]))
     }
 
-    /// Whether a router was ever heard of.
+    /// Whether the view contains a router, alive or dead.
     pub fn is_known(&self, id: &Incarnation) -> bool {
         *id == self.local_router.incarnation || self.find(id).is_ok()
     }
 
-    /// All live routers, this one too, in order of incarnation.
+    /// All live routers including the local one, ordered by incarnation.
     pub fn live_routers(&self, now: Millis) -> Vec<RouterInfo> {
         let peer_members = self
             .peer_members
@@ -148,12 +151,13 @@
         all
     }
 
-    /// Everybody known, dead ones too, with the time since they were heard.
+    /// All known peers, dead ones included, each with the time since its last heartbeat.
     pub fn known_peers(&self, now: Millis) -> Vec<(RouterInfo, Millis)> {
         self.peer_members.iter().map(|m| (m.entry.clone(), now.since(m.last_heartbeat))).collect()
     }
 
-    /// The next heartbeat: a higher counter, and the entries to send with it, taking turns.
+    /// Starts the next heartbeat: increments the local counter, forgets members that have been dead
+    /// for long enough, and returns the entries to send.
     pub fn next_heartbeat(&mut self, now: Millis) -> Vec<RouterInfo> {
         self.local_router.beat += 1;
         let retention = Millis(self.dead_after.0.saturating_mul(FORGET_AFTER_FACTOR));
@@ -162,7 +166,8 @@
         self.gossip_entries(now)
     }
 
-    /// Entries for one message: this router's own, and others in turn.
+    /// Entries for one gossip message: the local router and up to `MAX_GOSSIP_ENTRIES - 1` peers,
+    /// in turn.
     pub fn gossip_entries(&mut self, now: Millis) -> Vec<RouterInfo> {
         let mut out = vec![self.local_router.clone()];
         let peer_count = self.peer_members.len();
@@ -180,7 +185,8 @@
         out
     }
 
-    /// Whether a router fell silent a short time ago: what it holds may come back soon.
+    /// Whether some router fell silent a short time ago, between half of `dead_after` and five
+    /// times `dead_after`. The tokens it holds may become available soon.
     pub fn has_recently_silent(&self, now: Millis) -> bool {
         let (from, to) = (self.dead_after.0 / 2, self.dead_after.0.saturating_mul(5));
         let silent_ms = |m: &Member| now.since(m.last_heartbeat).0;
@@ -188,7 +194,7 @@
         known.map(silent_ms).any(|ms| ms >= from && ms < to)
     }
 
-    /// The highest revision that any live router says it runs.
+    /// The newest configuration revision that any live peer announces.
     pub fn newest_revision(&self, now: Millis) -> Revision {
         let live = self.peer_members.iter().filter(|m| self.is_member_alive(now, m));
         live.map(|m| m.entry.revision).max().unwrap_or_default()
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -1,7 +1,8 @@
-//! Messages between routers.
+//! Requests and replies between routers.
 //!
-//! Unknown fields are ignored and new ones have defaults, so that neighbouring versions
-//! understand each other. A message of an unknown kind closes the link and is counted.
+//! Unknown fields are ignored and new fields have defaults, so that routers of neighbouring
+//! versions understand each other. A message of an unknown kind closes the link and is counted as
+//! malformed.
 
 use std::future::Future;
 
@@ -18,130 +19,132 @@
     BudgetId, Digest, Incarnation, OrganisationId, RequestKey, Revision, RunId, TargetId, Tokens,
 };
 
-/// A question to another router.
+/// A request to another router.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerRequest {
-    /// A heartbeat with entries of several routers.
+    /// A heartbeat with gossip entries of several routers.
     Beat(Vec<RouterInfo>),
-    /// Keep copies of this holder's holds.
+    /// Store copies of a holder's holds, as its witness or backup.
     Keep {
-        /// The incarnation that is meant to keep them.
+        /// The incarnation that is to store the copies; any other one rejects the request.
         keeper: Incarnation,
-        /// The holder.
+        /// The incarnation whose holds these are.
         holder: Incarnation,
-        /// New or newer copies.
+        /// Copies that are new or changed.
         copies: Vec<Copy>,
     },
-    /// Forget copies: the table has them, or nothing ran.
+    /// Delete copies of holds that are recorded in the table or whose run never started.
     Forget {
-        /// The holder.
+        /// The incarnation whose holds these are.
         holder: Incarnation,
-        /// Numbers of its holds.
+        /// Numbers of the holds at the holder.
         holds: Vec<HoldId>,
     },
-    /// Refuse all later copies of a holder, and tell what is known: it is taken for dead.
+    /// Reject all later copies of a holder that is presumed dead, and return the copies stored so
+    /// far.
     Seal {
-        /// The incarnation that is meant to keep copies.
+        /// The incarnation that stores the copies; any other one rejects the request.
         keeper: Incarnation,
-        /// The holder.
+        /// The incarnation to seal.
         holder: Incarnation,
     },
-    /// What is known of a request?
+    /// Return what is known of a request.
     Find {
-        /// Who asked.
+        /// The organisation that sent the request.
         organisation: OrganisationId,
-        /// Under which key.
+        /// The request's idempotency key.
         key: RequestKey,
     },
-    /// How much of a budget do you have free?
+    /// Return how many tokens of a budget are free at this router.
     Free(BudgetId),
-    /// Hold tokens of your grant for a run of mine.
+    /// Reserve tokens of this router's grant for a run at the sender.
     Borrow {
         /// The budget.
         budget: BudgetId,
-        /// The largest cost.
+        /// The largest cost of the run.
         amount: Tokens,
-        /// The bill as it would be, and where it runs.
+        /// Copy of the hold: the provisional bill and the target.
         copy: Copy,
     },
-    /// A borrowed hold's run goes to another target.
+    /// The run of a borrowed hold moves to another target.
     Move {
-        /// The incarnation that lent it.
+        /// The incarnation that lent the tokens.
         lender: Incarnation,
-        /// The hold at the lender.
+        /// Number of the hold at the lender.
         hold: HoldId,
-        /// Where it runs from now on.
+        /// The target that executes the run from now on.
         target: TargetId,
     },
-    /// A borrowed hold's run ended with this bill, or never ran (`None`).
+    /// The run of a borrowed hold ended with this bill, or never started (`None`).
     Repay {
-        /// The incarnation that lent it; numbers of holds start anew with each.
+        /// The incarnation that lent the tokens. Hold numbers are unique only within an
+        /// incarnation.
         lender: Incarnation,
         /// The hold at the lender.
         hold: HoldId,
-        /// Its bill.
+        /// The bill of the run.
         bill: Option<Bill>,
     },
-    /// Give back what is free of a budget.
+    /// Return the free tokens of a budget to the table.
     Release(BudgetId),
-    /// Revisions after this one.
+    /// Return the configuration revisions after this one.
     Revisions(Revision),
-    /// This target leaves.
+    /// This target is shutting down.
     TargetLeaves(TargetId),
 }
 
-/// What a router knows of a request.
+/// What a router knows of a request that was sent to it or copied to it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct KnownRequest {
     /// Digest of the request's content.
     pub content: Digest,
-    /// The execution, once there is one.
+    /// The run and its target, once it was started.
     pub run: Option<(RunId, TargetId)>,
-    /// A plain service's answer, once there is one.
+    /// The response of a plain service, once it arrived.
     pub service: Option<ServiceAnswer>,
 }
 
 impl KnownRequest {
-    /// What a copy tells.
+    /// What a stored copy of a hold says about its request.
     pub fn from_copy(copy: &Copy) -> KnownRequest {
         let run = Some((copy.bill.run.clone(), copy.target.clone()));
         KnownRequest { content: copy.bill.content, run, service: None }
     }
 }
 
-/// An answer of another router.
+/// A reply from another router.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerReply {
-    /// Done.
+    /// The request was carried out; there is nothing to return.
     Done,
-    /// Entries of several routers.
+    /// Gossip entries of several routers.
     Beat(Vec<RouterInfo>),
-    /// What is known of a request.
+    /// What is known of the request, if anything.
     Found(Option<KnownRequest>),
-    /// Copies of a sealed holder.
+    /// Copies of the sealed holder's holds.
     Copies(Vec<Copy>),
-    /// So much is free.
+    /// Number of free tokens.
     Free(Tokens),
-    /// Tokens are held under this number.
+    /// The tokens are reserved under this hold number.
     Held(HoldId),
-    /// Revisions in order.
+    /// Configuration revisions in ascending order.
     Revisions(Vec<RevisionRow>),
-    /// Not done.
+    /// The request was rejected or failed.
     Refused(PeerError),
 }
 
-/// An error as it travels.
+/// An error in a reply.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct PeerError {
-    /// Its kind.
+    /// Kind of the error.
     pub kind: crate::error::Kind,
-    /// Its message.
+    /// Message of the error.
     pub message: String,
 }
 
@@ -152,10 +155,10 @@
 }
 
 impl PeerReply {
-    /// A refusal as an error.
+    /// Turns an error reply into an error.
     ///
     /// # Errors
-    /// The other router's own error.
+    /// The error that the other router returned.
     pub fn into_result(self) -> Result<PeerReply> {
         match self {
             PeerReply::Refused(r) => Err(Error::new(r.kind, r.message)),
@@ -164,12 +167,13 @@
     }
 }
 
-/// The other routers as somebody to talk to.
+/// Sends requests to other routers.
 pub trait PeerClient: Clone + Send + Sync + 'static {
-    /// Asks `to`, and waits for its reply for a short time.
+    /// Sends a request to a router, and waits for its reply for a short time.
     ///
     /// # Errors
-    /// `Timeout` or `Io` when there is no reply: the message may or may not have arrived.
+    /// `Timeout` or `Io` when there is no reply, in which case the request may or may not have been
+    /// carried out; otherwise the error that the other router returned.
     fn rpc(
         &self,
         to: &RouterInfo,
--- a/src/table/committer.rs
+++ b/src/table/committer.rs
@@ -1,7 +1,7 @@
-//! Group commit: many independent mutations in few transactions.
+//! Group commit: writes many independent mutations in few transactions.
 //!
-//! The table takes some hundred writes a second for the whole fleet, so a router gathers the
-//! mutations of all its parts and writes them together, one transaction at a time.
+//! The table accepts a few hundred writes per second for the whole fleet. A router therefore
+//! collects the mutations of all its parts and writes them together, one transaction at a time.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -15,13 +15,13 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::Incarnation;
 
-/// Mutations in one transaction at most.
+/// The most mutations in one transaction.
 const MAX_BATCH_MUTATIONS: usize = 256;
-/// Mutations waiting at most; past that new ones are refused.
+/// The most mutations in the queue; further ones are rejected.
 pub const MAX_QUEUED_MUTATIONS: usize = 20_000;
-/// First pause after a failed write; doubles up to [`MAX_BACKOFF`].
+/// First delay before a failed write is retried; doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest pause between attempts at the same transaction.
+/// Longest delay between attempts at the same transaction.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 struct QueuedMutation {
@@ -29,7 +29,7 @@
     tx: oneshot::Sender<Option<Version>>,
 }
 
-/// A handle to the committer. The committer ends when the last handle is dropped.
+/// A handle to the committer task, which ends when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct Committer {
     tx: mpsc::UnboundedSender<QueuedMutation>,
@@ -38,7 +38,8 @@
 }
 
 impl Committer {
-    /// Starts a committer that writes at most once per `interval`.
+    /// Starts a committer that waits `interval` after each batch. `owner` is the prefix of its
+    /// transaction ids, so that they are unique over all routers.
     pub fn start<T: Table>(table: T, owner: &Incarnation, interval: Duration) -> Committer {
         let (tx, rx) = mpsc::unbounded_channel();
         let queued = Arc::new(AtomicUsize::new(0));
@@ -56,23 +57,25 @@
         Committer { tx, queued, write_failing }
     }
 
-    /// Mutations that wait for their transaction.
+    /// Number of mutations whose outcome is not yet known.
     pub fn queued(&self) -> usize {
         self.queued.load(Ordering::Relaxed)
     }
 
-    /// Whether the last attempt to write had no answer. Who can do without a write should.
+    /// Whether the last attempt to write failed. Callers should then skip writes that they can do
+    /// without.
     pub fn is_write_failing(&self) -> bool {
         self.write_failing.load(Ordering::Relaxed)
     }
 
-    /// Writes `mutation` with whatever else waits. The version of the rows written, or `None`
-    /// when a guard failed. An answer may take as long as the platform is away.
+    /// Writes `mutation` in one transaction with others in the queue. Returns the version of the
+    /// rows written, or `None` when a guard failed. Waits for as long as the platform is
+    /// unreachable.
     ///
     /// # Errors
-    /// `PlatformAway` when the queue is full: the mutation was not taken.
+    /// `PlatformAway` when the queue is full; the mutation is then not written.
     pub async fn write(&self, mutation: Mutation) -> Result<Option<Version>> {
-        let platform_away = || Error::new(Kind::PlatformAway, "the queue of writes is full");
+        let platform_away = || Error::new(Kind::PlatformAway, "the write queue is full");
         if self.queued() >= MAX_QUEUED_MUTATIONS {
             return Err(platform_away());
         }
@@ -112,10 +115,12 @@
         }
     }
 
-    /// Writes a batch. Mutations that have to wait for a transaction of their own come back.
+    /// Writes a batch, and returns the mutations that need a later transaction because they
+    /// conflict with others in the batch.
     ///
-    /// A mutation that fails is answered, and the rest is written again at once, without new
-    /// ones: a writer that keeps failing must not hold up its neighbours.
+    /// When a guard fails, its mutation is answered with `None` and the rest of the batch is
+    /// written again at once, without new mutations, so that callers whose mutations keep failing
+    /// do not delay others.
     async fn commit(&mut self, batch: Vec<QueuedMutation>) -> Vec<QueuedMutation> {
         let (mut batch, deferred) = split_conflicting(batch);
         while !batch.is_empty() {
@@ -139,13 +144,14 @@
 
     fn send_version(&self, entry: QueuedMutation, version: Option<Version>) {
         self.queued.fetch_sub(1, Ordering::Relaxed);
-        // A submitter that went away wants no answer.
+        // The caller may have been cancelled and dropped its receiver.
         let _ = entry.tx.send(version);
     }
 
-    /// Guards against a write whose answer is lost after it took effect: a new transaction would
-    /// fail on its own guards, or count twice. The same id is sent until the table tells the
-    /// first outcome. Pauses grow and carry jitter, so that a returning table is not overrun.
+    /// Retries a transaction under the same id until the table returns its outcome. If a write took
+    /// effect and its response was lost, a retry under a new id would fail on the transaction's own
+    /// guards, or be counted twice. The backoff grows exponentially and carries jitter, so that a
+    /// table that comes back is not overloaded.
     async fn write_until_answered(&self, txn: Txn) -> Outcome {
         let mut backoff = MIN_BACKOFF;
         loop {
@@ -163,11 +169,13 @@
     }
 }
 
-/// Takes apart the mutations that may share a transaction, and those that have to wait.
+/// Splits a batch into mutations that can share a transaction and mutations that must wait for a
+/// later one.
 ///
-/// Guards against a lost update inside one transaction: all its guards are checked before any of
-/// its writes, so two changes of one row that were made from the same version would both pass,
-/// and the second undo the first. It showed as a bill in the table that no grant had settled.
+/// Guards against a lost update within one transaction: the table checks all guards before it
+/// applies any write, so two changes of one row that were both made from the same version would
+/// both pass, and the second would overwrite the first. The symptom was a bill in the table whose
+/// cost no grant had settled.
 fn split_conflicting(batch: Vec<QueuedMutation>) -> (Vec<QueuedMutation>, Vec<QueuedMutation>) {
     let (mut read, mut written): (Vec<RowKey>, Vec<RowKey>) = (Vec::new(), Vec::new());
     let (mut ready, mut deferred) = (Vec::new(), Vec::new());
--- a/src/table/http.rs
+++ b/src/table/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP. The users' real protocol replaces this one file.
+//! HTTP client of the platform. The users' real protocol will replace this file.
 
 use std::time::Duration;
 
@@ -9,11 +9,12 @@
 use super::{Instance, InstanceList, ObjectStore, Outcome, Row, RowKey, Table, Txn};
 use crate::error::{Error, Kind, Result};
 
-/// How long a call may bring nothing before its outcome counts as unknown. Not its whole time,
-/// which grows with the answer: a router with a narrow link would never get a large snapshot.
+/// How long a response may make no progress before the call's outcome counts as unknown. This is
+/// not a limit on the whole call, whose time grows with the size of the response: a router with a
+/// slow link would never receive a large snapshot.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A client of the platform.
+/// A client of the platform: table, object store and instance list.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     base: CompactString,
@@ -40,7 +41,7 @@
         if !resp.status().is_success() {
             return Err(Error::new(
                 Kind::PlatformAway,
-                format!("platform answered {}", resp.status()),
+                format!("platform returned HTTP status {}", resp.status()),
             ));
         }
         resp.json().await.map_err(platform_error)
@@ -85,7 +86,7 @@
             .await
             .map_err(platform_error)?;
         if resp.status() == reqwest::StatusCode::NOT_FOUND {
-            return Err(Error::new(Kind::NotFound, format!("no object {name}")));
+            return Err(Error::new(Kind::NotFound, format!("object {name} does not exist")));
         }
         let resp = resp.error_for_status().map_err(platform_error)?;
         Ok(resp.bytes().await.map_err(platform_error)?.to_vec())
--- a/src/table/memory.rs
+++ b/src/table/memory.rs
@@ -1,4 +1,4 @@
-//! The platform's services in memory: the core of the stand-in, and the fake of focused tests.
+//! In-memory platform: the core of the stand-in platform, and a fake for unit tests.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::ops::Bound;
@@ -11,26 +11,27 @@
 };
 use crate::error::{Error, Kind, Result};
 
-/// Outcomes kept for repeats, oldest forgotten first.
+/// The most transaction outcomes kept for retries; the oldest are dropped first. A transaction that
+/// is retried after its outcome was dropped is evaluated again.
 const MAX_KEPT_OUTCOMES: usize = 200_000;
 
-/// How the fake misbehaves.
+/// Faults to inject.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Faults {
-    /// Everything fails, nothing takes effect.
+    /// Every call fails without taking effect.
     pub away: bool,
-    /// This many next writes take effect, and their answer is lost.
+    /// Number of following writes that take effect but whose response is lost.
     pub lose_answers: u32,
-    /// Reads answer from before the last this many writes.
+    /// Reads return the rows as they were before this many most recent row writes.
     pub stale_writes: usize,
 }
 
-/// Counts of what the table was asked to do.
+/// Counts of the calls to the table.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TableCounts {
-    /// Transactions, repeats not counted.
+    /// Transactions, retries not counted.
     pub txns: u64,
-    /// Rows written.
+    /// Rows written or deleted.
     pub rows: u64,
     /// Read and scan calls.
     pub reads: u64,
@@ -49,11 +50,11 @@
     counts: TableCounts,
 }
 
-/// A shared in-memory platform.
+/// A shared in-memory platform; clones share the same state.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryPlatform(Arc<Mutex<State>>);
 
-/// Writes remembered so that a stale read can be served.
+/// The most overwritten row values kept for serving stale reads.
 const MAX_OVERWRITTEN_ROWS: usize = 1_000;
 
 impl State {
@@ -108,7 +109,7 @@
 }
 
 impl MemoryPlatform {
-    /// Changes how the fake misbehaves from now on.
+    /// Replaces the faults to inject from now on.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
@@ -118,7 +119,7 @@
         self.lock().faults
     }
 
-    /// What was asked so far.
+    /// Counts of the calls so far.
     pub fn counts(&self) -> TableCounts {
         self.lock().counts
     }
@@ -128,7 +129,7 @@
         self.lock().instances = list;
     }
 
-    /// Adds an instance to the list, or replaces the one of that name.
+    /// Adds an instance to the list, or replaces the one with the same name.
     pub fn put_instance(&self, instance: Instance) {
         let mut state = self.lock();
         state.instances.retain(|i| i.name != instance.name);
@@ -136,7 +137,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.0.lock().expect("no code panics while it holds the fake's lock")
+        self.0.lock().expect("no code panics while it holds the lock of the in-memory platform")
     }
 
     fn lock_if_reachable(&self) -> Result<MutexGuard<'_, State>> {
@@ -182,7 +183,7 @@
         state.record_outcome(txn.id, outcome.clone());
         if state.faults.lose_answers > 0 {
             state.faults.lose_answers -= 1;
-            return Err(Error::new(Kind::Timeout, "the answer to the write was lost"));
+            return Err(Error::new(Kind::Timeout, "the response to the write was lost"));
         }
         Ok(outcome)
     }
@@ -195,7 +196,7 @@
     }
 
     async fn get(&self, name: RowKey) -> Result<Vec<u8>> {
-        let missing = || Error::new(Kind::NotFound, format!("no object {name}"));
+        let missing = || Error::new(Kind::NotFound, format!("object {name} does not exist"));
         self.lock_if_reachable()?.objects.get(&name).cloned().ok_or_else(missing)
     }
 }
--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -1,6 +1,5 @@
-//! The platform's services as this project needs them: a transactional table, an object store
-//! and an instance list. Small traits; [`http`] speaks to a real one, [`memory`] is the core of
-//! the stand-in.
+//! Interfaces to the platform's services: a transactional table, an object store and an instance
+//! list. [`http`] is the client of a real platform, [`memory`] the core of the stand-in platform.
 
 pub mod committer;
 pub mod http;
@@ -14,24 +13,24 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::ZoneId;
 
-/// A row's key. Slashes separate the parts, so that a prefix can be scanned.
+/// A row's key. Slashes separate its parts, so that rows can be scanned by prefix.
 pub type RowKey = CompactString;
 
-/// A row's version. Grows with every write of the row.
+/// A row's version, which grows with every write of the row.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct Version(pub u64);
 
-/// A row as it was read.
+/// A row as read from the table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Row {
     /// The row's key.
     pub key: RowKey,
-    /// Version of the last write.
+    /// Version after the row's last write.
     pub version: Version,
-    /// JSON text.
+    /// The row's content as JSON text.
     pub value: String,
 }
 
@@ -46,39 +45,39 @@
     }
 }
 
-/// A condition on one row.
+/// A precondition on the version of one row.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Guard {
-    /// The row that is compared.
+    /// Key of the row to check.
     pub key: RowKey,
-    /// The version it must have; `None`: it must be absent.
+    /// The version that the row must have; `None` means that the row must not exist.
     pub version: Option<Version>,
 }
 
-/// A write of one row.
+/// A write or deletion of one row.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Put {
-    /// The row that is written.
+    /// Key of the row to write.
     pub key: RowKey,
-    /// JSON text; `None` deletes the row.
+    /// The new content as JSON text; `None` deletes the row.
     pub value: Option<String>,
 }
 
-/// Guards and writes that belong together. Independent mutations share a transaction only to
-/// save writes.
+/// A set of writes that is applied only if all its guards hold. Independent mutations share a
+/// transaction only to save writes.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Mutation {
-    /// All must hold.
+    /// Preconditions, which must all hold.
     pub guards: Vec<Guard>,
-    /// All are written, or none.
+    /// Writes, which are applied together or not at all.
     pub puts: Vec<Put>,
 }
 
 impl Mutation {
-    /// Adds a condition that `key` has `version`.
+    /// Adds the precondition that `key` has `version`, or does not exist (`None`).
     pub fn guard(mut self, key: impl Into<RowKey>, version: Option<Version>) -> Mutation {
         self.guards.push(Guard { key: key.into(), version });
         self
@@ -98,36 +97,37 @@
     }
 }
 
-/// One transaction. Repeating it with the same id yields the first outcome.
+/// A transaction. Sending it again under the same id is idempotent and returns the first outcome.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Txn {
-    /// Makes a repeat safe after a lost answer.
+    /// Idempotency key, so that a write whose response was lost can be retried.
     pub id: CompactString,
-    /// Applied together, or not at all.
+    /// Mutations, which are applied together or not at all.
     pub mutations: Vec<Mutation>,
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Everything is applied; every row written has this version.
+    /// All mutations were applied; every row written has this version.
     Committed(Version),
-    /// Nothing is applied; the mutations at these places had a guard that failed.
+    /// Nothing was applied; the mutations at these indices have a guard that failed.
     Conflict(Vec<usize>),
 }
 
 /// The transactional table.
 pub trait Table: Clone + Send + Sync + 'static {
-    /// Reads rows; absent ones are left out. In key order.
+    /// Reads rows in key order; rows that do not exist are left out.
     ///
     /// # Errors
     /// `PlatformAway` or `Timeout`.
     fn read(&self, keys: Vec<RowKey>) -> impl Future<Output = Result<Vec<Row>>> + Send;
 
-    /// Reads up to `limit` rows whose keys start with `prefix` and follow `after`. In key order.
+    /// Reads up to `limit` rows, in key order, whose keys start with `prefix` and are greater than
+    /// `after`.
     ///
     /// # Errors
     /// `PlatformAway` or `Timeout`.
@@ -141,11 +141,12 @@
     /// Applies a transaction.
     ///
     /// # Errors
-    /// `PlatformAway` or `Timeout`: the outcome is unknown until the same id is sent again.
+    /// `PlatformAway` or `Timeout`: the outcome is unknown until the transaction is retried under
+    /// the same id.
     fn write(&self, txn: Txn) -> impl Future<Output = Result<Outcome>> + Send;
 }
 
-/// The object store, for content too large for a row. Objects are never overwritten.
+/// The object store, for content too large for a row. Objects are immutable.
 pub trait ObjectStore: Clone + Send + Sync + 'static {
     /// Stores an object.
     ///
@@ -165,13 +166,13 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// Serves.
+    /// The instance is in service.
     Live,
-    /// Was told to go away.
+    /// The instance was asked to shut down.
     Leaving,
 }
 
-/// One line of the platform's instance list.
+/// An entry of the platform's instance list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Instance {
@@ -179,15 +180,15 @@
     pub name: CompactString,
     /// `ip:port` of its main listener.
     pub addr: CompactString,
-    /// Availability zone that it stands in.
+    /// The instance's availability zone.
     pub zone: ZoneId,
-    /// Live or leaving.
+    /// Whether the instance is live or leaving.
     pub state: InstanceState,
 }
 
-/// The platform's lagging list of instances.
+/// The platform's list of instances, which may be out of date.
 pub trait InstanceList: Clone + Send + Sync + 'static {
-    /// The list as the platform saw it some time ago.
+    /// Returns the list as the platform knew it some time ago.
     ///
     /// # Errors
     /// `PlatformAway` or `Timeout`.
