--- a/src/config/ini.rs
+++ b/src/config/ini.rs
@@ -1,4 +1,5 @@
-//! INI text to sections, every line number kept.
+//! Splits INI text into sections and reads typed values from them, with a line number for every
+//! error.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,12 +8,12 @@
 
 use crate::error::{Error, Kind, Result};
 
-/// One thing that is wrong in a file, and what would be right.
+/// An error in a file.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Finding {
-    /// Line, counted from 1.
+    /// Line number, counted from 1; 0 when the error belongs to no line.
     pub line: u32,
-    /// What is wrong.
+    /// What is wrong with the line.
     pub message: String,
 }
 
@@ -22,7 +23,7 @@
     }
 }
 
-/// Turns findings into one error, a `file:line: message` line each.
+/// Combines findings into one `BadConfig` error with a line `file:line: message` for each.
 pub fn findings_error(file: &str, findings: &[Finding]) -> Error {
     let lines: Vec<String> = findings.iter().map(|x| format!("{file}:{x}")).collect();
     Error::new(Kind::BadConfig, lines.join("\n"))
@@ -31,11 +32,11 @@
 /// A `key = value` line.
 #[derive(Clone, Debug)]
 pub struct KeyValue<'a> {
-    /// Left of the equals sign.
+    /// The text before the equals sign.
     pub key: &'a str,
-    /// Right of it.
+    /// The text after the equals sign.
     pub value: &'a str,
-    /// Where it stands.
+    /// Line number.
     pub line: u32,
 }
 
@@ -48,11 +49,11 @@
     pub name: &'a str,
     /// Line of the header.
     pub line: u32,
-    /// In the order of the file.
+    /// The entries, in file order.
     pub entries: Vec<KeyValue<'a>>,
 }
 
-/// Splits `text` into sections.
+/// Splits `text` into sections, and adds a finding for each line that cannot be parsed.
 pub fn parse_sections<'a>(text: &'a str, findings: &mut Vec<Finding>) -> Vec<Section<'a>> {
     let mut out: Vec<Section<'a>> = Vec::new();
     let mut parser = Parser::new(text).auto_trim(true);
@@ -67,12 +68,12 @@
                 Some(s) => s.entries.push(KeyValue { key, value, line }),
                 None => findings.push(Finding {
                     line,
-                    message: format!("{key:?} stands before any [section]"),
+                    message: format!("{key:?} appears before the first [section]"),
                 }),
             },
             Item::Property(text, None) if text.starts_with('#') || text.is_empty() => {}
             Item::Property(text, None) | Item::Error(text) => {
-                let message = format!("{text:?} is neither [section], key = value nor a ; comment");
+                let message = format!("{text:?} is not a [section], key = value or ; comment line");
                 findings.push(Finding { line, message });
             }
             Item::SectionEnd | Item::Comment(_) | Item::Blank => {}
@@ -81,7 +82,7 @@
     out
 }
 
-/// Reads typed values out of a section, and finds keys that nobody asked for.
+/// Reads typed values from a section, and reports keys that were not read as unknown.
 pub struct SectionReader<'a, 'f> {
     section: &'a Section<'a>,
     read_keys: Vec<&'static str>,
@@ -89,12 +90,12 @@
 }
 
 impl<'a, 'f> SectionReader<'a, 'f> {
-    /// A reader of `section` that reports to `findings`.
+    /// A reader of `section` that adds its findings to `findings`.
     pub fn new(section: &'a Section<'a>, findings: &'f mut Vec<Finding>) -> SectionReader<'a, 'f> {
         SectionReader { section, read_keys: Vec::new(), findings }
     }
 
-    /// Reports a mistake at `line`.
+    /// Adds a finding for `line`.
     pub fn report(&mut self, line: u32, message: String) {
         self.findings.push(Finding { line, message });
     }
@@ -107,13 +108,13 @@
         if let Some(duplicate) = all.next() {
             self.report(
                 duplicate.line,
-                format!("{key} stands twice in [{} {}]", section.kind, section.name),
+                format!("{key} is set more than once in [{} {}]", section.kind, section.name),
             );
         }
         first
     }
 
-    /// The value of `key`, if there is one.
+    /// The value of `key`, or `None` when it is absent or, with a finding, invalid.
     pub fn optional<T: FromStr<Err = Error>>(&mut self, key: &'static str) -> Option<T> {
         let e = self.entry(key)?;
         match e.value.parse() {
@@ -125,22 +126,23 @@
         }
     }
 
-    /// The value of `key`, or `default`.
+    /// The value of `key`, or `default` when it is absent or, with a finding, invalid.
     pub fn value_or<T: FromStr<Err = Error>>(&mut self, key: &'static str, default: T) -> T {
         self.optional(key).unwrap_or(default)
     }
 
-    /// The value of `key`; its absence is a mistake.
+    /// The value of `key`; adds a finding when it is absent or invalid.
     pub fn required<T: FromStr<Err = Error>>(&mut self, key: &'static str) -> Option<T> {
         if !self.section.entries.iter().any(|e| e.key == key) {
             let message =
-                format!("[{} {}] needs {key} = ...", self.section.kind, self.section.name);
+                format!("[{} {}] is missing the key {key}", self.section.kind, self.section.name);
             self.report(self.section.line, message);
         }
         self.optional(key)
     }
 
-    /// A comma-separated list; empty when the key is absent.
+    /// The comma-separated values of `key`; empty when the key is absent. Adds a finding for each
+    /// invalid value.
     pub fn list<T: FromStr<Err = Error>>(&mut self, key: &'static str) -> Vec<T> {
         let Some(e) = self.entry(key) else { return Vec::new() };
         let mut out = Vec::new();
@@ -156,25 +158,27 @@
         out
     }
 
-    /// The line of `key`, or of the section's header.
+    /// The line number of `key`, or of the section's header when the key is absent.
     pub fn line(&self, key: &str) -> u32 {
         self.section.entries.iter().find(|e| e.key == key).map_or(self.section.line, |e| e.line)
     }
 
-    /// Reports keys that were not read.
+    /// Adds a finding for each key that was not read.
     pub fn finish(self) {
         for e in &self.section.entries {
             if !self.read_keys.contains(&e.key) {
                 let known = self.read_keys.join(", ");
-                let message =
-                    format!("unknown key {:?} in [{}]; known: {known}", e.key, self.section.kind);
+                let message = format!(
+                    "unknown key {:?} in [{}]; known keys: {known}",
+                    e.key, self.section.kind
+                );
                 self.findings.push(Finding { line: e.line, message });
             }
         }
     }
 }
 
-/// A whole number that parses with our errors.
+/// An unsigned integer that parses with this crate's error type.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Count(pub u64);
 
@@ -184,11 +188,11 @@
     fn from_str(s: &str) -> Result<Count> {
         s.parse()
             .map(Count)
-            .map_err(|_| Error::new(Kind::BadRequest, format!("{s:?} is no whole number")))
+            .map_err(|_| Error::new(Kind::BadRequest, format!("{s:?} is not a whole number")))
     }
 }
 
-/// A share of a whole, written `12%`, kept in per mille.
+/// A fraction, written as a percentage such as `12%` and stored in per mille.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct PerMille(pub u32);
 
@@ -196,7 +200,12 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<PerMille> {
-        let bad = || Error::new(Kind::BadRequest, format!("{s:?} is no share like 12% or 0.5%"));
+        let bad = || {
+            Error::new(
+                Kind::BadRequest,
+                format!("{s:?} is not a percentage from 0% to 100%, such as 12% or 0.5%"),
+            )
+        };
         let n: f64 = s.strip_suffix('%').ok_or_else(bad)?.trim().parse().map_err(|_| bad())?;
         if !(0.0..=100.0).contains(&n) {
             return Err(bad());
@@ -205,7 +214,7 @@
     }
 }
 
-/// Text without further rules.
+/// Any text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Text(pub compact_str::CompactString);
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: services, organisations, budgets, fleet-wide policy.
+//! The configuration that operators submit: services, organisations, budgets and fleet-wide policy.
 
 pub mod ini;
 pub mod parse;
@@ -11,80 +11,82 @@
 use crate::ids::{BudgetId, Digest, Millis, OrganisationId, Revision, ServiceId, Tokens};
 use ini::PerMille;
 
-/// What a service is behind its name.
+/// The kind of a service, with the settings of that kind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ServiceKind {
     /// A model served by engines.
     Model {
-        /// The model that targets must have loaded.
+        /// The model that a target must have loaded to serve it.
         model: CompactString,
-        /// The fewest bytes of prompt that make up one token.
+        /// The minimum number of prompt bytes per token, for an upper bound on the prompt's tokens.
         bytes_per_token: u64,
-        /// The most answer tokens a request may ask for, and the default.
+        /// The most answer tokens that a request may ask for; also the default.
         max_tokens: u64,
     },
     /// A plain HTTP service.
     Plain {
-        /// Cost of one call.
+        /// Cost of one call, in tokens.
         cost: Tokens,
-        /// Paths whose calls may be repeated; all others run at most once.
+        /// Paths whose calls are idempotent and may be retried; calls of all other paths are
+        /// executed at most once.
         repeatable: Vec<CompactString>,
     },
 }
 
-/// A service that callers can ask for.
+/// A service that callers can request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub id: ServiceId,
-    /// Model or plain.
+    /// Whether it is a model or a plain HTTP service.
     pub kind: ServiceKind,
-    /// Services that must be servable for this one to be.
+    /// Services that must be available for this one to be available.
     pub depends: Vec<ServiceId>,
-    /// Copies that placement keeps loaded, at least.
+    /// The minimum number of copies that placement keeps loaded.
     pub min_copies: u32,
-    /// Time for one whole answer.
+    /// Deadline for a complete response.
     pub deadline: Millis,
 }
 
-/// An organisation.
+/// A customer organisation with its limits.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub id: OrganisationId,
     /// Digest of its API key.
     pub key: Digest,
-    /// Weight in fair queueing.
+    /// Weight in fair queueing, from 1 to 1000.
     pub weight: u32,
-    /// Requests in flight at one router, at most.
+    /// The most requests in flight at one router.
     pub max_in_flight: u32,
 }
 
 /// A prepaid budget.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Budget {
-    /// Who holds it, and its name.
+    /// Organisation and name of the budget.
     pub id: BudgetId,
-    /// Everything ever prepaid, in tokens.
+    /// Total of all tokens ever prepaid.
     pub prepaid: Tokens,
-    /// Services that may draw on it; empty: all.
+    /// Services that may use the budget; empty means all.
     pub services: Vec<ServiceId>,
 }
 
 /// Policy for the whole fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FleetPolicy {
-    /// Part of each grant that may be spent without a witness and stays in doubt when its holder
-    /// dies. 0% strands least, more refuses less while a router is cut off.
+    /// Share of each grant that may be spent without a witness. When the holder dies, it is not
+    /// known how much of this share was spent, so all of it stays reserved. 0% strands the fewest
+    /// tokens; a larger share rejects fewer requests while a router is cut off.
     pub solo_share: PerMille,
-    /// How much time's worth of tokens a grant should last, and with it how long a router can do
-    /// without the table. The end of a budget is shared out in small parts whatever it says.
+    /// How long a grant should last at the current rate of use, and so how long a router can work
+    /// without the table. Near the end of a budget, grants are small whatever this value is.
     pub grant_horizon: Millis,
-    /// How long callers may keep an entry answer.
+    /// How long callers may cache the list of routers to call.
     pub entry_lifetime: Millis,
-    /// Routers named to one organisation, at least.
+    /// The number of routers named to one organisation; fewer only when fewer are live.
     pub entry_width: u32,
-    /// Retries allowed per hundred requests.
+    /// Retry budget: the share of requests that may be retried.
     pub retry_share: PerMille,
 }
 
@@ -100,30 +102,30 @@
     }
 }
 
-/// A whole checked configuration. Every vector is sorted by id.
+/// A complete, validated configuration. All vectors are sorted.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Config {
-    /// The revision it is; 0 before any was accepted.
+    /// The revision; 0 before the first one was accepted.
     pub revision: Revision,
-    /// By id.
+    /// Services, sorted by id.
     pub services: Vec<Service>,
-    /// By id.
+    /// Organisations, sorted by id.
     pub organisations: Vec<Organisation>,
-    /// By organisation, then by id.
+    /// Budgets, sorted by organisation, then by id.
     pub budgets: Vec<Budget>,
-    /// Organisations by the digest of their key, in digest order.
+    /// Organisations by the digest of their API key, sorted by digest.
     pub keys: Vec<(Digest, OrganisationId)>,
     /// Fleet-wide policy.
     pub fleet: FleetPolicy,
 }
 
 impl Config {
-    /// The service of that name.
+    /// The service with this id.
     pub fn service(&self, id: &ServiceId) -> Option<&Service> {
         self.services.binary_search_by(|s| s.id.cmp(id)).ok().map(|i| &self.services[i])
     }
 
-    /// The budget of that name.
+    /// The budget with this id.
     pub fn budget(&self, id: &BudgetId) -> Option<&Budget> {
         self.budgets
             .binary_search_by(|b| budget_sort_key(&b.id).cmp(&budget_sort_key(id)))
@@ -131,7 +133,7 @@
             .map(|i| &self.budgets[i])
     }
 
-    /// The organisation of that name.
+    /// The organisation with this id.
     pub fn organisation(&self, id: &OrganisationId) -> Option<&Organisation> {
         self.organisations.binary_search_by(|o| o.id.cmp(id)).ok().map(|i| &self.organisations[i])
     }
@@ -143,20 +145,20 @@
         self.organisation(&self.keys[index].1)
     }
 
-    /// Budgets of an organisation, in order of their ids.
+    /// Budgets of an organisation, sorted by id.
     pub fn budgets_of(&self, id: &str) -> impl Iterator<Item = &Budget> {
         let from = self.budgets.partition_point(|b| b.id.organisation() < id);
         let belongs = move |b: &&Budget| b.id.organisation() == id;
         self.budgets[from..].iter().take_while(belongs)
     }
 
-    /// The first budget of an organisation that `service` may draw on.
+    /// The first budget of an organisation that `service` may use.
     pub fn budget_for(&self, id: &OrganisationId, service: &ServiceId) -> Option<&Budget> {
         let covers = |b: &&Budget| b.services.is_empty() || b.services.contains(service);
         self.budgets_of(id.as_str()).find(covers)
     }
 
-    /// Sorts everything and rebuilds the lookup by key.
+    /// Sorts all vectors and rebuilds the lookup by API key.
     pub fn index(&mut self) {
         self.services.sort_by(|a, b| a.id.cmp(&b.id));
         self.organisations.sort_by(|a, b| a.id.cmp(&b.id));
@@ -166,7 +168,9 @@
     }
 }
 
-/// Organisation first: plain id order would put `a-b/x` between `a/x` and `a/y`'s neighbours.
+/// Compares by organisation first, because lookups search for an organisation's budgets by binary
+/// search. In plain id order, `a-b/x` sorts before `a/x`, although organisation `a` sorts before
+/// `a-b`.
 fn compare_budgets(a: &Budget, b: &Budget) -> std::cmp::Ordering {
     budget_sort_key(&a.id).cmp(&budget_sort_key(&b.id))
 }
--- a/src/config/parse.rs
+++ b/src/config/parse.rs
@@ -1,4 +1,4 @@
-//! Checks configuration text, every mistake in one run.
+//! Parses and validates configuration text, and reports all errors in one run.
 
 use compact_str::CompactString;
 
@@ -6,17 +6,17 @@
 use super::{Budget, Config, FleetPolicy, Organisation, Service, ServiceKind};
 use crate::ids::{Digest, Millis, Tokens};
 
-/// Time for a whole answer unless the service says otherwise.
+/// Deadline for a complete response when the service sets none.
 const DEFAULT_DEADLINE: Millis = Millis(120_000);
-/// Answer tokens unless the service says otherwise.
+/// The most answer tokens when the service sets no limit.
 const DEFAULT_MAX_TOKENS: u64 = 1_024;
-/// Requests in flight per organisation and router unless it says otherwise.
+/// The most requests in flight per organisation and router when the organisation sets no limit.
 const DEFAULT_MAX_IN_FLIGHT: u64 = 512;
 
-/// Parses and checks `text`.
+/// Parses and validates a complete configuration.
 ///
 /// # Errors
-/// Every finding, in line order.
+/// All findings, in line order.
 pub fn parse(text: &str) -> std::result::Result<Config, Vec<Finding>> {
     let mut findings = Vec::new();
     let mut cfg = Config::default();
@@ -40,7 +40,7 @@
         other => findings.push(Finding {
             line: s.line,
             message: format!(
-                "unknown section [{other}]; known: service, organisation, budget, fleet"
+                "unknown section [{other}]; known sections: service, organisation, budget, fleet"
             ),
         }),
     }
@@ -138,7 +138,7 @@
     named.sort();
     for duplicate in named.windows(2).filter(|w| (w[0].0, w[0].1) == (w[1].0, w[1].1)) {
         let message = format!(
-            "[{} {}] stands already at line {}",
+            "[{} {}] is already defined at line {}",
             duplicate[1].0, duplicate[1].1, duplicate[0].2
         );
         findings.push(Finding { line: duplicate[1].2, message });
@@ -166,8 +166,10 @@
                 }
                 _ => continue,
             };
-            let report =
-                |n: &str| Finding { line: e.line, message: format!("{}: no [service {n}]", e.key) };
+            let report = |n: &str| Finding {
+                line: e.line,
+                message: format!("{}: section [service {n}] does not exist", e.key),
+            };
             findings.extend(unknown.into_iter().map(report));
         }
         if s.kind == "budget" {
@@ -184,17 +186,22 @@
     findings: &mut Vec<Finding>,
 ) {
     let owner = s.name.split_once('/').map_or("", |(o, _)| o);
-    // One with mistakes of its own counts: it is reported where it stands.
+    // An organisation whose section has errors of its own is declared too; those errors are
+    // reported at that section.
     let is_declared = declared.binary_search(&("organisation", owner)).is_ok();
     if let Ok(id) = owner.parse()
         && !is_declared
         && cfg.organisation(&id).is_none()
     {
-        findings.push(Finding { line: s.line, message: format!("no [organisation {id}]") });
+        findings.push(Finding {
+            line: s.line,
+            message: format!("section [organisation {id}] does not exist"),
+        });
     }
 }
 
-/// Services that wait for each other could never be served.
+/// Reports services that depend on each other in a cycle, since none of them could ever become
+/// available.
 fn check_cycles(parsed_sections: &[Section<'_>], cfg: &Config, findings: &mut Vec<Finding>) {
     for service in &cfg.services {
         let mut visited = vec![];
@@ -210,7 +217,8 @@
             let header = parsed_sections
                 .iter()
                 .find(|s| s.kind == "service" && s.name == service.id.as_str());
-            let message = format!("service {} depends on itself", service.id);
+            let message =
+                format!("service {} depends on itself, directly or through others", service.id);
             findings.push(Finding { line: header.map_or(0, |s| s.line), message });
         }
     }
--- a/src/config/revision.rs
+++ b/src/config/revision.rs
@@ -1,8 +1,8 @@
-//! Revisions of the configuration as sets of edited sections.
+//! Configuration revisions as sets of edited sections.
 //!
-//! A small edit stays small whatever the size of the whole: a revision carries only the sections
-//! that changed, and the digest of the whole is a sum over its sections, so that it can be kept
-//! up to date in the time of the edit.
+//! The cost of an edit does not depend on the size of the configuration: a revision contains only
+//! the sections that changed, and the digest of the whole is the sum of the digests of its
+//! sections, so that it can be updated from the edited sections alone.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -13,46 +13,46 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, Revision, Tokens};
 
-/// First word of a snapshot, followed by its format version.
+/// First word of a snapshot, before its format version.
 const SNAPSHOT_MAGIC: &str = "kingcupwall-snapshot";
-/// The snapshot format that this program writes, and the newest that it reads.
+/// The snapshot format version that this program writes, and the newest that it reads.
 const SNAPSHOT_FORMAT: u32 = 1;
 
-/// A change of one section.
+/// An edit of one section.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Edit {
-    /// What stands between the brackets, such as `budget acme/main`.
+    /// Text between the brackets of the header, such as `budget acme/main`.
     pub header: CompactString,
-    /// The lines below it; `None` removes the section.
+    /// The lines below the header; `None` removes the section.
     pub body: Option<String>,
 }
 
-/// The row of one accepted revision.
+/// The table row of one accepted revision.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct RevisionRow {
-    /// The revision that the edits lead to.
+    /// The revision after the edits.
     pub revision: Revision,
-    /// Id of the submission, for finding a lost answer.
+    /// Id of the submission, so that its outcome can be found after a lost response.
     pub submission: CompactString,
-    /// Digest of the whole before the edits.
+    /// Digest of the configuration before the edits.
     pub before: Digest,
-    /// Digest of the whole after the edits.
+    /// Digest of the configuration after the edits.
     pub after: Digest,
-    /// The edits, or none when they are in [`RevisionRow::object`].
+    /// The edits; empty when they are stored in [`RevisionRow::object`].
     pub edits: Vec<Edit>,
-    /// Object with the edits, when they are too large for a row.
+    /// Name of the object with the edits, when they are too large for a row.
     pub object: Option<CompactString>,
 }
 
-/// The row that names the revision in force.
+/// The table row that names the current revision.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Head {
     /// The newest accepted revision.
     pub revision: Revision,
-    /// Digest of the whole.
+    /// Digest of the configuration.
     pub digest: Digest,
 }
 
@@ -62,10 +62,10 @@
     }
 }
 
-/// A whole configuration text by section, with its running digest.
+/// A configuration text by section, with its digest kept up to date.
 #[derive(Clone, Debug, Default)]
 pub struct Document {
-    /// Sections in header order.
+    /// Headers and bodies, sorted by header.
     sections: Vec<(CompactString, Box<str>)>,
     digest_sum: u128,
 }
@@ -75,8 +75,8 @@
 }
 
 impl Document {
-    /// Splits a text. Comments stay with the section above them; what stands before the first
-    /// section is dropped.
+    /// Splits a text into sections. Comments belong to the section above them; text before the
+    /// first section is dropped.
     pub fn parse(text: &str) -> Document {
         let mut doc = Document::default();
         let edits = split_sections(text)
@@ -86,18 +86,18 @@
         doc
     }
 
-    /// The digest of the whole.
+    /// Digest of the whole text, which does not depend on the order of the sections.
     pub fn digest(&self) -> Digest {
         Digest::from_number(self.digest_sum)
     }
 
-    /// The body of a section.
+    /// The body of the section with this header.
     pub fn section(&self, header: &str) -> Option<&str> {
         let index = self.sections.binary_search_by(|(h, _)| h.as_str().cmp(header)).ok()?;
         Some(&self.sections[index].1)
     }
 
-    /// Applies edits; the digest follows.
+    /// Applies edits and updates the digest.
     pub fn apply(&mut self, edits: &[Edit]) {
         if edits.len() > 1_000 && edits.len() > self.sections.len() / 8 {
             return self.apply_many(edits);
@@ -138,7 +138,7 @@
         self.digest_sum = numbers.fold(0, u128::wrapping_add);
     }
 
-    /// The edits that lead from this document to `other`.
+    /// The edits that turn this document into `other`.
     pub fn diff(&self, other: &Document) -> Vec<Edit> {
         let removed = self.sections.iter().filter(|(h, _)| other.section(h).is_none());
         let removed = removed.map(|(h, _)| Edit { header: h.clone(), body: None });
@@ -147,42 +147,43 @@
         removed.chain(changed).collect()
     }
 
-    /// The whole as text, sections in header order.
+    /// The whole text, with sections in header order.
     pub fn text(&self) -> String {
         let part = |(h, b): &(CompactString, Box<str>)| format!("[{h}]\n{b}");
         self.sections.iter().map(part).collect()
     }
 
-    /// The whole as a snapshot: a line with format, revision and digest, then the text.
+    /// Encodes a snapshot: a header line with format version, revision and digest, then the text.
     pub fn snapshot(&self, revision: Revision) -> Vec<u8> {
         let header_line =
             format!("{SNAPSHOT_MAGIC} {SNAPSHOT_FORMAT} {revision} {}\n", self.digest());
         (header_line + &self.text()).into_bytes()
     }
 
-    /// Reads a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
-    /// `BadFormat` for one that is damaged, cut short, or of a newer format.
+    /// `BadFormat` when the snapshot is damaged, truncated or of a newer format version.
     pub fn from_snapshot(data: &[u8]) -> Result<(Revision, Document)> {
         let format_error = |what: &str| Error::new(Kind::BadFormat, format!("snapshot: {what}"));
         let text = std::str::from_utf8(data).map_err(|_| format_error("not UTF-8"))?;
         let (header_line, body) =
-            text.split_once('\n').ok_or_else(|| format_error("cut short in its first line"))?;
+            text.split_once('\n').ok_or_else(|| format_error("truncated in its first line"))?;
         let words: Vec<&str> = header_line.split(' ').collect();
         let [SNAPSHOT_MAGIC, format, revision, digest] = words[..] else {
-            return Err(format_error("first line is no snapshot header"));
+            return Err(format_error("first line is not a snapshot header"));
         };
-        let format: u32 = format.parse().map_err(|_| format_error("format is no number"))?;
+        let format: u32 =
+            format.parse().map_err(|_| format_error("format version is not a number"))?;
         if format > SNAPSHOT_FORMAT {
             return Err(format_error(&format!(
-                "format {format} is newer than {SNAPSHOT_FORMAT}, update this program"
+                "format version {format} is newer than {SNAPSHOT_FORMAT}; update this program"
             )));
         }
         let doc = Document::parse(body);
         if doc.digest() != digest.parse()? {
             return Err(format_error(
-                "content does not match its digest; it is damaged or cut short",
+                "content does not match its digest; it is damaged or truncated",
             ));
         }
         Ok((revision.parse()?, doc))
@@ -205,8 +206,8 @@
     out
 }
 
-/// The edits in a file that holds only changed sections. A section whose only line is `remove`
-/// is removed.
+/// Parses a file that contains only the changed sections. A section whose only line is `remove` is
+/// removed.
 pub fn parse_edits(text: &str) -> Vec<Edit> {
     let edit = |(header, body): (CompactString, String)| match body.trim() {
         "remove" => Edit { header, body: None },
@@ -215,22 +216,23 @@
     split_sections(text).into_iter().map(edit).collect()
 }
 
-/// A budget whose ledger row has to be looked at before an edit is accepted.
+/// A budget whose ledger row must be checked before an edit is accepted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LedgerCheck {
-    /// The budget.
+    /// Id of the budget.
     pub budget: BudgetId,
-    /// The new prepaid amount; `None`: the budget is removed.
+    /// The new prepaid amount; `None` when the budget is removed.
     pub prepaid: Option<Tokens>,
-    /// Whether routers may know a larger amount.
+    /// Whether the amount is reduced or the budget removed, so that some routers may still have a
+    /// larger amount configured.
     pub is_reduction: bool,
 }
 
 impl Config {
-    /// Applies edits to a configuration.
+    /// Validates and applies edits.
     ///
     /// # Errors
-    /// `BadConfig` with every finding; the configuration is then unchanged.
+    /// `BadConfig` with all findings; the configuration is then unchanged.
     pub fn apply(&mut self, edits: &[Edit]) -> Result<()> {
         let parsed = self.check(edits)?;
         for e in edits {
@@ -281,10 +283,11 @@
         }
     }
 
-    /// Parses edits and checks that the configuration holds together after them.
+    /// Parses edits and checks that all references are valid after them. Returns only what the
+    /// edits define.
     ///
     /// # Errors
-    /// `BadConfig` with every finding.
+    /// `BadConfig` with all findings.
     pub fn check(&self, edits: &[Edit]) -> Result<Config> {
         let text: String = edits
             .iter()
@@ -311,7 +314,7 @@
         if findings.is_empty() { Ok(parsed) } else { Err(findings_error("edit", &findings)) }
     }
 
-    /// A removed organisation or service must not be named by what stays.
+    /// Reports removed organisations and services that remaining sections still refer to.
     fn check_removed(&self, edits: &[Edit], merged: &Config, findings: &mut Vec<Finding>) {
         let edited = |b: &BudgetId| {
             edits.iter().any(|e| e.header.strip_prefix("budget ") == Some(b.as_str()))
@@ -335,8 +338,9 @@
             };
             let depends =
                 merged.services.iter().filter(|s| s.depends.iter().any(|d| d.as_str() == name));
-            let message =
-                |dependent: String| format!("{} cannot go: {dependent} needs it", e.header);
+            let message = |dependent: String| {
+                format!("{} cannot be removed: {dependent} refers to it", e.header)
+            };
             findings.extend(
                 dependent_budgets
                     .first()
@@ -353,7 +357,7 @@
         }
     }
 
-    /// The budgets that edits lower, remove, or bring back after a removal.
+    /// The budgets whose prepaid amount the edits reduce, and those that they remove or add.
     pub fn ledger_checks(&self, edits: &[Edit], parsed: &Config) -> Vec<LedgerCheck> {
         let check = |e: &Edit| {
             let budget: BudgetId = e.header.strip_prefix("budget ")?.parse().ok()?;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -9,7 +9,7 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Millis, ZoneId};
 
-/// A socket address that parses with our errors.
+/// A socket address that parses with this crate's error type.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Addr(pub SocketAddr);
 
@@ -17,54 +17,58 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Addr> {
-        let bad =
-            |_| Error::new(Kind::BadRequest, format!("{s:?} is no address like 127.0.0.1:8080"));
+        let bad = |_| {
+            Error::new(
+                Kind::BadRequest,
+                format!("{s:?} is not a socket address such as 127.0.0.1:8080"),
+            )
+        };
         s.parse().map(Addr).map_err(bad)
     }
 }
 
-/// What one router needs to know before it can ask anybody.
+/// Settings that a router process needs before it can contact the platform or another router.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this instance.
     pub instance: CompactString,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: ZoneId,
-    /// Listener for callers; port 0 takes any.
+    /// Listen address for callers; port 0 selects any free port.
     pub listen: SocketAddr,
-    /// Listener for other routers; port 0 takes any.
+    /// Listen address for other routers; port 0 selects any free port.
     pub peer_listen: SocketAddr,
     /// The platform's address, `ip:port`.
     pub platform: CompactString,
-    /// Secrets for links between routers: the first signs, all are accepted.
+    /// Shared secrets for links between routers: the first one signs, all are accepted.
     pub link_keys: Vec<CompactString>,
-    /// Digest of the key that operators present; none: the operators' API is closed.
+    /// Digest of the operators' API key; `None` disables the operator API.
     pub operator_key: Option<Digest>,
-    /// Pause between group commits.
+    /// Interval between group commits.
     pub commit_interval: Millis,
-    /// Pause between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Millis,
-    /// Silence after which another router counts as dead.
+    /// Time without a heartbeat after which another router counts as dead.
     pub dead_after: Millis,
-    /// Pause between reads of the configuration's head.
+    /// Interval between polls of the configuration.
     pub config_poll: Millis,
-    /// Pause between load reports asked of a target.
+    /// Interval between polls of a target's load report.
     pub report_poll: Millis,
-    /// Address of a statsd sink for metrics; none: no metrics are sent.
+    /// Address of a statsd server; `None` sends no metrics.
     pub statsd: Option<SocketAddr>,
 }
 
 /// Parses a settings file.
 ///
 /// # Errors
-/// `BadConfig` with every finding as `file:line: message`.
+/// `BadConfig` with all findings as `file:line: message`.
 pub fn parse_settings(file: &str, text: &str) -> Result<Settings> {
     let mut findings = Vec::new();
     let parsed_sections = parse_sections(text, &mut findings);
     let mut out = None;
     for s in &parsed_sections {
         if s.kind != "router" {
-            let message = format!("unknown section [{}]; known: router", s.kind);
+            let message = format!("unknown section [{}]; known sections: router", s.kind);
             findings.push(Finding { line: s.line, message });
             continue;
         }
@@ -74,7 +78,7 @@
         out = out.or(parsed);
     }
     if parsed_sections.is_empty() {
-        findings.push(Finding { line: 1, message: "a [router] section is needed".into() });
+        findings.push(Finding { line: 1, message: "the [router] section is missing".into() });
     }
     findings.sort();
     match out {
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -1,4 +1,5 @@
-//! The configuration in the platform: submissions, revisions, snapshots, and following them.
+//! Stores the configuration in the platform as submissions, revisions and snapshots, and keeps a
+//! local copy up to date.
 
 use std::collections::VecDeque;
 use std::sync::RwLock;
@@ -13,15 +14,15 @@
 use crate::ids::{Digest, Revision};
 use crate::table::{Mutation, Outcome, Platform, Row, RowKey, Table, Txn, Version, read_one};
 
-/// Row of the newest revision.
+/// Key of the row that names the newest revision.
 const HEAD_KEY: &str = "config/head";
-/// Row that names the newest snapshot.
+/// Key of the row that names the newest snapshot.
 const SNAPSHOT_KEY: &str = "config/snapshot";
-/// Revisions between snapshots.
+/// Number of revisions from one snapshot to the next.
 const REVISIONS_PER_SNAPSHOT: u64 = 64;
-/// Bytes of edits that fit a row; larger ones go to an object.
+/// The most bytes of edits stored in a row; larger edits are stored in an object.
 const MAX_ROW_BYTES: usize = 64 * 1024;
-/// Revisions fetched at once.
+/// The most rows in one scan or read.
 const MAX_ROWS_PER_READ: usize = 200;
 
 fn revision_key(revision: Revision) -> RowKey {
@@ -32,7 +33,7 @@
     format_compact!("config/sub/{id}")
 }
 
-/// The row that names a snapshot object.
+/// The table row that names a snapshot object.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 struct SnapshotRow {
@@ -40,32 +41,34 @@
     object: CompactString,
 }
 
-/// A submission.
+/// A set of edits submitted by an operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Submission {
-    /// Chosen by the submitter; repeating a submission with it finds the first outcome.
+    /// Idempotency key, chosen by the submitter. Retrying a submission under the same id returns
+    /// the first outcome.
     pub id: CompactString,
-    /// The revision that the edits were made from.
+    /// The revision that the edits are based on.
     pub base: Revision,
-    /// Sections changed and removed.
+    /// Changed and removed sections.
     pub edits: Vec<Edit>,
-    /// Accept a newer head when it touched none of the same sections.
+    /// Whether to accept the edits although there are newer revisions, if these changed none of the
+    /// same sections.
     pub merge: bool,
 }
 
-/// Reads the newest revision.
+/// Reads the row that names the newest revision.
 ///
 /// # Errors
-/// `PlatformAway`, or `BadFormat` for a row that cannot be read.
+/// `PlatformAway`, or `BadFormat` for a row that cannot be decoded.
 pub async fn read_head<T: Table>(table: &T) -> Result<Seen<Head>> {
     seen(read_one(table, HEAD_KEY).await?.as_ref())
 }
 
-/// Reads revisions after `from`, a page at most.
+/// Reads revisions after `from`, one page at most, with edits that are stored in objects.
 ///
 /// # Errors
-/// `PlatformAway`, or `BadFormat` for a row that cannot be read.
+/// `PlatformAway`, or `BadFormat` for a row that cannot be decoded.
 pub async fn read_revisions<P: Platform>(platform: &P, from: Revision) -> Result<Vec<RevisionRow>> {
     let rows = platform.scan("config/rev/".into(), revision_key(from), MAX_ROWS_PER_READ).await?;
     let mut out = Vec::with_capacity(rows.len());
@@ -80,12 +83,13 @@
     Ok(out)
 }
 
-/// Revisions kept for routers that cannot reach the platform.
+/// The most recent revisions kept in memory for routers that cannot reach the platform.
 const MAX_RECENT_REVISIONS: usize = 256;
-/// Bytes of edits kept for them in one revision; a larger one waits for the platform.
+/// The most bytes of edits in a revision that is kept in memory. Other routers must read a larger
+/// one from the platform.
 const MAX_RECENT_EDIT_BYTES: usize = 256 * 1024;
 
-/// Follows the configuration revision by revision.
+/// A local copy of the configuration that is updated revision by revision.
 #[derive(Debug, Default)]
 pub struct ConfigFollower {
     doc: Document,
@@ -94,38 +98,45 @@
 }
 
 impl ConfigFollower {
-    /// The revision in force here.
+    /// The revision of the local copy, with its digest.
     pub fn head(&self) -> Head {
         self.head
     }
 
-    /// The text in force here.
+    /// The text of the local copy.
     pub fn document(&self) -> &Document {
         &self.doc
     }
 
-    /// Applies the next revision. An older one, from a stale read or an old peer, is ignored; a
-    /// later one is refused until those before it are here.
+    /// Applies the next revision, and returns whether the configuration changed. A revision that is
+    /// not newer, from a stale read or a peer that lags behind, is ignored. One that skips a
+    /// revision is rejected until those in between are applied.
     ///
     /// # Errors
-    /// `Conflict` for a gap, `BadFormat` when a digest does not match.
+    /// `Conflict` when revisions in between are missing, `BadFormat` when a digest does not match,
+    /// `BadConfig` when the edits are invalid; the configuration is then unchanged.
     pub fn apply(&mut self, row: &RevisionRow, cfg: &RwLock<Config>) -> Result<bool> {
         if row.revision <= self.head.revision {
             return Ok(false);
         }
         if row.revision.0 != self.head.revision.0 + 1 {
-            let message = format!("revision {} came after {}", row.revision, self.head.revision);
+            let message = format!(
+                "revision {} does not directly follow revision {}",
+                row.revision, self.head.revision
+            );
             return Err(Error::new(Kind::Conflict, message));
         }
         if row.before != self.head.digest {
-            let message = format!("revision {} was made from other content", row.revision);
+            let message =
+                format!("revision {} is based on content with another digest", row.revision);
             return Err(Error::new(Kind::BadFormat, message));
         }
         let inverse = self.inverse(&row.edits);
         self.doc.apply(&row.edits);
         if self.doc.digest() != row.after {
             self.doc.apply(&inverse);
-            let message = format!("revision {} does not lead to its digest", row.revision);
+            let message =
+                format!("content after revision {} does not match its digest", row.revision);
             return Err(Error::new(Kind::BadFormat, message));
         }
         let mut cfg = cfg.write().expect("the configuration lock is never poisoned");
@@ -150,7 +161,8 @@
         }
     }
 
-    /// Recent revisions after `from`, without a gap; empty when they are no longer here.
+    /// Recent revisions after `from` without gaps, or none when the first of them is no longer in
+    /// memory.
     pub fn revisions_after(&self, from: Revision) -> Vec<RevisionRow> {
         let first = self.recent.front().map_or(u64::MAX, |r| r.revision.0);
         if first > from.0 + 1 {
@@ -167,10 +179,11 @@
         edits.iter().map(previous).collect()
     }
 
-    /// Reads whatever is newer from the platform. The revision in force after it.
+    /// Reads and applies all newer revisions from the platform. Returns the revision then in force.
     ///
     /// # Errors
-    /// `PlatformAway`; `BadFormat` for content that cannot be read. What was in force stays.
+    /// `PlatformAway`; `BadFormat` for content that cannot be decoded. What was applied before
+    /// stays in force.
     pub async fn catch_up<P: Platform>(
         &mut self,
         platform: &P,
@@ -190,8 +203,8 @@
         }
     }
 
-    /// Starts from the newest snapshot. One that is damaged is reported and left aside: all
-    /// revisions are still there.
+    /// Loads the newest snapshot. A damaged snapshot is logged and skipped, since all revisions are
+    /// still stored.
     async fn load_snapshot<P: Platform>(
         &mut self,
         platform: &P,
@@ -223,13 +236,14 @@
     Ok((revision, doc, cfg))
 }
 
-/// Takes a submission: checks it against `follower`, which must be caught up, and writes it in
-/// one transaction. The accepted revision.
+/// Validates a submission against `follower` after catching up, and writes it in one transaction.
+/// Returns the accepted revision.
 ///
 /// # Errors
-/// `BadConfig` with findings; `Conflict` when the head moved, with what moved, or when a prepaid
-/// amount would fall below what is committed; `PlatformAway` when it is not known whether the
-/// submission was taken: repeat it with the same id.
+/// `BadConfig` with findings; `Conflict` when there are newer revisions than the base, with the
+/// sections they changed, or when a prepaid amount would fall below the tokens already committed;
+/// `PlatformAway` when it is unknown whether the submission was accepted, in which case it can be
+/// retried under the same id.
 pub async fn submit<P: Platform>(
     platform: &P,
     follower: &mut ConfigFollower,
@@ -248,8 +262,8 @@
         }
         check_base(platform, submission, head.row.revision).await?;
         let txn = build_txn(platform, follower, cfg, submission, &head).await?;
-        // The head's version is part of the id: the same attempt repeated finds its outcome, a
-        // new attempt after a lost race is a new transaction.
+        // The head's version is part of the transaction id: retrying the same attempt returns its
+        // outcome, while a new attempt after a conflict is a new transaction.
         match platform.write(txn).await? {
             Outcome::Committed(_) => {
                 follower.catch_up(platform, cfg).await?;
@@ -266,7 +280,8 @@
     row.map(|r: Row| r.decode()).transpose()
 }
 
-/// The loser of a race learns what the winners changed.
+/// Accepts a submission based on the head. For one based on an older revision, the error contains
+/// what changed since, unless the submission allows a merge and no section was changed by both.
 async fn check_base<P: Platform>(
     platform: &P,
     submission: &Submission,
@@ -278,7 +293,7 @@
     if submission.base > head {
         return Err(Error::new(
             Kind::Conflict,
-            format!("base {} is newer than the head {head}", submission.base),
+            format!("base revision {} is newer than the head revision {head}", submission.base),
         ));
     }
     let since = read_revisions(platform, submission.base).await?;
@@ -296,7 +311,7 @@
         overlapping.into_iter().map(describe_edit).collect()
     };
     let message = format!(
-        "the head is {head}, not {}; changed since:\n{}",
+        "the head revision is {head}, not {}; changed since:\n{}",
         submission.base,
         shown.join("\n")
     );
@@ -344,9 +359,10 @@
     })
 }
 
-/// A prepaid amount must not fall below what is committed. Its row then carries the revision, so
-/// that a router which still runs an older one grants nothing under the larger amount. A removed
-/// budget may have tokens committed: they were prepaid when they were granted.
+/// Rejects a prepaid amount below the tokens already committed. Writes the new revision to the
+/// ledger rows of the budgets, so that a router which still runs an older revision grants nothing
+/// under the larger amount. A budget may be removed although it has committed tokens, because these
+/// were prepaid when they were granted.
 async fn check_ledger<T: Table>(
     table: &T,
     page: &[LedgerCheck],
@@ -362,7 +378,7 @@
             && previous.row.committed > prepaid
         {
             let message = format!(
-                "budget {}: {} are settled or granted, so {} is the lowest prepaid amount possible now",
+                "budget {}: {} tokens are settled or granted, so {} is the lowest prepaid amount possible now",
                 check.budget, previous.row.committed, previous.row.committed
             );
             return Err(Error::new(Kind::Conflict, message));
@@ -400,7 +416,8 @@
     Ok(RevisionRow { edits: Vec::new(), object: Some(object), ..row })
 }
 
-/// Writes a snapshot now and then. Failing is harmless: the next one will do.
+/// Writes a snapshot every [`REVISIONS_PER_SNAPSHOT`] revisions. A failure is harmless, because all
+/// revisions are stored and a later snapshot follows.
 async fn write_snapshot<P: Platform>(platform: &P, follower: &ConfigFollower) {
     let revision = follower.head().revision;
     if !revision.0.is_multiple_of(REVISIONS_PER_SNAPSHOT) {
--- a/tests/test_committer.rs
+++ b/tests/test_committer.rs
@@ -1,4 +1,4 @@
-//! Group commit against a fake table.
+//! Tests of the group commit against the in-memory platform.
 
 use std::time::Duration;
 
@@ -18,9 +18,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn write_lost_answer() {
-    // An operator sees a grant twice as large as what its holder knows of.
-    // A write takes effect, its answer is lost, and the writer tries again as something new.
-    // The repeat carries the same id, so the table tells the first outcome.
+    // Guards against a grant that is added twice: a write takes effect, its response is lost, and
+    // the committer retries it as a new transaction. The retry must carry the same id, so that the
+    // table returns the first outcome.
     let memory = MemoryPlatform::default();
     memory.set_faults(Faults { lose_answers: 3, ..Faults::default() });
     let version = committer(&memory).write(insert("a")).await.unwrap();
@@ -30,7 +30,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn write_one_conflict_among_many() {
-    // One organisation's lost race must not undo its neighbours' writes.
+    // Guards against a failed guard of one mutation that also fails the other mutations of its
+    // batch.
     let memory = MemoryPlatform::default();
     let committer = committer(&memory);
     committer.write(insert("b")).await.unwrap();
@@ -45,7 +46,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn write_table_away() {
-    // Bills made while the table is away must be there when it is back, each once.
+    // Guards against bills that are lost or recorded twice when they are written during an outage
+    // of the table.
     let memory = MemoryPlatform::default();
     let committer = committer(&memory);
     memory.set_faults(Faults { away: true, ..Faults::default() });
@@ -62,16 +64,15 @@
         assert!(w.await.unwrap().unwrap().is_some());
     }
     assert_eq!(memory.scan("bill/".into(), "".into(), 1_000).await.unwrap().len(), 300);
-    // Paced catch-up: hundreds of mutations come back in a handful of transactions.
+    // The backlog of 300 mutations is written in a few transactions.
     assert!(memory.counts().txns <= 4, "{:?}", memory.counts());
 }
 
 #[tokio::test(start_paused = true)]
 async fn write_two_changes_of_one_row() {
-    // A bill is in the table, and no grant has paid for it.
-    // Two parts of a router change the same row from the same version at the same moment, and
-    // their changes travel in one transaction, which checks all guards before it writes.
-    // The second one has to go into a transaction of its own, and fail there.
+    // Guards against a bill that no grant settles: two changes of a row, made from the same
+    // version, share a transaction, and both pass because the table checks all guards before it
+    // writes. The second one must get a transaction of its own and fail there.
     let memory = MemoryPlatform::default();
     let committer = committer(&memory);
     let version = committer.write(insert("row")).await.unwrap();
--- a/tests/test_config.rs
+++ b/tests/test_config.rs
@@ -1,4 +1,4 @@
-//! Configuration text, submissions and following them.
+//! Tests of configuration parsing, submissions and the configuration follower.
 
 use std::sync::RwLock;
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn parse_every_mistake_at_once() {
+fn parse_reports_all_findings() {
     let bad = "stray = 1\n[service s]\nkind = model\nmodle = x\n[organisation o]\nkey = short\n\
                [budget o/b]\nprepaid = -3\nservices = nope\n[budget x/y]\nprepaid = 1\n[zone q]\nnonsense\n";
     let findings = parse(bad).unwrap_err();
@@ -65,7 +65,7 @@
     "[organisation o]\nkey = 00000000000000000000000000000000\n[budget o/b]\nprepaid = 99999999999G\n"
 )]
 #[case::bad_name("[organisation a b c]\nkey = 00000000000000000000000000000000\n")]
-fn parse_refuses(#[case] bad: &str) {
+fn parse_rejects(#[case] bad: &str) {
     assert!(parse(bad).is_err());
 }
 
@@ -78,9 +78,9 @@
 }
 
 #[tokio::test]
-async fn submit_ten_at_once() {
-    // Operators race: one of them is told that it won, and its text is not there.
-    // Ten submit from the same revision at the same time. One wins, nine get the difference.
+async fn submit_concurrently() {
+    // Guards against an accepted submission whose edits are lost: ten operators submit edits of the
+    // same revision concurrently. One is accepted, and nine get a conflict with the accepted edits.
     let memory = MemoryPlatform::default();
     Operator::default().submit(&memory, "first", 0, &text(5)).await.unwrap();
     let racers = (0..10).map(|n| {
@@ -104,8 +104,8 @@
 
 #[tokio::test]
 async fn submit_lost_answer() {
-    // An operator hands the same change in twice, because the first answer never came.
-    // The submission's id finds the first outcome.
+    // Guards against a change that is applied twice: an operator retries a submission whose
+    // response was lost. The retry under the same id must return the first outcome.
     let memory = MemoryPlatform::default();
     memory.set_faults(Faults { lose_answers: 1, ..Faults::default() });
     let mut o = Operator::default();
@@ -117,7 +117,7 @@
 
 #[tokio::test]
 async fn catch_up_stale_read() {
-    // A router goes back to an older text, because a read was stale.
+    // Guards against a router that falls back to an older revision because of a stale read.
     let memory = MemoryPlatform::default();
     let mut o = Operator::default();
     o.submit(&memory, "s1", 0, &text(5)).await.unwrap();
@@ -129,7 +129,7 @@
 
 #[tokio::test]
 async fn apply_old_and_altered_revisions() {
-    // An old peer spreads an old revision, another one a damaged one.
+    // Guards against revisions from peers that are old, damaged, or skip others.
     let memory = MemoryPlatform::default();
     let mut o = Operator::default();
     o.submit(&memory, "s1", 0, &text(5)).await.unwrap();
@@ -176,7 +176,7 @@
 
     #[test]
     fn parse_any_text(text in "(\\[|\\]|=|;|\n|[a-z/0-9 ]|é){0,200}") {
-        // No text panics, and every finding has a line.
+        // No text causes a panic, and every rejection has at least one finding.
         if let Err(findings) = parse(&text) {
             prop_assert!(!findings.is_empty());
         }
--- a/tests/test_link.rs
+++ b/tests/test_link.rs
@@ -1,4 +1,4 @@
-//! Frames and links between routers.
+//! Tests of frames and pool between routers, and of the membership view.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn open_replayed_frame() {
-    // Tokens are given back twice, because somebody sent a recorded frame again.
+fn verify_frame_replayed() {
+    // Guards against tokens that are returned twice because a recorded frame is replayed.
     let (mut a, mut b) = pair();
     let frame = a.sign_frame(&PeerRequest::Revisions(Revision(1)));
     assert!(b.verify_frame::<PeerRequest>(&frame).is_ok());
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn open_altered_frame() {
+fn verify_frame_altered() {
     let (mut a, mut b) = pair();
     let mut frame = a.sign_frame(&PeerRequest::Revisions(Revision(1)));
     *frame.last_mut().unwrap() ^= 1;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn open_own_frame_sent_back() {
+fn verify_frame_reflected() {
     let mut caller = Signer::new("secret", &hello(1), &hello(2), Side::Initiator);
     let mut listener = Signer::new("secret", &hello(1), &hello(2), Side::Responder);
     let frame = caller.sign_frame(&PeerReply::Done);
@@ -62,9 +62,9 @@
 }
 
 #[derive(Clone)]
-struct AlwaysDone;
+struct DoneHandler;
 
-impl PeerHandler for AlwaysDone {
+impl PeerHandler for DoneHandler {
     async fn handle_request(&self, _: PeerRequest) -> PeerReply {
         PeerReply::Done
     }
@@ -93,14 +93,14 @@
 #[case::rotated_caller_first(&["new", "old"], &["old", "new"], true)]
 #[case::stranger(&["guess"], &["one"], false)]
 #[tokio::test]
-async fn ask_with_secrets(#[case] mine: &[&str], #[case] theirs: &[&str], #[case] accepted: bool) {
+async fn rpc_with_secrets(#[case] mine: &[&str], #[case] theirs: &[&str], #[case] accepted: bool) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let counts: Arc<LinkCounts> = Arc::default();
-    let task = listen(listener, secrets(theirs), counts.clone(), AlwaysDone).unwrap();
-    let links = LinkPool::new(secrets(mine), Arc::default());
+    let task = listen(listener, secrets(theirs), counts.clone(), DoneHandler).unwrap();
+    let pool = LinkPool::new(secrets(mine), Arc::default());
     let to = RouterInfo { peer: addr.to_string().into(), ..entry(1, 1) };
-    let reply = links.rpc(&to, PeerRequest::Beat(Vec::new())).await;
+    let reply = pool.rpc(&to, PeerRequest::Beat(Vec::new())).await;
     assert_eq!(reply.is_ok(), accepted);
     assert_eq!(counts.unauthorized.load(Ordering::Relaxed), u64::from(!accepted));
     task.abort();
@@ -108,7 +108,8 @@
 
 #[test]
 fn merge_late_heartbeat() {
-    // A dead router is named to callers again, because its last heartbeat arrived late.
+    // Guards against a dead router that is named to callers again because its last heartbeat
+    // arrives late or twice.
     let mut view = View::new(entry(0, 0), Millis(1_000));
     view.merge(Millis(10_000), vec![entry(1, 5)]);
     assert!(view.is_router_alive(Millis(10_500), &name("r1@1")));
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn entries_bounded() {
+fn next_heartbeat_bounded() {
     let mut view = View::new(entry(0, 0), Millis(1_000));
     view.merge(Millis(10_000), (1..500).map(|n| entry(n, 1)).collect());
     assert!(view.next_heartbeat(Millis(10_000)).len() <= MAX_GOSSIP_ENTRIES);
