--- a/src/membership/selection.rs
+++ b/src/membership/selection.rs
@@ -9,9 +9,9 @@
     Digest::of(format!("{organisation}\n{}", e.incarnation).as_bytes()).word()
 }
 
-/// The routers that serve an organisation: `width` of them by rendezvous hashing, spread over as
-/// many availability zones as possible. Few routers then hold grants of a budget, and the loss of
-/// one zone does not take all of them.
+/// The routers that serve an organisation: `width` of those that are not draining, by rendezvous
+/// hashing and spread over as many availability zones as possible. Few routers then hold grants of
+/// a budget, and the loss of one zone does not take all of them.
 pub fn home_routers(
     live_routers: &[RouterInfo],
     organisation: &OrganisationId,
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -61,7 +61,7 @@
     Free(BudgetId),
     /// Reserve tokens of this router's grant for a run at the sender.
     Borrow {
-        /// The budget.
+        /// Id of the budget.
         budget: BudgetId,
         /// The largest cost of the run.
         amount: Tokens,
@@ -82,7 +82,7 @@
         /// The incarnation that lent the tokens. Hold numbers are unique only within an
         /// incarnation.
         lender: Incarnation,
-        /// The hold at the lender.
+        /// Number of the hold at the lender.
         hold: HoldId,
         /// The bill of the run.
         bill: Option<Bill>,
--- a/src/table/memory.rs
+++ b/src/table/memory.rs
@@ -22,7 +22,7 @@
     pub away: bool,
     /// Number of following writes that take effect but whose response is lost.
     pub lose_answers: u32,
-    /// Reads return the rows as they were before this many most recent row writes.
+    /// Number of most recent row writes that reads do not see.
     pub stale_writes: usize,
 }
 
--- a/tests/test_link.rs
+++ b/tests/test_link.rs
@@ -1,4 +1,4 @@
-//! Tests of frames and pool between routers, and of the membership view.
+//! Tests of frames and links between routers, and of the membership view.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
