--- a/src/budget/witness.rs
+++ b/src/budget/witness.rs
@@ -1,8 +1,8 @@
-//! Copies of other routers' holds, kept until the table has the bills.
+//! Copies of the holds of other routers, kept until their bills are recorded in the table.
 //!
-//! A transient buffer in front of the platform, not a store: nothing is read from it while its
-//! holder lives, nothing is lost with it (a grant whose holder and witness both die stays counted
-//! as spent), and everything leaves it as soon as the table has it.
+//! This is a transient buffer in front of the table rather than a store. Grants are settled from it
+//! only after their holder has crashed, and copies are dropped as soon as the bills are recorded.
+//! Losing it is safe: if holder and witness both crash, the grant stays counted as spent.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,148 +11,158 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Incarnation, OrganisationId, RequestKey, TargetId, Tokens};
 
-/// Copies kept for one holder, at most.
-pub const MAX_COPIES: usize = 20_000;
+/// Maximum number of copies kept for one holder.
+pub const MAX_COPIES_PER_HOLDER: usize = 20_000;
 
-/// What a witness knows of one hold.
+/// Copy of one hold.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Copy {
-    /// Number of the hold at its holder.
+pub struct HoldCopy {
+    /// Id of the hold at its holder.
     pub hold: HoldId,
-    /// The largest cost.
+    /// Reserved amount, the largest possible cost.
     pub amount: Tokens,
-    /// The bill as it would be; its cost is final only when `ended`.
+    /// Bill of the request. Its cost is final only if `ended` is set.
     pub bill: Bill,
-    /// Where the request runs.
+    /// Target that runs the request.
     pub target: TargetId,
-    /// Whether the run ended with that cost.
+    /// Whether the run has ended and the cost in `bill` is final.
     pub ended: bool,
 }
 
-impl Copy {
-    /// What the copy stands for in the grant.
+impl HoldCopy {
+    /// Returns the tokens of the grant that this copy accounts for.
     pub fn outstanding(&self) -> Tokens {
         if self.ended { self.bill.cost } else { self.amount }
     }
 }
 
 #[derive(Debug)]
-struct Ward {
+struct WitnessedHolder {
     holder: Incarnation,
     sealed: bool,
-    copies: Vec<Copy>,
+    copies: Vec<HoldCopy>,
 }
 
-/// All copies kept here.
+/// Copies of the holds of all holders that this router is a witness or backup for.
 #[derive(Debug, Default)]
 pub struct Witness {
-    wards: Vec<Ward>,
+    entries: Vec<WitnessedHolder>,
 }
 
 impl Witness {
-    fn ward(&mut self, holder: &Incarnation) -> &mut Ward {
-        let place = self.wards.binary_search_by(|w| w.holder.cmp(holder)).unwrap_or_else(|place| {
-            let ward = Ward { holder: holder.clone(), sealed: false, copies: Vec::new() };
-            self.wards.insert(place, ward);
-            place
-        });
-        &mut self.wards[place]
+    fn witnessed(&mut self, holder: &Incarnation) -> &mut WitnessedHolder {
+        let index =
+            self.entries.binary_search_by(|w| w.holder.cmp(holder)).unwrap_or_else(|index| {
+                let witnessed =
+                    WitnessedHolder { holder: holder.clone(), sealed: false, copies: Vec::new() };
+                self.entries.insert(index, witnessed);
+                index
+            });
+        &mut self.entries[index]
     }
 
-    /// Refuses a sealed holder.
+    /// Checks that a holder is not sealed.
     ///
     /// # Errors
-    /// `Fenced` once the holder is sealed.
+    ///
+    /// Returns `Fenced` if the holder is sealed.
     pub fn check(&mut self, holder: &Incarnation) -> Result<()> {
-        match self.ward(holder).sealed {
+        match self.witnessed(holder).sealed {
             true => Err(Error::new(Kind::Fenced, format!("{holder} is sealed"))),
             false => Ok(()),
         }
     }
 
-    /// Keeps a copy, or replaces the one of that number.
+    /// Stores a copy, replacing an earlier copy of the same hold.
     ///
     /// # Errors
-    /// `Fenced` once the holder is sealed. This is what stops a holder that was paused while its
-    /// grants were reclaimed: it cannot dispatch without this answer.
-    /// `PlatformAway` when too many copies wait for the table.
-    pub fn keep(&mut self, holder: &Incarnation, copy: Copy) -> Result<()> {
+    ///
+    /// Returns `Fenced` if the holder is sealed. A holder may dispatch a request only after its
+    /// copy was accepted, so this stops a holder that was paused while its grants were reclaimed.
+    ///
+    /// Returns `PlatformAway` if too many copies of this holder are waiting for their bills to be
+    /// recorded.
+    pub fn keep(&mut self, holder: &Incarnation, copy: HoldCopy) -> Result<()> {
         self.check(holder)?;
-        let ward = self.ward(holder);
-        match ward.copies.binary_search_by(|c| c.hold.cmp(&copy.hold)) {
-            Ok(place) => ward.copies[place] = copy,
-            Err(_) if ward.copies.len() >= MAX_COPIES => {
+        let witnessed = self.witnessed(holder);
+        match witnessed.copies.binary_search_by(|c| c.hold.cmp(&copy.hold)) {
+            Ok(index) => witnessed.copies[index] = copy,
+            Err(_) if witnessed.copies.len() >= MAX_COPIES_PER_HOLDER => {
                 return Err(Error::new(Kind::PlatformAway, "the witness keeps too many copies"));
             }
-            Err(place) => ward.copies.insert(place, copy),
+            Err(index) => witnessed.copies.insert(index, copy),
         }
         Ok(())
     }
 
-    /// Forgets holds that the table has, or that ended without a run.
+    /// Drops the copies of holds that are recorded in the table or whose requests did not run.
     pub fn forget(&mut self, holder: &Incarnation, holds: &[HoldId]) {
-        self.ward(holder).copies.retain(|c| !holds.contains(&c.hold));
+        self.witnessed(holder).copies.retain(|c| !holds.contains(&c.hold));
     }
 
-    /// Refuses all later copies of `holder`, and tells what is known.
-    pub fn seal(&mut self, holder: &Incarnation) -> Vec<Copy> {
-        let ward = self.ward(holder);
-        ward.sealed = true;
-        ward.copies.clone()
+    /// Refuses all further copies of `holder` and returns the existing ones.
+    pub fn seal(&mut self, holder: &Incarnation) -> Vec<HoldCopy> {
+        let witnessed = self.witnessed(holder);
+        witnessed.sealed = true;
+        witnessed.copies.clone()
     }
 
-    /// Adds what a backup knows of a sealed holder. An ended copy tells more than a running one.
-    pub fn merge(&mut self, holder: &Incarnation, copies: Vec<Copy>) {
-        let ward = self.ward(holder);
+    /// Adds the copies that a backup has of a sealed holder. A copy of an ended run takes
+    /// precedence over one of a running request.
+    pub fn merge(&mut self, holder: &Incarnation, copies: Vec<HoldCopy>) {
+        let witnessed = self.witnessed(holder);
         for copy in copies {
-            match ward.copies.binary_search_by(|c| c.hold.cmp(&copy.hold)) {
-                Ok(place) if copy.ended => ward.copies[place] = copy,
+            match witnessed.copies.binary_search_by(|c| c.hold.cmp(&copy.hold)) {
+                Ok(index) if copy.ended => witnessed.copies[index] = copy,
                 Ok(_) => {}
-                Err(place) => ward.copies.insert(place, copy),
+                Err(index) => witnessed.copies.insert(index, copy),
             }
         }
     }
 
-    /// Forgets a holder that has other witnesses by now, unless it is sealed.
+    /// Drops all state of a holder that has other witnesses now, unless it is sealed.
     ///
-    /// Guards against a backup that opens again for a holder which the witness has reclaimed: a
-    /// cut-off holder then found cover for new requests, and the budget was spent twice.
+    /// A seal has to stay: a backup that accepted copies again for a holder already reclaimed by
+    /// the witness would let a cut-off holder dispatch new requests, and the budget would be spent
+    /// twice.
     pub fn drop_unsealed(&mut self, holder: &Incarnation) {
-        self.wards.retain(|w| w.sealed || w.holder != *holder);
+        self.entries.retain(|w| w.sealed || w.holder != *holder);
     }
 
-    /// Takes back a seal that the table did not accept: the holder has another witness by now.
+    /// Reverts a seal that was not confirmed by the table because the holder has another witness
+    /// now.
     pub fn unseal(&mut self, holder: &Incarnation) {
-        self.wards.retain(|w| w.holder != *holder);
+        self.entries.retain(|w| w.holder != *holder);
     }
 
-    /// Holders with copies here.
+    /// Returns the holders known to this witness.
     pub fn holders(&self) -> Vec<Incarnation> {
-        self.wards.iter().map(|w| w.holder.clone()).collect()
+        self.entries.iter().map(|w| w.holder.clone()).collect()
     }
 
-    /// Copies of a holder.
-    pub fn copies(&self, holder: &Incarnation) -> &[Copy] {
-        let found = self.wards.binary_search_by(|w| w.holder.cmp(holder));
-        found.map_or(&[], |place| &self.wards[place].copies)
+    /// Returns the copies of a holder.
+    pub fn copies(&self, holder: &Incarnation) -> &[HoldCopy] {
+        let found = self.entries.binary_search_by(|w| w.holder.cmp(holder));
+        found.map_or(&[], |index| &self.entries[index].copies)
     }
 
-    /// The copy for a caller's key.
-    pub fn find(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<&Copy> {
-        let same = |c: &&Copy| c.bill.organisation == *organisation && c.bill.key == *key;
-        self.wards.iter().flat_map(|w| &w.copies).find(same)
+    /// Returns the copy for an idempotency key of an organisation.
+    pub fn find(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<&HoldCopy> {
+        let same = |c: &&HoldCopy| c.bill.organisation == *organisation && c.bill.key == *key;
+        self.entries.iter().flat_map(|w| &w.copies).find(same)
     }
 
-    /// Outstanding tokens of a holder's grant of `budget`, those of `except` left out.
+    /// Returns the outstanding tokens of a holder's grant of `budget`, without those of the holds
+    /// in `except`.
     pub fn outstanding(
         &self,
         holder: &Incarnation,
         budget: &BudgetId,
         except: &[HoldId],
     ) -> Tokens {
-        let counts = |c: &&Copy| c.bill.budget == *budget && !except.contains(&c.hold);
-        let own = self.copies(holder).iter().filter(counts);
+        let is_counted = |c: &&HoldCopy| c.bill.budget == *budget && !except.contains(&c.hold);
+        let own = self.copies(holder).iter().filter(is_counted);
         own.fold(Tokens::ZERO, |sum, c| sum.plus(c.outstanding()))
     }
 }
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -8,8 +8,8 @@
 
 use super::Config;
 use super::revision::{Document, Edit, Head, LedgerCheck, RevisionRow};
-use crate::budget::keeper::seen;
-use crate::budget::ledger::{BudgetRow, Seen, budget_key};
+use crate::budget::actor::versioned;
+use crate::budget::ledger::{BudgetRow, Versioned, budget_key};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Revision};
 use crate::table::{Mutation, Outcome, Platform, Row, RowKey, Table, Txn, Version, read_one};
@@ -61,8 +61,8 @@
 ///
 /// # Errors
 /// `PlatformAway`, or `BadFormat` for a row that cannot be decoded.
-pub async fn read_head<T: Table>(table: &T) -> Result<Seen<Head>> {
-    seen(read_one(table, HEAD_KEY).await?.as_ref())
+pub async fn read_head<T: Table>(table: &T) -> Result<Versioned<Head>> {
+    versioned(read_one(table, HEAD_KEY).await?.as_ref())
 }
 
 /// Reads revisions after `from`, one page at most, with edits that are stored in objects.
@@ -330,7 +330,7 @@
     follower: &ConfigFollower,
     cfg: &RwLock<Config>,
     submission: &Submission,
-    head: &Seen<Head>,
+    head: &Versioned<Head>,
 ) -> Result<Txn> {
     let checks = {
         let cfg = cfg.read().expect("the configuration lock is never poisoned");
@@ -373,7 +373,7 @@
     let mut mutation = mutation;
     for check in page {
         let key = budget_key(&check.budget);
-        let previous: Seen<BudgetRow> = seen(rows.iter().find(|r| r.key == key))?;
+        let previous: Versioned<BudgetRow> = versioned(rows.iter().find(|r| r.key == key))?;
         if let Some(prepaid) = check.prepaid
             && previous.row.committed > prepaid
         {
--- a/src/membership/link.rs
+++ b/src/membership/link.rs
@@ -299,7 +299,9 @@
                 counts.received.fetch_add(frame.len() as u64, Ordering::Relaxed);
                 let verified = match keys.as_mut() {
                     Some((verifier, _)) => verifier.verify_frame(&frame),
-                    None => verify_first_frame(&secrets, &initiator_hello, &own_hello, &frame, &mut keys),
+                    None => {
+                        verify_first_frame(&secrets, &initiator_hello, &own_hello, &frame, &mut keys)
+                    }
                 };
                 match verified {
                     Ok(request) => spawn_handler(handler.clone(), request, tx.clone()),
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -11,7 +11,7 @@
 use super::view::RouterInfo;
 use crate::budget::holder::HoldId;
 use crate::budget::ledger::Bill;
-use crate::budget::witness::Copy;
+use crate::budget::witness::HoldCopy;
 use crate::config::revision::RevisionRow;
 use crate::engine::ServiceAnswer;
 use crate::error::{Error, Result};
@@ -33,7 +33,7 @@
         /// The incarnation whose holds these are.
         holder: Incarnation,
         /// Copies that are new or changed.
-        copies: Vec<Copy>,
+        copies: Vec<HoldCopy>,
     },
     /// Delete copies of holds that are recorded in the table or whose run never started.
     Forget {
@@ -66,7 +66,7 @@
         /// The largest cost of the run.
         amount: Tokens,
         /// Copy of the hold: the provisional bill and the target.
-        copy: Copy,
+        copy: HoldCopy,
     },
     /// The run of a borrowed hold moves to another target.
     Move {
@@ -109,7 +109,7 @@
 
 impl KnownRequest {
     /// What a stored copy of a hold says about its request.
-    pub fn from_copy(copy: &Copy) -> KnownRequest {
+    pub fn from_copy(copy: &HoldCopy) -> KnownRequest {
         let run = Some((copy.bill.run.clone(), copy.target.clone()));
         KnownRequest { content: copy.bill.content, run, service: None }
     }
@@ -127,7 +127,7 @@
     /// What is known of the request, if anything.
     Found(Option<KnownRequest>),
     /// Copies of the sealed holder's holds.
-    Copies(Vec<Copy>),
+    Copies(Vec<HoldCopy>),
     /// Number of free tokens.
     Free(Tokens),
     /// The tokens are reserved under this hold number.
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -9,7 +9,7 @@
 use crate::ids::{OrganisationId, RequestKey, Revision, Tokens};
 use crate::membership::link::PeerHandler;
 use crate::membership::wire::{KnownRequest, PeerClient, PeerReply, PeerRequest};
-use crate::request::runs::{End, Run};
+use crate::request::runs::{Run, RunEnd};
 use crate::table::Platform;
 
 /// Answers questions about a node.
@@ -122,7 +122,7 @@
             }
             PeerRequest::Revisions(from) => Ok(PeerReply::Revisions(self.revisions(from).await)),
             PeerRequest::TargetLeaves(target) => {
-                node.lock_picker().left(&target);
+                node.lock_picker().mark_leaving(&target);
                 Ok(PeerReply::Done)
             }
         }
@@ -145,9 +145,9 @@
     let view = run.view(usize::MAX);
     let service = match view.end {
         // What failed here is no reason to fail elsewhere.
-        Some(End::Failed(_)) => return None,
-        Some(End::Service(answer)) => Some(answer),
+        Some(RunEnd::Failed(_)) => return None,
+        Some(RunEnd::Service(answer)) => Some(answer),
         _ => None,
     };
-    Some(KnownRequest { content: run.content, run: run.place(), service })
+    Some(KnownRequest { content: run.content, run: run.execution(), service })
 }
