--- a/src/allowance/account.rs
+++ b/src/allowance/account.rs
@@ -1,8 +1,9 @@
-//! What one router knows of one organisation's budget: pure decisions, no clock, no I/O.
+//! One router's view of one organisation's budget. Pure decisions, without a clock or I/O.
 //!
-//! Two rows bound what it may spend. The *ceiling* of its grant, in the organisation's row, is
-//! what nobody else may use; it changes seldom. The *line*, in the row of the router's place,
-//! follows the spending closely; its successor reads there how little a dead process can have spent.
+//! Two rows bound what the router may spend. The *ceiling* of its grant, in the organisation's
+//! ledger, reserves tokens that no other router may use, and changes rarely. The *spending limit*,
+//! in the router's own row, follows the spending closely. A successor reads it to bound what a dead
+//! process can have spent.
 
 mod grants;
 
@@ -11,65 +12,66 @@
 use tokio::time::Instant;
 
 use super::demand::Demand;
-use super::ledger::{HolderName, Ledger};
-use super::line::{Anchored, Line};
-use super::slack::Slack;
+use super::headroom::Headroom;
+use super::ledger::{Ledger, ProcessId};
+use super::limit::{AnchoredLimit, SpendingLimit};
 use crate::ids::Tokens;
 use crate::rows::{StoreMs, Ver};
 
-pub use grants::{Cause, GrantPlan};
+pub use grants::{Cause, GrantChange};
 
-/// Time between two writes of a line that is not urgent. What is in doubt after a death grows
-/// with it; all lines of a router go out in one write.
-pub(super) const RENEW: Duration = Duration::from_millis(200);
+/// Interval between two writes of a spending limit that no request waits for. The amount in doubt
+/// after a crash grows with it. One write carries the limits of all organisations at a router.
+pub(super) const LIMIT_WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Why a request got no part of the budget.
+/// Why an account cannot cover a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denied {
-    /// This router has no part left; another, or the store, may have.
+    /// This router has too little left; another router or the store may have more.
     NoneHere,
-    /// The ledger itself shows that the request does not fit any more.
+    /// The ledger proves that the request exceeds what is left of the budget.
     Spent,
 }
 
-/// Which row keeps a request waiting.
+/// The row that has to be written before a request is covered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Row {
-    /// The organisation's: the grant does not cover it.
+pub enum MissingCover {
+    /// The organisation's ledger: the grant's ceiling is too low.
     Grant,
-    /// The place's: the line does not.
-    Line,
+    /// The endpoint's row: the spending limit is too low.
+    SpendingLimit,
 }
 
-/// Settings of sizing that are derived from the deployment.
+/// Deployment-dependent inputs for sizing grants and spending limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Sizing {
-    /// The cut from the store that a grant has to outlast, ms.
+    /// Longest store outage that a grant has to bridge, in ms.
     pub horizon_ms: u64,
-    /// Routers that draw on the budgets.
+    /// Number of routers that draw on the budgets.
     pub spenders: u64,
-    /// The store's time, as far as is known.
+    /// Estimate of the store's current time.
     pub now: StoreMs,
 }
 
-/// A ceiling whose write was not answered, with the row version it was based on.
+/// A ceiling whose write was not answered, with the ledger version that the write expects.
 #[derive(Clone, Copy, Debug)]
 struct PendingCeiling {
     based_on: Ver,
     ceiling: Tokens,
 }
 
-/// A line whose write was not answered, with the number of that write and what it said.
+/// A spending limit whose write was not answered, with the number of that write and the spending
+/// that it reported.
 #[derive(Clone, Copy, Debug)]
-struct PendingLine {
+struct PendingLimit {
     number: u64,
-    anchored: Anchored,
-    state: State,
+    anchored: AnchoredLimit,
+    spending_report: SpendingReport,
 }
 
-/// What a write says of the spending.
+/// The spending that a write reports.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-struct State {
+struct SpendingReport {
     charged: Tokens,
     settled: Tokens,
 }
@@ -77,37 +79,38 @@
 /// One organisation's account at one router.
 #[derive(Clone, Debug)]
 pub struct Account {
-    me: HolderName,
-    /// What the operator granted in all; only grows within a process.
+    me: ProcessId,
+    /// Prepaid amount in the operator's configuration; it only grows within a process.
     prepaid: Tokens,
-    /// The row as last seen, and its version.
+    /// The ledger as last seen, and its version.
     ledger: Ledger,
     ver: Ver,
-    /// Whether the row was ever read.
+    /// Whether the ledger was ever read.
     known: bool,
     ceiling: Option<Tokens>,
-    /// Ceilings whose writes were not answered: any of them may be the one in force.
-    ceilings: Vec<PendingCeiling>,
-    line: Option<Anchored>,
-    /// The same of lines.
-    lines: Vec<PendingLine>,
-    /// What has ended, and what of it is not known to have been spent.
-    ended: Tokens,
-    unproved: Tokens,
-    /// What requests that still run have surely spent: their callers have it.
+    /// Ceilings whose writes were not answered. Any of them may be in force.
+    pending_ceilings: Vec<PendingCeiling>,
+    spending_limit: Option<AnchoredLimit>,
+    /// Spending limits whose writes were not answered. Any of them may be in force.
+    pending_limits: Vec<PendingLimit>,
+    /// Tokens charged for finished requests, and the part of them that is not proven to be spent.
+    finished_cost: Tokens,
+    unproven: Tokens,
+    /// Tokens of running requests that their callers have received, and that are therefore spent
+    /// for certain.
     proven: Tokens,
     held: Tokens,
     demand: Demand,
     /// When the grant was written last.
-    granted: Instant,
-    /// What the line in force was written with, and when.
-    written: State,
-    renewed: Instant,
+    granted_at: Instant,
+    /// The spending reported with the limit in force, and when that limit was written.
+    reported: SpendingReport,
+    limit_written_at: Instant,
 }
 
 impl Account {
-    /// An account about which nothing is known yet.
-    pub fn new(me: HolderName, now: Instant) -> Account {
+    /// An account before anything was read from the store.
+    pub fn new(me: ProcessId, now: Instant) -> Account {
         Account {
             me,
             prepaid: Tokens(0),
@@ -115,21 +118,21 @@
             ver: Ver(0),
             known: false,
             ceiling: None,
-            ceilings: Vec::new(),
-            line: None,
-            lines: Vec::new(),
-            ended: Tokens(0),
-            unproved: Tokens(0),
+            pending_ceilings: Vec::new(),
+            spending_limit: None,
+            pending_limits: Vec::new(),
+            finished_cost: Tokens(0),
+            unproven: Tokens(0),
             proven: Tokens(0),
             held: Tokens(0),
             demand: Demand::new(now),
-            granted: now,
-            written: State::default(),
-            renewed: now,
+            granted_at: now,
+            reported: SpendingReport::default(),
+            limit_written_at: now,
         }
     }
 
-    /// The operator's configuration grants `prepaid` in all. It is only ever raised.
+    /// Raises the prepaid amount to `prepaid`. A lower amount is ignored.
     pub fn set_prepaid(&mut self, prepaid: Tokens) {
         self.prepaid = self.prepaid.max(prepaid);
     }
@@ -139,32 +142,32 @@
         self.prepaid
     }
 
-    /// Spent at the most, or held by requests that run.
+    /// Upper bound of the tokens spent, including the reservations of running requests.
     pub fn charged(&self) -> Tokens {
-        Tokens(self.ended.0 + self.held.0)
+        Tokens(self.finished_cost.0 + self.held.0)
     }
 
-    /// Surely spent so far.
+    /// Tokens spent for certain.
     pub fn settled(&self) -> Tokens {
-        Tokens(self.ended.0 - self.unproved.0 + self.proven.0)
+        Tokens(self.finished_cost.0 - self.unproven.0 + self.proven.0)
     }
 
-    /// The version of the organisation's row that decisions rest on.
+    /// Version of the ledger that decisions are based on.
     pub fn ver(&self) -> Ver {
         self.ver
     }
 
-    /// Whether other routers have grants in the organisation's row.
+    /// Whether other routers have grants in the ledger.
     pub fn is_shared(&self) -> bool {
         self.ledger.others(&self.me).next().is_some()
     }
 
-    /// Whether the organisation's row was ever read.
+    /// Whether the ledger was ever read.
     pub fn is_known(&self) -> bool {
         self.known
     }
 
-    /// What a refusal rests on, for the log.
+    /// State that a refusal is based on, for the log.
     pub fn describe(&self, now: Instant) -> String {
         if !self.known {
             return format!("prepaid={} ledger_ver=none", self.prepaid);
@@ -184,242 +187,264 @@
         )
     }
 
-    /// What this router may have spent by now, over all ceilings and lines that may be in force.
+    /// Tokens that this router may have spent by now: the minimum over all ceilings and limits that
+    /// may be in force.
     pub fn allowed(&self, now: Instant) -> Tokens {
-        self.ceiling().min(self.opened(now))
+        self.ceiling().min(self.allowed_by_limit(now))
     }
 
-    /// The end of the grant in force.
+    /// Ceiling of the grant: the minimum over all ceilings that may be in force.
     pub fn ceiling(&self) -> Tokens {
-        let pending = self.ceilings.iter().map(|p| p.ceiling);
+        let pending = self.pending_ceilings.iter().map(|p| p.ceiling);
         pending.fold(self.ceiling.unwrap_or_default(), Tokens::min)
     }
 
-    /// What the line in force lets through by now.
-    fn opened(&self, now: Instant) -> Tokens {
-        let Some(line) = self.line else { return Tokens(0) };
-        let pending = self.lines.iter().map(|p| p.anchored.at(now));
-        pending.fold(line.at(now), Tokens::min)
+    /// Tokens that the spending limits allow by now.
+    fn allowed_by_limit(&self, now: Instant) -> Tokens {
+        let Some(spending_limit) = self.spending_limit else { return Tokens(0) };
+        let pending = self.pending_limits.iter().map(|p| p.anchored.at(now));
+        pending.fold(spending_limit.at(now), Tokens::min)
     }
 
-    /// Takes `most` for a request that costs that at the most.
+    /// Reserves `max_cost` tokens, the maximum cost of a request.
     ///
     /// # Errors
-    /// `Spent` only if the ledger in the store proves it, by what is settled for good there.
-    pub fn hold(&mut self, most: Tokens, now: Instant) -> Result<(), Denied> {
-        if self.charged().0 + most.0 <= self.allowed(now).0 {
-            self.held.0 += most.0;
-            self.demand.met(most, now);
+    /// `Spent` only if the settled amounts in the stored ledger prove it; `NoneHere` otherwise.
+    pub fn reserve_tokens(&mut self, max_cost: Tokens, now: Instant) -> Result<(), Denied> {
+        if self.charged().0 + max_cost.0 <= self.allowed(now).0 {
+            self.held.0 += max_cost.0;
+            self.demand.record_covered(max_cost, now);
             return Ok(());
         }
-        self.demand.missed(most, now);
-        Err(if self.is_spent(most) { Denied::Spent } else { Denied::NoneHere })
+        self.demand.record_uncovered(max_cost, now);
+        Err(if self.is_spent(max_cost) { Denied::Spent } else { Denied::NoneHere })
     }
 
-    /// A request of `most` begins to wait for its part.
-    pub fn wait(&mut self, most: Tokens) {
-        self.demand.wait(most);
+    /// Adds a request of `max_cost` to the waiting demand.
+    pub fn add_waiting(&mut self, max_cost: Tokens) {
+        self.demand.add_waiting(max_cost);
     }
 
-    /// It waits no longer.
-    pub fn end_wait(&mut self, most: Tokens) {
-        self.demand.end_wait(most);
+    /// Removes a request of `max_cost` from the waiting demand.
+    pub fn remove_waiting(&mut self, max_cost: Tokens) {
+        self.demand.remove_waiting(max_cost);
     }
 
-    /// Whether the request cannot fit, whoever holds the rest.
-    pub fn is_spent(&self, most: Tokens) -> bool {
-        let written = self.ledger.grant(&self.me).map_or(Tokens(0), |g| g.settled);
-        let unwritten = self.settled().minus(written);
-        self.known && self.ledger.settled().0 + unwritten.0 + most.0 > self.prepaid.0
+    /// Whether a request of `max_cost` exceeds the budget even if no other router spends any more.
+    pub fn is_spent(&self, max_cost: Tokens) -> bool {
+        let reported = self.ledger.grant(&self.me).map_or(Tokens(0), |g| g.settled);
+        let unreported = self.settled().minus(reported);
+        self.known && self.ledger.settled().0 + unreported.0 + max_cost.0 > self.prepaid.0
     }
 
-    /// Which row a request of `most` has to wait for; none if it is covered.
-    pub fn shortage(&self, most: Tokens, now: Instant) -> Option<Row> {
-        let amount = Tokens(self.charged().0 + most.0);
+    /// The row that a request of `max_cost` has to wait for; `None` if the request is covered.
+    pub fn missing_cover(&self, max_cost: Tokens, now: Instant) -> Option<MissingCover> {
+        let amount = Tokens(self.charged().0 + max_cost.0);
         match () {
-            () if amount > self.ceiling() => Some(Row::Grant),
-            () if amount > self.opened(now) => Some(Row::Line),
+            () if amount > self.ceiling() => Some(MissingCover::Grant),
+            () if amount > self.allowed_by_limit(now) => Some(MissingCover::SpendingLimit),
             () => None,
         }
     }
 
-    /// Whether the ledger as last seen has `most` to give to this router.
-    pub fn may_be_granted(&self, most: Tokens) -> bool {
-        let mine = self.ledger.grant(&self.me).map_or(Tokens(0), |g| g.ceiling);
-        self.charged().0 + most.0 <= self.ledger.free(self.prepaid).0 + mine.0
+    /// Whether the ledger as last seen has enough for this router to cover `max_cost` more.
+    pub fn may_be_granted(&self, max_cost: Tokens) -> bool {
+        let own = self.ledger.grant(&self.me).map_or(Tokens(0), |g| g.ceiling);
+        self.charged().0 + max_cost.0 <= self.ledger.free(self.prepaid).0 + own.0
     }
 
-    /// A request's caller has got `more` tokens' worth. Written ahead of the request's end, it
-    /// is proved spent should this process die: of a budget of 1 M tokens some 2% are in the hands
-    /// of callers whose streams still run.
+    /// Counts `more` tokens of running requests as spent for certain, because callers have received
+    /// them. Recorded before the requests end, so that this part is proven if the process dies:
+    /// with a budget of 1 M tokens some 2% are in streams that are still running.
     pub fn prove(&mut self, more: Tokens) {
         self.proven.0 += more.0;
     }
 
-    /// A request that held `most` has ended and cost `actual`, of which `proven` was proved.
-    pub fn settle(&mut self, most: Tokens, actual: Tokens, proven: Tokens) {
-        self.held.0 -= most.0;
+    /// Settles a request that reserved `max_cost` and cost `actual`, of which `proven` was already
+    /// proven.
+    pub fn settle(&mut self, max_cost: Tokens, actual: Tokens, proven: Tokens) {
+        self.held.0 -= max_cost.0;
         self.proven.0 -= proven.0;
-        self.ended.0 += actual.0.max(proven.0).min(most.0);
+        self.finished_cost.0 += actual.0.max(proven.0).min(max_cost.0);
     }
 
-    /// Nobody will say any more what became of a request that held `most`: it stays spent, and
-    /// proves no more than the `proven` part of it.
-    pub fn lose(&mut self, most: Tokens, proven: Tokens) {
-        self.settle(most, most, proven);
-        self.unproved.0 += most.0 - proven.0;
+    /// Settles a request that reserved `max_cost` and whose cost will never be reported. All of it
+    /// stays charged, but only the `proven` part counts as proven.
+    pub fn write_off(&mut self, max_cost: Tokens, proven: Tokens) {
+        self.settle(max_cost, max_cost, proven);
+        self.unproven.0 += max_cost.0 - proven.0;
     }
 
-    /// How long until this router may spend `most` more; none if not by what it holds now.
-    pub fn room_in(&self, most: Tokens, now: Instant) -> Option<Duration> {
-        let amount = Tokens(self.charged().0 + most.0);
+    /// Time until this router may spend `max_cost` more; `None` if its grant does not allow that.
+    pub fn time_until_allowed(&self, max_cost: Tokens, now: Instant) -> Option<Duration> {
+        let amount = Tokens(self.charged().0 + max_cost.0);
         if amount > self.ceiling() {
             return None;
         }
-        let pending = self.lines.iter().map(|p| &p.anchored);
-        let waits = self.line.iter().chain(pending).map(|a| a.reaches(amount, now));
-        waits.reduce(|a, b| Some(a?.max(b?)))?
+        let pending = self.pending_limits.iter().map(|p| &p.anchored);
+        let wait_times =
+            self.spending_limit.iter().chain(pending).map(|a| a.time_until(amount, now));
+        wait_times.reduce(|a, b| Some(a?.max(b?)))?
     }
 
-    /// Takes in the organisation's row as read from the store or returned by a transaction.
+    /// Applies the ledger as read from the store or returned by a transaction.
     ///
-    /// Nobody but this process writes its grant, so the ceiling there is the one in force. A write
-    /// of ours that was not answered can no longer take effect once the row has moved past the
-    /// version it was based on.
+    /// Only this process writes its own grant, so the ceiling in the ledger is the one in force. An
+    /// unanswered write can no longer take effect once the ledger has a newer version than the
+    /// write expects.
     pub fn observe(&mut self, ledger: Ledger, ver: Ver) {
         if self.known && ver < self.ver {
             return;
         }
-        let mine = ledger.grant(&self.me).map(|g| g.ceiling);
-        if mine.is_none() && self.ceiling.is_some() {
-            self.begin_anew();
+        let own = ledger.grant(&self.me).map(|g| g.ceiling);
+        if own.is_none() && self.ceiling.is_some() {
+            self.reset_spending();
         }
-        self.ceiling = mine;
-        self.ceilings.retain(|p| p.based_on >= ver);
+        self.ceiling = own;
+        self.pending_ceilings.retain(|p| p.based_on >= ver);
         self.ledger = ledger;
         self.ver = ver;
         self.known = true;
     }
 
-    /// The grant was given back, with all that was spent of it: what is spent from here on counts
-    /// from zero, and needs a line of its own.
-    fn begin_anew(&mut self) {
-        self.ended = Tokens(0);
-        self.unproved = Tokens(0);
-        self.line = None;
-        self.lines.clear();
+    /// Resets the spending after the grant was returned together with what was spent of it. Later
+    /// spending counts from zero and needs a new spending limit.
+    fn reset_spending(&mut self) {
+        self.finished_cost = Tokens(0);
+        self.unproven = Tokens(0);
+        self.spending_limit = None;
+        self.pending_limits.clear();
     }
 
-    /// Whether a request waits for more than this router has.
-    pub fn is_starved(&self, now: Instant) -> bool {
+    /// Whether requests wait for more than this router has.
+    pub fn has_unmet_demand(&self, now: Instant) -> bool {
         self.demand.wanted(now) > self.allowed(now).minus(self.charged()).0
     }
 
-    fn slack(&self, now: Instant, s: Sizing) -> Slack {
-        let mean_rate = self.demand.lasting_rate(now) as u64;
-        let per_cut = self.fleet_rate(mean_rate) as f64 * s.horizon_ms as f64 / 1_000.0;
-        let left = self.left(s.now).0 as f64;
-        Slack::of(if per_cut > 0.0 { left / per_cut } else { f64::INFINITY })
+    fn headroom(&self, now: Instant, s: Sizing) -> Headroom {
+        let mean_rate = self.demand.sizing_rate(now) as u64;
+        let spent_per_outage = self.fleet_rate(mean_rate) as f64 * s.horizon_ms as f64 / 1_000.0;
+        let unspent = self.unspent(s.now).0 as f64;
+        Headroom::for_outages_left(if spent_per_outage > 0.0 {
+            unspent / spent_per_outage
+        } else {
+            f64::INFINITY
+        })
     }
 
-    /// What requests want, unless the organisation's row has no more: lines for what cannot be
-    /// granted would be written for every request that is refused.
-    fn attainable(&self, now: Instant) -> Tokens {
+    /// The tokens that requests wait for, or 0 if the ledger does not have them. Otherwise each
+    /// refused request would cause a write of a limit that no grant can match.
+    fn grantable(&self, now: Instant) -> Tokens {
         let wanted = Tokens(self.demand.wanted(now));
-        let attainable = !self.known || self.may_be_granted(wanted);
-        if attainable { wanted } else { Tokens(0) }
+        let grantable = !self.known || self.may_be_granted(wanted);
+        if grantable { wanted } else { Tokens(0) }
     }
 
-    /// What the place's row should bear: what is surely spent, and the line. None if this process
-    /// spends nothing of this organisation's.
+    /// The settled amount and spending limit that the endpoint's row should hold. `None` if this
+    /// process spends nothing of this organisation's budget.
     ///
     /// `seen` is the newest store time.
-    pub fn next_line(&self, seen: StoreMs, now: Instant, s: Sizing) -> Option<(Tokens, Line)> {
-        let wanted = self.attainable(now).0;
-        let granted = self.ceiling.is_some() || !self.ceilings.is_empty();
-        if !granted && wanted == 0 {
+    pub fn next_limit(
+        &self,
+        seen: StoreMs,
+        now: Instant,
+        s: Sizing,
+    ) -> Option<(Tokens, SpendingLimit)> {
+        let wanted = self.grantable(now).0;
+        let has_grant = self.ceiling.is_some() || !self.pending_ceilings.is_empty();
+        if !has_grant && wanted == 0 {
             return None;
         }
-        let slack = self.slack(now, s);
-        let clump = (self.demand.mean() as f64 * slack.requests) as u64;
-        let burst = self.demand.rate(now) * slack.burst / 1_000 + clump + wanted;
-        let mut line = Line {
+        let headroom = self.headroom(now, s);
+        let request_burst = (self.demand.mean_size() as f64 * headroom.burst_requests) as u64;
+        let burst = self.demand.rate(now) * headroom.burst_ms / 1_000 + request_burst + wanted;
+        let mut spending_limit = SpendingLimit {
             floor: Tokens(self.charged().0 + burst),
-            rate: Tokens((self.demand.mean_rate(now) * slack.slope) as u64),
+            rate: Tokens((self.demand.mean_rate(now) * headroom.slope_factor) as u64),
             seen,
-            opens: slack.opens,
+            opens: headroom.opens_after_ms,
         };
-        // While writes are not answered, any of their lines bounds the spending: one that is
-        // lower than the line in force would only take away what this router surely has.
-        if let Some(kept) = self.line.filter(|_| !self.lines.is_empty()) {
-            line.floor = line.floor.max(kept.line.floor);
-            line.rate = line.rate.max(kept.line.rate);
-            line.opens = line.opens.min(kept.line.opens);
+        // While writes are unanswered, the lowest of their limits bounds the spending. A limit
+        // below the one in force would only take tokens from this router.
+        if let Some(in_force) = self.spending_limit.filter(|_| !self.pending_limits.is_empty()) {
+            spending_limit.floor = spending_limit.floor.max(in_force.spending_limit.floor);
+            spending_limit.rate = spending_limit.rate.max(in_force.spending_limit.rate);
+            spending_limit.opens = spending_limit.opens.min(in_force.spending_limit.opens);
         }
-        Some((self.settled(), line))
+        Some((self.settled(), spending_limit))
     }
 
-    /// Whether this router spends of it.
+    /// Whether this router currently spends from this budget.
     pub fn is_spending(&self, now: Instant) -> bool {
         self.ceiling.is_some() && self.demand.mean_rate(now) > 0.0 && !self.is_idle(now)
     }
 
-    /// Whether the line should be written: `Some(true)` if a request waits for it.
-    pub fn line_due(&self, now: Instant) -> Option<bool> {
-        let wanted = self.attainable(now);
-        let waits = wanted.0 > 0 && self.charged().0 + wanted.0 > self.opened(now).0;
-        if waits || !self.lines.is_empty() {
-            return Some(waits);
+    /// Whether the spending limit should be written; `Some(true)` if a request waits for it.
+    pub fn limit_due(&self, now: Instant) -> Option<bool> {
+        let wanted = self.grantable(now);
+        let is_awaited = wanted.0 > 0 && self.charged().0 + wanted.0 > self.allowed_by_limit(now).0;
+        if is_awaited || !self.pending_limits.is_empty() {
+            return Some(is_awaited);
         }
-        let is_old = now.saturating_duration_since(self.renewed) >= RENEW;
-        let changed = self.written != self.state();
-        (is_old && changed && self.line.is_some()).then_some(false)
-    }
-
-    /// Notes the line that write `number` of the place's row bears. From here on both the line in
-    /// force and this one bound the spending, because nobody knows which one a successor will
-    /// find.
-    pub fn sending_line(&mut self, number: u64, line: Line, learnt: Instant) {
-        let anchored = Anchored { line, learnt };
-        self.lines.push(PendingLine { number, anchored, state: self.state() });
-    }
-
-    /// A write of the place's row is about to be sent that does not name this organisation:
-    /// nothing may be spent until one does.
-    pub fn omitting_line(&mut self) {
-        self.line = None;
-        self.lines.clear();
-    }
-
-    /// Write `number` of the place's row is in force, and no other will be.
-    pub fn line_written(&mut self, number: u64, now: Instant) {
-        if let Some(written) = self.lines.iter().find(|p| p.number == number) {
-            self.line = Some(written.anchored);
-            self.written = written.state;
-            self.renewed = now;
+        let is_old = now.saturating_duration_since(self.limit_written_at) >= LIMIT_WRITE_INTERVAL;
+        let changed = self.reported != self.spending_report();
+        (is_old && changed && self.spending_limit.is_some()).then_some(false)
+    }
+
+    /// Records the spending limit that write `number` of the endpoint's row holds. From here on
+    /// both the limit in force and this one bound the spending, because a successor may find either
+    /// of them.
+    pub fn begin_limit_write(
+        &mut self,
+        number: u64,
+        spending_limit: SpendingLimit,
+        received_at: Instant,
+    ) {
+        let anchored = AnchoredLimit { spending_limit, received_at };
+        self.pending_limits.push(PendingLimit {
+            number,
+            anchored,
+            spending_report: self.spending_report(),
+        });
+    }
+
+    /// Records that the next write of the endpoint's row does not list this organisation. Nothing
+    /// may be spent until a later write lists it.
+    pub fn omit_limit(&mut self) {
+        self.spending_limit = None;
+        self.pending_limits.clear();
+    }
+
+    /// Records that write `number` of the endpoint's row is in force; no other unanswered write can
+    /// take effect any more.
+    pub fn limit_written(&mut self, number: u64, now: Instant) {
+        if let Some(pending) = self.pending_limits.iter().find(|p| p.number == number) {
+            self.spending_limit = Some(pending.anchored);
+            self.reported = pending.spending_report;
+            self.limit_written_at = now;
         }
-        self.lines.clear();
-        // Counted on, what is covered by now would raise each line for seconds.
-        if self.shortage(Tokens(self.demand.wanted(now)), now) != Some(Row::Grant) {
-            self.demand.forget_unmet();
+        self.pending_limits.clear();
+        // Demand that is covered by now would otherwise raise each limit for seconds.
+        if self.missing_cover(Tokens(self.demand.wanted(now)), now) != Some(MissingCover::Grant) {
+            self.demand.clear_unmet();
         }
     }
 
-    /// Write `number` of the place's row was turned away and never happens.
-    pub fn line_rejected(&mut self, number: u64) {
-        self.lines.retain(|p| p.number != number);
+    /// Records that write `number` of the endpoint's row was rejected and has no effect.
+    pub fn limit_rejected(&mut self, number: u64) {
+        self.pending_limits.retain(|p| p.number != number);
     }
 
-    fn state(&self) -> State {
-        State { charged: self.charged(), settled: self.settled() }
+    fn spending_report(&self) -> SpendingReport {
+        SpendingReport { charged: self.charged(), settled: self.settled() }
     }
 
-    /// What no router has spent yet, as far as is known.
-    fn left(&self, now: StoreMs) -> Tokens {
-        self.left_in(&self.ledger, now)
+    /// Estimate of the tokens that no router has spent yet.
+    fn unspent(&self, now: StoreMs) -> Tokens {
+        self.unspent_in(&self.ledger, now)
     }
 
-    fn left_in(&self, ledger: &Ledger, now: StoreMs) -> Tokens {
+    fn unspent_in(&self, ledger: &Ledger, now: StoreMs) -> Tokens {
         let others: u64 = ledger.others(&self.me).map(|g| g.spent_by(now).0).sum();
         self.prepaid.minus(Tokens(ledger.closed.0 + others + self.charged().0))
     }
--- a/src/allowance/ledger.rs
+++ b/src/allowance/ledger.rs
@@ -1,54 +1,55 @@
-//! One organisation's row: what is settled, and who may spend how much of the rest.
+//! One organisation's row: what is settled, and how much of the rest each process may spend.
 
 use std::fmt;
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-use super::spending::Former;
+use super::spending::PredecessorSpending;
 use crate::error::{Error, Kind, Result};
 use crate::ids::Tokens;
 use crate::rows::StoreMs;
 
-/// Format of the row; one of another format is not touched.
+/// Format of the row. Rows of another format are not modified.
 const FORMAT: u8 = 3;
 
-/// A place that runs one process at a time, and the process that runs there now.
+/// One start of a process at an endpoint, which runs one process at a time.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
-pub struct HolderName {
-    /// Instance and address. The platform starts the next process of the same name only once
-    /// the one before has ended.
-    pub place: CompactString,
-    /// One start of a process there; never used again.
+pub struct ProcessId {
+    /// Instance and address. The platform starts the next process at the same endpoint only once
+    /// the previous one has ended.
+    #[serde(rename = "place")]
+    pub endpoint: CompactString,
+    /// Identifies one start of a process at the endpoint; never reused.
     pub incarnation: u64,
 }
 
-impl fmt::Display for HolderName {
+impl fmt::Display for ProcessId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}@{:x}", self.place, self.incarnation)
+        write!(f, "{}@{:x}", self.endpoint, self.incarnation)
     }
 }
 
-/// One process's part of a budget.
+/// Tokens of a budget that are reserved for one process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Grant {
-    /// Whose it is.
-    pub name: HolderName,
-    /// The most that it may spend in all. Nobody else may use it.
+    /// The process.
+    pub name: ProcessId,
+    /// Maximum total spending of the process. No other process may use these tokens.
     pub ceiling: Tokens,
-    /// What it had surely spent when it wrote this.
+    /// Tokens that the process had spent for certain when it wrote this grant.
     pub settled: Tokens,
-    /// Its mean rate of spending then, tokens a second.
+    /// Mean spending rate of the process at that time, in tokens a second.
     pub rate: Tokens,
-    /// The newest store time that it knew then.
+    /// The newest store time that the process knew at that time.
     pub seen: StoreMs,
 }
 
 impl Grant {
-    /// What the process has probably spent by store time `now`: grants change seldom, and what was
-    /// settled when one was written is seconds old.
+    /// Estimate of what the process has spent by store time `now`. Grants change rarely, so the
+    /// settled amount is seconds old.
     pub fn spent_by(&self, now: StoreMs) -> Tokens {
         let ms = now.0.saturating_sub(self.seen.0);
         let since = self.rate.0.saturating_mul(ms) / 1_000;
@@ -56,57 +57,56 @@
     }
 }
 
-/// What became of the grant of a process that has ended.
+/// The closed grant of a process that has ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Closing {
-    /// What was known of its spending.
-    pub former: Former,
-    /// The most that it can have spent; this much stays spent.
+pub struct ClosedGrant {
+    /// The spending that the process had reported.
+    pub predecessor: PredecessorSpending,
+    /// Upper bound of what the process has spent; this amount stays charged.
     pub spent: Tokens,
-    /// The part of `spent` that is proved.
+    /// The proven part of `spent`.
     pub settled: Tokens,
-    /// What goes back to the organisation.
-    pub back: Tokens,
+    /// Tokens that return to the organisation.
+    pub returned: Tokens,
 }
 
-impl Closing {
-    /// The part of `spent` that nobody can prove.
+impl ClosedGrant {
+    /// The part of `spent` that cannot be proven.
     pub fn doubt(&self) -> Tokens {
         self.spent.minus(self.settled)
     }
 }
 
-/// An organisation's budget as it stands in the store.
+/// An organisation's budget as stored.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Ledger {
     format: u8,
-    /// Spent by processes that have ended or left, at the most.
+    /// Upper bound of what was spent by processes that have ended or left.
     pub closed: Tokens,
-    /// The part of `closed` that nobody can prove: what a dead process may have spent beyond
-    /// what it had settled. It stays spent, but no request is told that the budget is used up
-    /// because of it.
+    /// The part of `closed` that cannot be proven: what dead processes may have spent beyond their
+    /// settled amounts. It stays charged, but does not count as proof that the budget is spent.
     pub doubt: Tokens,
-    /// The processes that may spend, by name.
+    /// Grants of the processes that may spend, sorted by name.
     pub grants: Vec<Grant>,
 }
 
 impl Ledger {
-    /// Reads a row.
+    /// Decodes a row.
     ///
     /// # Errors
-    /// `BadFormat` if the row is damaged or of another format. Spending from it is refused then:
-    /// a budget that cannot be read must not be taken for an unused one.
+    /// `BadFormat` if the row is damaged or has another format. Nothing may be spent then: an
+    /// unreadable budget must not be taken for an unused one.
     pub fn decode(value: &[u8]) -> Result<Ledger> {
-        let bad = |_| Error::new(Kind::BadFormat, "budget row cannot be read");
-        let ledger: Ledger = ciborium::from_reader(value).map_err(bad)?;
+        let unreadable = |_| Error::new(Kind::BadFormat, "budget row is not a CBOR-encoded ledger");
+        let ledger: Ledger = ciborium::from_reader(value).map_err(unreadable)?;
         if ledger.format != FORMAT {
-            return Err(Error::new(Kind::BadFormat, "budget row is of another format"));
+            return Err(Error::new(Kind::BadFormat, "budget row has an unsupported format number"));
         }
         Ok(ledger)
     }
 
-    /// The row's value.
+    /// The encoded row.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(64 + 80 * self.grants.len());
         let row = Ledger { format: FORMAT, ..self.clone() };
@@ -114,63 +114,67 @@
         out
     }
 
-    /// What is granted or spent: nobody else may use it.
+    /// Tokens that are granted or spent, so that no other process may use them.
     pub fn committed(&self) -> Tokens {
-        let open: u64 = self.grants.iter().map(|g| g.ceiling.0).sum();
-        Tokens(self.closed.0 + open)
+        let granted: u64 = self.grants.iter().map(|g| g.ceiling.0).sum();
+        Tokens(self.closed.0 + granted)
     }
 
-    /// What is surely spent.
+    /// Tokens spent for certain.
     pub fn settled(&self) -> Tokens {
-        let open: u64 = self.grants.iter().map(|g| g.settled.0).sum();
-        Tokens((self.closed.0 + open).saturating_sub(self.doubt.0))
+        let granted: u64 = self.grants.iter().map(|g| g.settled.0).sum();
+        Tokens((self.closed.0 + granted).saturating_sub(self.doubt.0))
     }
 
-    /// What may still be granted out of `prepaid`.
+    /// Tokens of `prepaid` that may still be granted.
     pub fn free(&self, prepaid: Tokens) -> Tokens {
         prepaid.minus(self.committed())
     }
 
-    fn find(&self, name: &HolderName) -> std::result::Result<usize, usize> {
+    fn position(&self, name: &ProcessId) -> std::result::Result<usize, usize> {
         self.grants.binary_search_by(|g| g.name.cmp(name))
     }
 
-    /// A process's grant.
-    pub fn grant(&self, name: &HolderName) -> Option<&Grant> {
-        self.find(name).ok().map(|i| &self.grants[i])
+    /// The grant of a process.
+    pub fn grant(&self, name: &ProcessId) -> Option<&Grant> {
+        self.position(name).ok().map(|i| &self.grants[i])
     }
 
     /// The grants of all other processes.
-    pub fn others<'a>(&'a self, name: &'a HolderName) -> impl Iterator<Item = &'a Grant> {
+    pub fn others<'a>(&'a self, name: &'a ProcessId) -> impl Iterator<Item = &'a Grant> {
         self.grants.iter().filter(move |g| g.name != *name)
     }
 
-    /// Sets a process's grant. The caller has checked that it fits.
+    /// Sets a process's grant. The caller must have checked that it fits into the budget.
     pub fn set(&mut self, grant: Grant) {
-        match self.find(&grant.name) {
+        match self.position(&grant.name) {
             Ok(i) => self.grants[i] = grant,
             Err(i) => self.grants.insert(i, grant),
         }
     }
 
-    /// Closes the grant of a process that has ended. None if there is none (any more): it was
-    /// closed before, or the process never got one.
-    pub fn close(&mut self, place: &str, former: &Former) -> Option<Closing> {
-        let name = HolderName { place: place.into(), incarnation: former.incarnation };
-        let i = self.find(&name).ok()?;
+    /// Closes the grant of a process that has ended. Returns `None` if there is no such grant: it
+    /// was closed before, or the process never had one.
+    pub fn close(
+        &mut self,
+        endpoint: &str,
+        predecessor: &PredecessorSpending,
+    ) -> Option<ClosedGrant> {
+        let name = ProcessId { endpoint: endpoint.into(), incarnation: predecessor.incarnation };
+        let i = self.position(&name).ok()?;
         let grant = self.grants.remove(i);
-        let settled = grant.settled.max(former.settled);
-        let spent = former.spent.min(grant.ceiling).max(settled);
+        let settled = grant.settled.max(predecessor.settled);
+        let spent = predecessor.spent.min(grant.ceiling).max(settled);
         self.closed.0 += spent.0;
         self.doubt.0 += spent.0 - settled.0;
-        let back = grant.ceiling.minus(spent);
-        Some(Closing { former: former.clone(), spent, settled, back })
+        let returned = grant.ceiling.minus(spent);
+        Some(ClosedGrant { predecessor: predecessor.clone(), spent, settled, returned })
     }
 
-    /// Ends a process's grant: it spent at most `spent`, of which `settled` for sure, and will
-    /// spend no more.
-    pub fn leave(&mut self, me: &HolderName, spent: Tokens, settled: Tokens) {
-        if let Ok(i) = self.find(me) {
+    /// Removes the grant of a process that will spend no more. It spent at most `spent`, of which
+    /// `settled` is certain.
+    pub fn close_own(&mut self, me: &ProcessId, spent: Tokens, settled: Tokens) {
+        if let Ok(i) = self.position(me) {
             self.grants.remove(i);
             self.closed.0 += spent.0;
             self.doubt.0 += spent.0 - settled.0;
--- a/src/gateway/outcome.rs
+++ b/src/gateway/outcome.rs
@@ -1,98 +1,118 @@
-//! What may follow a failed send: one table, no I/O.
+//! What happens after a send to a target has failed: a decision table without I/O.
 
 use super::catalog::RouteKind;
 
-/// How a send to a target ended, as far as is known.
+/// Outcome of a send to a target that returned no usable answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ended {
-    /// No byte of the request left.
+pub enum SendOutcome {
+    /// The target could not be reached: no byte of the request was sent.
     NotSent,
-    /// No byte of the request left: the target is cold and has no room for it, or a moment ago its
-    /// zone was emptied or it asked for no more requests.
+    /// Not sent, because the target accepts no request at the moment: it is cold and has no room,
+    /// its zone has just been emptied, or it has just asked for no more requests.
     HeldOff,
     /// The target proved that it did not run the request.
     NotRun,
-    /// The address belongs to another target now.
+    /// The address now belongs to another target.
     OtherTarget,
-    /// The request was sent, and no answer to it came.
+    /// The request was sent, and the connection ended without an answer.
     NoAnswer,
-    /// The same, and another target is asked before the connection says anything.
+    /// The request was sent, and no answer came within the time after which another target is
+    /// tried. The connection is still open.
     Silent,
-    /// The target answered with a failure of its own (5xx).
+    /// The target answered with a server error (5xx).
     Failed,
-    /// The answer began and broke off; nothing of it was forwarded.
+    /// The answer broke off before any of it was forwarded to the caller.
     Truncated,
 }
 
-impl Ended {
-    /// Whether the connection to the target ended before its answer did.
+impl SendOutcome {
+    /// Whether the connection to the target ended before the answer was complete.
     pub fn is_broken(self) -> bool {
-        matches!(self, Ended::NoAnswer | Ended::Truncated)
+        matches!(self, SendOutcome::NoAnswer | SendOutcome::Truncated)
     }
 
     /// Whether the target may have run the request.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Ended::NoAnswer | Ended::Silent | Ended::Failed | Ended::Truncated)
+        matches!(
+            self,
+            SendOutcome::NoAnswer
+                | SendOutcome::Silent
+                | SendOutcome::Failed
+                | SendOutcome::Truncated
+        )
     }
 }
 
-/// What to do next.
+/// What to do next with the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
-    /// Send it to another target, without drawing on the retry budget.
+pub enum NextStep {
+    /// Send it to another target, without using the retry budget.
     SendAgain,
-    /// Send it to another target if the retry budget allows; else as the second field says.
-    Retry(Final),
+    /// Send it to another target if the retry budget allows; otherwise give the contained answer.
+    Retry(FinalAnswer),
     /// Give the final answer.
-    Answer(Final),
+    Answer(FinalAnswer),
 }
 
-/// Final answers after failed sends.
+/// Final answers to the caller after failed sends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Final {
-    /// The request did not run and never will: 503 with a time to come back.
+pub enum FinalAnswer {
+    /// The request did not run and never will: 503 with a retry delay.
     NotRun,
-    /// Nobody knows whether it ran: 502.
+    /// Unknown whether the request ran: 502.
     Unknown,
-    /// The target's own failure, as it was sent.
-    TargetsOwn,
+    /// The target's own error response, forwarded unchanged.
+    TargetAnswer,
 }
 
-/// Sends that a request may make.
+/// Sends of one request so far.
 #[derive(Clone, Copy, Debug)]
-pub struct Made {
+pub struct SendCounts {
     /// Sends after which the request may have run.
     pub runs: u32,
     /// All sends that reached a target.
     pub sends: u32,
 }
 
-/// Sends of one request in all; every further one burdens a service that is already short.
-const MAX_SENDS: u32 = 4;
+/// Maximum number of sends of one request. Each further send adds load to a service that is already
+/// short of capacity.
+const MAX_SENDS_PER_REQUEST: u32 = 4;
 
-/// The table.
-pub fn next(kind: RouteKind, ended: Ended, made: Made, max_attempts: u32) -> Next {
-    let runs_left = made.runs < max_attempts.max(1);
-    let sends_left = made.sends < MAX_SENDS;
-    let ran_before = made.runs > 0;
-    match ended {
-        Ended::NotSent | Ended::HeldOff if sends_left => Next::SendAgain,
-        Ended::NotSent | Ended::HeldOff => Next::Answer(refusal(ran_before)),
-        Ended::NotRun | Ended::OtherTarget if sends_left => Next::Retry(refusal(ran_before)),
-        Ended::NotRun | Ended::OtherTarget => Next::Answer(refusal(ran_before)),
-        Ended::Failed if kind.repeats() && runs_left && sends_left => {
-            Next::Retry(Final::TargetsOwn)
+/// Decides what to do after a failed send. `max_attempts` limits the sends after which the request
+/// may have run.
+pub fn next_step(
+    kind: RouteKind,
+    outcome: SendOutcome,
+    counts: SendCounts,
+    max_attempts: u32,
+) -> NextStep {
+    let runs_left = counts.runs < max_attempts.max(1);
+    let sends_left = counts.sends < MAX_SENDS_PER_REQUEST;
+    let ran_before = counts.runs > 0;
+    match outcome {
+        SendOutcome::NotSent | SendOutcome::HeldOff if sends_left => NextStep::SendAgain,
+        SendOutcome::NotSent | SendOutcome::HeldOff => NextStep::Answer(not_run_answer(ran_before)),
+        SendOutcome::NotRun | SendOutcome::OtherTarget if sends_left => {
+            NextStep::Retry(not_run_answer(ran_before))
         }
-        Ended::Failed => Next::Answer(Final::TargetsOwn),
-        Ended::NoAnswer | Ended::Silent | Ended::Truncated
+        SendOutcome::NotRun | SendOutcome::OtherTarget => {
+            NextStep::Answer(not_run_answer(ran_before))
+        }
+        SendOutcome::Failed if kind.repeats() && runs_left && sends_left => {
+            NextStep::Retry(FinalAnswer::TargetAnswer)
+        }
+        SendOutcome::Failed => NextStep::Answer(FinalAnswer::TargetAnswer),
+        SendOutcome::NoAnswer | SendOutcome::Silent | SendOutcome::Truncated
             if kind.repeats() && runs_left && sends_left =>
         {
-            Next::Retry(Final::Unknown)
+            NextStep::Retry(FinalAnswer::Unknown)
+        }
+        SendOutcome::NoAnswer | SendOutcome::Silent | SendOutcome::Truncated => {
+            NextStep::Answer(FinalAnswer::Unknown)
         }
-        Ended::NoAnswer | Ended::Silent | Ended::Truncated => Next::Answer(Final::Unknown),
     }
 }
 
-fn refusal(ran_before: bool) -> Final {
-    if ran_before { Final::Unknown } else { Final::NotRun }
+fn not_run_answer(ran_before: bool) -> FinalAnswer {
+    if ran_before { FinalAnswer::Unknown } else { FinalAnswer::NotRun }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! What routers tell one another: received here, and handed to the part that it is for.
+//! Datagrams from other routers: receives them and dispatches them by topic.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -6,18 +6,18 @@
 use compact_str::CompactString;
 use tokio::net::UdpSocket;
 
-use super::cold::Pace;
-use super::datagram::{MAX_DATAGRAM, Topic};
+use super::cold::AdmissionLimit;
+use super::datagram::{MAX_DATAGRAM_BYTES, Topic};
 use super::hints;
 use super::request::Part;
 use super::state::{Gateway, Platform};
-use super::timing::Reading;
+use super::timing::PrefillWork;
 
-/// Sends what the keeper of budgets has to say, for ever.
-pub async fn tell_budgets<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
+/// Sends the outgoing messages of the budget keeper. Never returns.
+pub async fn send_budget_messages<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
     loop {
         for out in gw.keeper.outgoing().await {
-            // Whatever is lost is said again by its sender.
+            // Not retried here: the keeper repeats messages that were lost.
             if let Err(e) = socket.try_send_to(&Topic::Budgets.frame(&out.bytes), out.to) {
                 gw.log.routine("peer", format_args!("to={} outcome=unsent cause={e}", out.to));
             }
@@ -25,9 +25,9 @@
     }
 }
 
-/// Listens to the others, for ever.
-pub async fn listen<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+/// Receives datagrams from other routers. Never returns.
+pub async fn receive_datagrams<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (n, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
@@ -37,45 +37,51 @@
             }
         };
         let topic = Topic::parse(&buf[..n]);
-        if !may_hear(&gw.peers.borrow(), from.ip(), topic.map(|(t, _)| t)) {
+        if !accepts_datagram(&gw.peers.borrow(), from.ip(), topic.map(|(t, _)| t)) {
             continue;
         }
         match topic {
-            Some((Topic::Hints, payload)) => take_hints(&gw, payload),
-            Some((Topic::Budgets, payload)) => gw.keeper.heard(from, payload),
-            Some((Topic::Crashes, payload)) => gw.crashes.heard(payload, gw.keeper.store_now()),
-            Some((Topic::Orders, payload)) => gw.zones.take(&gw.zones.parse(payload), "peer"),
-            Some((Topic::Cold, payload)) => gw.cold.heard(from, payload, |w| cold_target(&gw, w)),
+            Some((Topic::Hints, payload)) => apply_hints(&gw, payload),
+            Some((Topic::Budgets, payload)) => gw.keeper.receive(from, payload),
+            Some((Topic::Crashes, payload)) => {
+                gw.crashes.handle_datagram(payload, gw.keeper.store_now())
+            }
+            Some((Topic::Orders, payload)) => {
+                gw.zones.merge_newer(&gw.zones.parse(payload), "peer")
+            }
+            Some((Topic::Cold, payload)) => {
+                gw.cold.handle_datagram(from, payload, |w| cold_target(&gw, w))
+            }
             None => gw.log.note("peer", format_args!("from={from} bytes={n} error=unknown_topic")),
         }
     }
 }
 
-/// Whether to take in a datagram. Those of unknown senders are not read, but for orders while no
-/// router is known yet: one whose store falls silent right after its start has the configuration
-/// and nobody else to hear an order from.
-pub fn may_hear(known: &[IpAddr], from: IpAddr, topic: Option<Topic>) -> bool {
-    let none_known = known.is_empty() && topic == Some(Topic::Orders);
-    none_known || known.binary_search(&from).is_ok()
+/// Whether to accept a datagram. Datagrams of unknown senders are rejected, except for zone orders
+/// while no router is known yet: if the store stops responding right after this router's start, the
+/// router has the configuration but no other source of orders.
+pub fn accepts_datagram(known: &[IpAddr], from: IpAddr, topic: Option<Topic>) -> bool {
+    let accepts_early_order = known.is_empty() && topic == Some(Topic::Orders);
+    accepts_early_order || known.binary_search(&from).is_ok()
 }
 
-/// The id, zone and pace of a target that another router asks about.
+/// Id, zone and admission rate of a target that another router asks about.
 fn cold_target<P: Platform>(
     gw: &Gateway<P>,
     word: u64,
-) -> Option<(CompactString, CompactString, Pace)> {
-    let backend = gw.targets.by_word(word)?;
+) -> Option<(CompactString, CompactString, AdmissionLimit)> {
+    let backend = gw.targets.by_digest(word)?;
     let info = backend.info.borrow();
     Some((info.id.clone(), info.zone.clone(), gw.cold_pace(&info.service)?))
 }
 
-/// Other routers sent prompts to targets.
-fn take_hints<P: Platform>(gw: &Gateway<P>, bytes: &[u8]) {
+/// Records the prompts that other routers sent to targets.
+fn apply_hints<P: Platform>(gw: &Gateway<P>, bytes: &[u8]) {
     let config = gw.config();
-    let kept = |service: &str| config.as_ref().map_or(0, |c| c.cache_tokens(service));
+    let cache_limit = |service: &str| config.as_ref().map_or(0, |c| c.cache_tokens(service));
     for hint in hints::parse(bytes) {
         let parts: Vec<Part> = hint.parts().collect();
-        let reading = Reading::of(u64::from(hint.prompt), u64::from(hint.uncached));
-        gw.targets.hinted(hint.target, reading, &parts, kept);
+        let work = PrefillWork::of(u64::from(hint.prompt), u64::from(hint.uncached));
+        gw.targets.apply_hint(hint.target, work, &parts, cache_limit);
     }
 }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,36 +1,39 @@
-//! Which target a request goes to, and whether it is admitted at all. Pure: no clock, no I/O.
+//! Chooses the target of a request, or refuses the request. Pure: no clock, no I/O.
 
 use std::time::Duration;
 
 use crate::error::{Error, Kind, Result};
 
-/// What a choice rests on for one target.
+/// What is known about one target when a request is placed.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// In this router's availability zone.
-    pub near: bool,
-    /// Tokens of its prompt that the target has not cached.
+    /// Whether the target is in this router's availability zone.
+    pub same_zone: bool,
+    /// Prompt tokens that the target has not cached.
     pub uncached: u64,
-    /// Predicted time until the target begins with this request, ms.
+    /// Predicted time until the target starts the request, ms.
     pub wait_ms: f64,
-    /// Time to a first token beside waiting and reading, ms.
+    /// Predicted time to the first token, apart from waiting and prefill, ms.
     pub base_ms: f64,
-    /// Predicted time for the part of its prompt that the target has not cached, ms.
+    /// Predicted prefill time for the uncached part of the prompt, ms.
     pub prefill_ms: f64,
-    /// Requests of this router that run there.
-    pub running: u32,
-    /// Requests that run there at once, by all routers.
+    /// Requests of this router that the target is running.
+    pub in_flight_requests: u32,
+    /// Maximum number of requests, from all routers, that the target runs at once.
     pub slots: u32,
-    /// Place of the target in the request's order of preference, 0 first. The same at every
-    /// router, so that all send a prompt's parts to where they are cached.
+    /// Position of the target in the request's order of preference, 0 first. All routers compute
+    /// the same order, so that they send prompts with the same parts to the targets that have them
+    /// cached.
     pub rank: usize,
-    /// It failed lately, or its entry lapsed: used only if nothing else is there.
-    pub doubtful: bool,
-    /// Set if it turned a request away: how long it still wants none.
-    pub resting: Option<Duration>,
-    /// Already tried for this request.
+    /// The target failed recently or its store entry has lapsed. It is used only if no healthy
+    /// target is left.
+    pub unhealthy: bool,
+    /// Remaining time during which the target accepts no requests, because it rejected one.
+    pub backoff: Option<Duration>,
+    /// Whether the request was already sent to this target.
     pub tried: bool,
-    /// Set for a cold target: when it has room for a request, as far as is known.
+    /// For a cold target: the expected time until it has room for a request, as far as is known.
+    /// `None` for a target that is warm.
     pub room_in: Option<Duration>,
 }
 
@@ -39,53 +42,61 @@
         self.room_in.is_none_or(|t| t.is_zero())
     }
 
-    /// Whether it may get this request, now or once it has room.
-    fn is_open(&self) -> bool {
-        !self.tried && self.resting.is_none()
+    /// Whether the target may get this request, now or once it has room.
+    fn is_eligible(&self) -> bool {
+        !self.tried && self.backoff.is_none()
     }
 }
 
-/// What a request asks of a placement.
+/// Latency limits of a request, and the kind of service that it uses.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand {
-    /// Time to the answer that the operator aims at, what has passed already taken off.
+pub struct PlacementGoal {
+    /// Remaining time to the operator's objective for the answer. The time spent so far is
+    /// subtracted.
     pub aim: Duration,
-    /// Time that is left at all.
-    pub left: Duration,
-    /// Whether it uses a model engine.
+    /// Remaining time until the request times out.
+    pub remaining: Duration,
+    /// Whether the service is a model engine.
     pub engine: bool,
 }
 
-/// Weights of a choice.
+/// Weights of the placement cost function.
 #[derive(Clone, Copy, Debug)]
-pub struct Weights {
-    /// How much earlier a target in another zone must begin to be chosen, ms. Traffic between
-    /// zones is paid for; 18 kB prompts make this the dearest part of a request after lateness.
+pub struct PlacementWeights {
+    /// Cost of a target in another zone, ms: it must start the request this much earlier to be
+    /// chosen. Traffic between zones is billed; with prompts of 18 kB it is the largest cost of a
+    /// request after late answers.
     pub far_ms: f64,
-    /// Weight of the prefill time a placement costs, against waiting: it delays all others too.
+    /// Factor on the prefill time relative to waiting time. Prefill also delays all other requests
+    /// of the target.
     pub prefill: f64,
-    /// Cost of each request of ours already running there, ms: its steps get longer.
+    /// Cost of each request of this router that the target is already running, ms. Each one makes
+    /// the steps of the engine longer.
     pub running_ms: f64,
-    /// Cost of each place down in the order of preference, ms; the first few only.
+    /// Cost of each position in the order of preference, ms. Only the first four positions count.
     pub rank_ms: f64,
-    /// Answers later than this many times the aim are worth too little to be waited for.
+    /// Latest useful answer, as a multiple of the objective. A request that is predicted to take
+    /// longer is refused.
     pub late_x: f64,
 }
 
-impl Default for Weights {
-    fn default() -> Weights {
-        Weights { far_ms: 12.0, prefill: 1.5, running_ms: 2.0, rank_ms: 6.0, late_x: 2.0 }
+impl Default for PlacementWeights {
+    fn default() -> PlacementWeights {
+        PlacementWeights { far_ms: 12.0, prefill: 1.5, running_ms: 2.0, rank_ms: 6.0, late_x: 2.0 }
     }
 }
 
-impl Weights {
+impl PlacementWeights {
     /// Sets one weight by its name.
     ///
     /// # Errors
-    /// `BadConfig` for an unknown name, or a value that is no weight.
+    /// `BadConfig` for an unknown name, or for a value that is negative or not finite.
     pub fn set(&mut self, name: &str, value: f64) -> Result<()> {
         if !value.is_finite() || value < 0.0 {
-            return Err(Error::new(Kind::BadConfig, format!("weight {name} = {value}")));
+            return Err(Error::new(
+                Kind::BadConfig,
+                format!("weight {name} is {value}; it must be finite and not negative"),
+            ));
         }
         let weight = match name {
             "far_ms" => &mut self.far_ms,
@@ -97,7 +108,7 @@
                 return Err(Error::new(
                     Kind::BadConfig,
                     format!(
-                        "no weight {name:?}; there are: far_ms, prefill, running_ms, rank_ms, late_x"
+                        "unknown weight {name:?}; known weights are far_ms, prefill, running_ms, rank_ms, late_x"
                     ),
                 ));
             }
@@ -107,74 +118,74 @@
     }
 }
 
-/// A decision.
+/// The result of a placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
-    /// Send it to the candidate of this index.
+    /// Send the request to a candidate.
     Send {
         /// Index into the candidates.
         index: usize,
-        /// Predicted time to the first token, ms; 0 for plain services.
+        /// Predicted time to the first token, ms; 0 for services without a model engine.
         predicted_ms: f64,
     },
-    /// No target is there at all.
+    /// No target is available.
     NoTarget,
-    /// What is left is cold, and has room in so long.
+    /// All remaining targets are cold and have no room yet.
     Cold {
-        /// When one of them has.
+        /// Time until the first of them has room.
         room_in: Duration,
     },
-    /// What is left has turned requests away, and wants the next one in so long.
-    Resting {
-        /// When the first of them does.
-        wants_in: Duration,
+    /// All remaining targets rejected a request recently and accept none for now.
+    BackingOff {
+        /// Time until the first of them accepts requests again.
+        retry_after: Duration,
     },
-    /// All targets are too busy for it; room is expected in so many ms.
+    /// All targets are too busy to answer in time.
     Busy {
-        /// When to come back, ms.
+        /// Time until room is expected, ms.
         room_in_ms: f64,
     },
 }
 
-fn cost(c: &Candidate, engine: bool, w: &Weights) -> f64 {
-    let far = if c.near { 0.0 } else { w.far_ms };
-    let place = f64::from(c.running) * w.running_ms;
+fn cost(c: &Candidate, engine: bool, w: &PlacementWeights) -> f64 {
+    let zone_cost = if c.same_zone { 0.0 } else { w.far_ms };
+    let load_cost = f64::from(c.in_flight_requests) * w.running_ms;
     if !engine {
-        let filled = f64::from(c.running) / f64::from(c.slots.max(1));
-        return far / 20.0 + filled * 100.0 + c.rank as f64 * 0.01;
+        let utilization = f64::from(c.in_flight_requests) / f64::from(c.slots.max(1));
+        return zone_cost / 20.0 + utilization * 100.0 + c.rank as f64 * 0.01;
     }
     let rank = c.rank.min(4) as f64 * w.rank_ms;
-    c.wait_ms + c.base_ms + c.prefill_ms * w.prefill + far + place + rank
+    c.wait_ms + c.base_ms + c.prefill_ms * w.prefill + zone_cost + load_cost + rank
 }
 
 /// Chooses among `candidates`.
 ///
-/// A request whose first token is expected later than `late_x` times its aim is refused at once
-/// with the time at which room is expected. Admitting it would delay all that wait behind it
-/// and make those late as well: with callers that come faster than the engines read, every
-/// request would end up late.
-pub fn place(candidates: &[Candidate], demand: &Demand, w: &Weights) -> Placement {
-    let usable = |c: &Candidate| c.is_open() && !c.doubtful && c.has_room();
-    let second_best = |c: &Candidate| c.is_open() && c.has_room();
-    let best = best(candidates, demand.engine, w, usable)
-        .or_else(|| best(candidates, demand.engine, w, second_best));
+/// A request that has to wait, and whose first token is predicted later than `late_x` times its
+/// objective, is refused immediately with the time at which room is expected. Admitting it would
+/// delay all requests that wait behind it. If callers send more than the engines can prefill, every
+/// request would then be late.
+pub fn place(candidates: &[Candidate], goal: &PlacementGoal, w: &PlacementWeights) -> Placement {
+    let usable = |c: &Candidate| c.is_eligible() && !c.unhealthy && c.has_room();
+    let last_resort = |c: &Candidate| c.is_eligible() && c.has_room();
+    let best = best(candidates, goal.engine, w, usable)
+        .or_else(|| best(candidates, goal.engine, w, last_resort));
     let Some(index) = best else {
-        let cold = candidates.iter().filter(|c| c.is_open() && !c.has_room());
+        let cold = candidates.iter().filter(|c| c.is_eligible() && !c.has_room());
         if let Some(room_in) = cold.filter_map(|c| c.room_in).min() {
             return Placement::Cold { room_in };
         }
-        let resting = candidates.iter().filter_map(|c| c.resting);
-        let resting = resting.min().map(|wants_in| Placement::Resting { wants_in });
-        return resting.unwrap_or(Placement::NoTarget);
+        let backoff = candidates.iter().filter_map(|c| c.backoff);
+        let backoff = backoff.min().map(|retry_after| Placement::BackingOff { retry_after });
+        return backoff.unwrap_or(Placement::NoTarget);
     };
-    if !demand.engine {
+    if !goal.engine {
         return Placement::Send { index, predicted_ms: 0.0 };
     }
     let c = &candidates[index];
     let predicted_ms = c.wait_ms + c.base_ms + c.prefill_ms;
-    let bound = (demand.aim.as_secs_f64() * w.late_x).min(demand.left.as_secs_f64()) * 1_000.0;
-    if predicted_ms > bound && c.wait_ms > 0.0 {
-        let aim_ms = demand.aim.as_secs_f64() * 1_000.0;
+    let limit_ms = (goal.aim.as_secs_f64() * w.late_x).min(goal.remaining.as_secs_f64()) * 1_000.0;
+    if predicted_ms > limit_ms && c.wait_ms > 0.0 {
+        let aim_ms = goal.aim.as_secs_f64() * 1_000.0;
         return Placement::Busy { room_in_ms: (predicted_ms - aim_ms * 0.8).max(50.0) };
     }
     Placement::Send { index, predicted_ms }
@@ -183,7 +194,7 @@
 fn best(
     candidates: &[Candidate],
     engine: bool,
-    w: &Weights,
+    w: &PlacementWeights,
     usable: impl Fn(&Candidate) -> bool,
 ) -> Option<usize> {
     let eligible = candidates.iter().enumerate().filter(|(_, c)| usable(c));
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -8,8 +8,8 @@
 
 use super::catalog::RouteKind;
 use super::forward::Job;
-use super::liveness::await_evidence;
-use super::refusal::Own;
+use super::liveness::await_probe;
+use super::refusal::RouterResponse;
 use super::reply::{Reply, Rest};
 use super::request::{is_hop_by_hop, line};
 use super::state::{Phase, Platform};
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// `CallerLeft`.
-pub async fn write_own(caller: &mut Conn, own: &Own, keep: bool) -> Result<(), Relayed> {
+pub async fn write_own(caller: &mut Conn, own: &RouterResponse, keep: bool) -> Result<(), Relayed> {
     use std::io::Write;
     let body = format!("{{\"error\":\"{}\"}}", own.reason);
     let mut out = Vec::with_capacity(256);
@@ -240,11 +240,11 @@
             "stream_broken",
             format_args!("id={id} target={from} events={events} last={last:?} resumes={may}"),
         );
-        let found = job.broke_off(self.flight.backend());
+        let found = job.spawn_crash_check(self.flight.backend());
         if !may {
             return Err(Relayed::Broken);
         }
-        await_evidence(found).await;
+        await_probe(found).await;
         let reply = tokio::select! {
             biased;
             reply = job.obtain(last.clone()) => reply,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -10,19 +10,19 @@
 
 use super::backend::TargetInfo;
 use super::catalog::{Catalog, Limits};
-use super::cold::{ColdBound, Pace};
-use super::crashes::Crashes;
+use super::cold::{AdmissionLimit, ColdRateLimit};
+use super::crashes::CrashTracker;
 use super::entry::EntryView;
-use super::feed::{Confirmation, Feed, Reader};
-use super::hints::Hints;
-use super::place::Weights;
-use super::reach::ZoneRegions;
+use super::feed::{Confirmation, Feed, StoreReader};
+use super::hints::PlacementHints;
+use super::place::PlacementWeights;
 use super::request::Names;
-use super::retries::{RetryAllowance, RetryShares};
+use super::retries::{RetryAllowance, ServiceRetryBudgets};
 use super::targets::Targets;
 use super::warmup::Admissions;
-use super::zones::Zones;
-use crate::allowance::{HolderName, Keeper, KeeperSettings};
+use super::zone_filter::ZoneRegions;
+use super::zones::ZoneGossip;
+use crate::allowance::{BudgetManager, BudgetSettings, ProcessId};
 use crate::error::Result;
 use crate::oplog::Log;
 use crate::rows::RowStore;
@@ -65,7 +65,7 @@
     /// The region of each availability zone.
     pub regions: ZoneRegions,
     /// What a cold target may get in one second.
-    pub cold: ColdBound,
+    pub cold: ColdRateLimit,
     /// Age of a router's row from which on callers are not sent there.
     pub unnamed_after: Duration,
     /// Where callers connect.
@@ -75,9 +75,9 @@
     /// The fleet's allowance of repeated sends.
     pub retries: RetryAllowance,
     /// Settings of budgets.
-    pub budgets: KeeperSettings,
+    pub budgets: BudgetSettings,
     /// Weights of placement.
-    pub weights: Weights,
+    pub weights: PlacementWeights,
     /// Requests a second that this router is meant to take.
     pub capacity: u32,
     /// Lifetime of entry answers.
@@ -118,19 +118,19 @@
     /// Addresses of the other routers, sorted: datagrams of others are not read.
     pub peers: RefCell<Vec<IpAddr>>,
     /// What routers tell one another.
-    pub hints: Hints,
+    pub hints: PlacementHints,
     /// Requests under which targets ended.
-    pub crashes: Crashes,
+    pub crashes: CrashTracker,
     /// Zones that the operator has emptied.
-    pub zones: Zones,
+    pub zones: ZoneGossip,
     /// Requests to cold targets.
     pub cold: Admissions,
     /// Budgets.
-    pub keeper: Rc<Keeper<P>>,
+    pub keeper: Rc<BudgetManager<P>>,
     /// Shares of the retry budget.
-    pub retries: RefCell<RetryShares>,
+    pub retries: RefCell<ServiceRetryBudgets>,
     /// Reads tables that are followed.
-    pub reader: Reader<P>,
+    pub reader: StoreReader<P>,
     /// How far the configuration was read.
     pub config_feed: Feed,
     /// The latest confirmation of the configuration; locked while there is one.
@@ -152,22 +152,23 @@
     /// Fires when the last request has ended.
     pub idle: Notify,
     /// This process.
-    pub me: HolderName,
+    pub me: ProcessId,
 }
 
 impl<P: Platform> Gateway<P> {
     /// A router that knows nothing yet.
-    pub fn new(platform: P, settings: Settings, me: HolderName, log: Log) -> Rc<Gateway<P>> {
-        let keeper = Keeper::new(platform.clone(), me.clone(), settings.budgets, log.clone());
+    pub fn new(platform: P, settings: Settings, me: ProcessId, log: Log) -> Rc<Gateway<P>> {
+        let keeper =
+            BudgetManager::new(platform.clone(), me.clone(), settings.budgets, log.clone());
         let keeper = Rc::new(keeper);
         let stats = Stats::new();
         Rc::new(Gateway {
-            crashes: Crashes::new(log.clone(), stats.clone()),
-            zones: Zones::new(log.clone(), stats.clone()),
+            crashes: CrashTracker::new(log.clone(), stats.clone()),
+            zones: ZoneGossip::new(log.clone(), stats.clone()),
             cold: Admissions::new(settings.instance.clone(), log.clone(), stats.clone()),
-            reader: Reader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
+            reader: StoreReader::new(platform.clone(), keeper.clone(), log.clone(), stats.clone()),
             keeper,
-            retries: RefCell::new(RetryShares::new(settings.retries)),
+            retries: RefCell::new(ServiceRetryBudgets::new(settings.retries)),
             platform,
             settings,
             log,
@@ -175,7 +176,7 @@
             catalog: RefCell::default(),
             targets: Targets::default(),
             peers: RefCell::default(),
-            hints: Hints::default(),
+            hints: PlacementHints::default(),
             config_feed: Feed::default(),
             confirmed: tokio::sync::Mutex::new(None),
             phase: watch::Sender::new(Phase::Up),
@@ -207,9 +208,9 @@
     }
 
     /// The pace for cold targets of a service; none if they bear any number of requests.
-    pub fn cold_pace(&self, service: &str) -> Option<Pace> {
+    pub fn cold_pace(&self, service: &str) -> Option<AdmissionLimit> {
         let warm_up = self.catalog.borrow().as_ref().and_then(|c| c.warm_up(service))?;
-        Some(Pace::of(warm_up, self.settings.cold))
+        Some(AdmissionLimit::for_warm_up(warm_up, self.settings.cold))
     }
 
     /// Whether callers should be sent here.
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -1,4 +1,4 @@
-//! All targets that this router knows, and those that could take a request.
+//! All targets that this router knows, and the candidates for a request.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -9,89 +9,90 @@
 use tokio::time::Instant;
 
 use super::backend::{Backend, StartedMs, TargetInfo, TargetState, millis};
-use super::notice::Standing;
+use super::notice::Availability;
 use super::place::Candidate;
-use super::reach::{Barred, Reach};
 use super::request::Part;
-use super::timing::{FirstToken, Reading};
+use super::timing::{FirstTokenModel, PrefillWork};
+use super::zone_filter::{ExclusionReason, ZoneFilter};
 use crate::ids::Digest;
 
-/// What an entry changed.
+/// What the entry of a target changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Nothing that matters here.
+    /// Nothing relevant.
     Same,
     /// The target was unknown.
     New,
-    /// Its state changed, or it was missing for a while.
+    /// The target's state changed, or its entry reappeared after it had lapsed.
     State,
-    /// It started again under the id that it had: nothing of before holds for it.
+    /// The target restarted under the same id, or moved to another service or address. Nothing that
+    /// was known about it applies any more.
     Restarted,
-    /// It speaks of an earlier start than the one that is known.
+    /// The entry is from an earlier start of the target than the known one, and is ignored.
     Outdated,
 }
 
-/// Targets without an entry whose word is kept, at most. An entry that comes back may be older than
-/// what its target said.
-const MAX_PARTED: usize = 1_024;
+/// Maximum number of removed targets whose own notices are kept. An entry that reappears may be
+/// older than what the target itself has sent.
+const MAX_REMOVED_TARGETS: usize = 1_024;
 
-/// A target without an entry.
+/// A target without an entry, with the notices that it sent in its answers.
 #[derive(Debug)]
-struct Parted {
+struct RemovedTarget {
     id: CompactString,
     born: Option<StartedMs>,
-    standing: Standing,
+    standing: Availability,
 }
 
-/// All targets, by id.
+/// All targets, sorted by id.
 #[derive(Debug, Default)]
 pub struct Targets {
     all: RefCell<Vec<Rc<Backend>>>,
-    /// The latest at the end.
-    parted: RefCell<VecDeque<Parted>>,
-    timings: RefCell<Vec<(CompactString, Rc<RefCell<FirstToken>>)>>,
+    /// In order of removal, the latest last.
+    removed_targets: RefCell<VecDeque<RemovedTarget>>,
+    first_token_models: RefCell<Vec<(CompactString, Rc<RefCell<FirstTokenModel>>)>>,
 }
 
-/// A request as placement sees it.
+/// The facts about a request that placement needs.
 #[derive(Clone, Debug)]
-pub struct PlaceRequest<'a> {
-    /// The service it goes to.
+pub struct PlacementRequest<'a> {
+    /// Service of the request.
     pub service: &'a str,
-    /// This router's zone.
+    /// Availability zone of this router.
     pub zone: &'a str,
-    /// The parts of its prompt.
+    /// Parts of the prompt.
     pub parts: &'a [Part],
-    /// Its prompt tokens.
+    /// Number of tokens in the prompt.
     pub prompt: u64,
-    /// Whether it uses a model engine.
+    /// Whether the service is a model engine.
     pub engine: bool,
-    /// Targets that it was sent to before.
+    /// Targets to which the request was already sent.
     pub tried: &'a [CompactString],
-    /// Where it may go.
-    pub reach: Reach<'a>,
+    /// Zones that the request may use.
+    pub zone_filter: ZoneFilter<'a>,
 }
 
-/// What placement finds.
+/// The candidates for a request.
 #[derive(Debug, Default)]
-pub struct Found {
-    /// The targets that could take a request, with what a choice needs to know of them.
+pub struct PlacementCandidates {
+    /// Targets that may take the request, with the facts for choosing among them.
     pub candidates: Vec<(Rc<Backend>, Candidate)>,
-    /// Whether targets of the service that are ready may not take it, and why.
-    pub barred: Option<Barred>,
+    /// Why ready targets of the service were excluded by their zone; `None` if none was.
+    pub exclusion: Option<ExclusionReason>,
 }
 
 impl Targets {
-    /// Takes in a target's entry.
+    /// Inserts or updates a target from its store entry.
     ///
-    /// A target that started again under its id begins as an unknown one: its cached parts, load
-    /// and failures are those of a process that is gone, and kept connections to that are dead.
-    /// Requests that still run keep the earlier one until they end.
+    /// A target that restarted under its id is treated as a new one: its cached parts, load and
+    /// failures belonged to the previous process, and pooled connections to that process are dead.
+    /// Requests that are still in flight keep the previous `Backend` until they end.
     pub fn set(&self, mut info: TargetInfo) -> Change {
         let mut all = self.all.borrow_mut();
         let i = match all.binary_search_by(|b| b.info.borrow().id.cmp(&info.id)) {
             Ok(i) => i,
             Err(i) => {
-                let standing = self.rejoin(&info);
+                let standing = self.recall_standing(&info);
                 all.insert(i, self.backend(info, standing));
                 return Change::New;
             }
@@ -102,8 +103,10 @@
         }
         let restarted = info.is_newer(known.born);
         if restarted || known.service != info.service || known.addr != info.addr {
-            // An entry that only speaks of another address does not undo what its target said.
-            let standing = if restarted { Standing::default() } else { all[i].standing.clone() };
+            // Another service or address alone does not discard the notices that the target has
+            // sent.
+            let standing =
+                if restarted { Availability::default() } else { all[i].standing.clone() };
             all[i] = self.backend(info, standing);
             return Change::Restarted;
         }
@@ -115,59 +118,59 @@
         if changed { Change::State } else { Change::Same }
     }
 
-    fn backend(&self, info: TargetInfo, standing: Standing) -> Rc<Backend> {
-        let timing = self.timing(&info.service);
-        Rc::new(Backend::new(info, standing, timing))
+    fn backend(&self, info: TargetInfo, standing: Availability) -> Rc<Backend> {
+        let first_token_model = self.first_token_model(&info.service);
+        Rc::new(Backend::new(info, standing, first_token_model))
     }
 
-    /// Keeps what a target said whose entry is gone.
-    fn part(&self, b: &Backend) {
-        if !b.standing.holds_off(Instant::now()) {
+    /// Keeps the notices of a target whose entry was removed, while they still apply.
+    fn remember_standing(&self, b: &Backend) {
+        if !b.standing.is_unavailable(Instant::now()) {
             return;
         }
-        let mut parted = self.parted.borrow_mut();
-        if parted.len() >= MAX_PARTED {
-            parted.pop_front();
+        let mut removed_targets = self.removed_targets.borrow_mut();
+        if removed_targets.len() >= MAX_REMOVED_TARGETS {
+            removed_targets.pop_front();
         }
         let born = b.info.borrow().born;
-        parted.push_back(Parted { id: b.id(), born, standing: b.standing.clone() });
+        removed_targets.push_back(RemovedTarget { id: b.id(), born, standing: b.standing.clone() });
     }
 
-    /// What a target has said before its entry was gone.
-    fn rejoin(&self, info: &TargetInfo) -> Standing {
-        let mut parted = self.parted.borrow_mut();
-        let found = parted.iter().rposition(|p| p.id == info.id);
-        let known = found.and_then(|i| parted.remove(i));
+    /// The notices that a target sent before its entry was removed.
+    fn recall_standing(&self, info: &TargetInfo) -> Availability {
+        let mut removed_targets = self.removed_targets.borrow_mut();
+        let found = removed_targets.iter().rposition(|p| p.id == info.id);
+        let known = found.and_then(|i| removed_targets.remove(i));
         known.filter(|p| !info.is_newer(p.born)).map(|p| p.standing).unwrap_or_default()
     }
 
-    /// What is learnt of a service's engines.
-    fn timing(&self, service: &str) -> Rc<RefCell<FirstToken>> {
-        let mut timings = self.timings.borrow_mut();
-        let i = match timings.binary_search_by(|(s, _)| s.as_str().cmp(service)) {
+    /// The shared first-token model of a service's engines.
+    fn first_token_model(&self, service: &str) -> Rc<RefCell<FirstTokenModel>> {
+        let mut first_token_models = self.first_token_models.borrow_mut();
+        let i = match first_token_models.binary_search_by(|(s, _)| s.as_str().cmp(service)) {
             Ok(i) => i,
             Err(i) => {
-                timings.insert(i, (service.into(), Rc::default()));
+                first_token_models.insert(i, (service.into(), Rc::default()));
                 i
             }
         };
-        timings[i].1.clone()
+        first_token_models[i].1.clone()
     }
 
-    /// A target's entry is gone for good.
+    /// Removes a target whose entry was deleted. Returns whether it was known.
     pub fn remove(&self, id: &str) -> bool {
         let mut all = self.all.borrow_mut();
         let found = all.binary_search_by(|b| b.info.borrow().id.as_str().cmp(id));
         let Ok(i) = found else { return false };
         let gone = all.remove(i);
-        self.part(&gone);
-        // What still runs there has it in hand; it ends when that is over.
+        self.remember_standing(&gone);
+        // Requests in flight keep the `Backend` alive until they end.
         gone.info.borrow_mut().state = TargetState::Draining;
         true
     }
 
-    /// A target's entry is gone, perhaps only because the store was away: the target is used
-    /// when nothing else is there, until the entry is back or the grace is over.
+    /// Marks a target whose entry is missing, perhaps only because the store was unavailable. It is
+    /// used only if no other target is left, until the entry reappears or the grace period ends.
     pub fn lapse(&self, id: &str) {
         let all = self.all.borrow();
         if let Ok(i) = all.binary_search_by(|b| b.info.borrow().id.as_str().cmp(id)) {
@@ -175,21 +178,21 @@
         }
     }
 
-    /// Removes the targets whose entries have not come back. Returns their ids.
-    pub fn sweep(&self) -> Vec<CompactString> {
+    /// Removes the targets whose entries are still missing. Returns their ids.
+    pub fn remove_lapsed(&self) -> Vec<CompactString> {
         let mut all = self.all.borrow_mut();
         let (gone, left): (Vec<_>, Vec<_>) = all.drain(..).partition(|b| b.lapsed.get());
         *all = left;
-        gone.iter().for_each(|b| self.part(b));
+        gone.iter().for_each(|b| self.remember_standing(b));
         gone.iter().map(|b| b.id()).collect()
     }
 
-    /// Another router sent a prompt to the target of this digest. `cache_tokens` tells how many
-    /// tokens the engines of a service keep.
-    pub fn hinted(
+    /// Records that another router sent a prompt to the target with the digest `word`.
+    /// `cache_tokens` returns the cache size of a service's engines, in tokens.
+    pub fn apply_hint(
         &self,
         word: u64,
-        reading: Reading,
+        work: PrefillWork,
         parts: &[Part],
         cache_tokens: impl Fn(&str) -> u64,
     ) {
@@ -198,30 +201,30 @@
         let now = Instant::now();
         let mut load = b.load.borrow_mut();
         let estimate = b.timing.borrow().estimate();
-        let prefill_ms = estimate.map_or(0.0, |e| e.prefill_ms(reading)) * load.pace.get();
-        load.add(millis(prefill_ms), now);
-        load.cache.read(parts, now, cache_tokens(&b.info.borrow().service));
+        let prefill_ms = estimate.map_or(0.0, |e| e.prefill_ms(work)) * load.slowdown.get();
+        load.add_prefill(millis(prefill_ms), now);
+        load.cache.insert_parts(parts, now, cache_tokens(&b.info.borrow().service));
     }
 
-    /// How many targets have said that they leave.
+    /// Number of targets that have announced their shutdown.
     pub fn count_leaving(&self) -> usize {
         self.all.borrow().iter().filter(|b| b.standing.is_leaving()).count()
     }
 
-    /// How many targets want no request for a while.
-    pub fn count_resting(&self) -> usize {
+    /// Number of targets that accept no requests for a while, after they rejected one.
+    pub fn count_backing_off(&self) -> usize {
         let now = Instant::now();
-        self.all.borrow().iter().filter(|b| b.standing.rests_for(now).is_some()).count()
+        self.all.borrow().iter().filter(|b| b.standing.backoff_left(now).is_some()).count()
     }
 
-    /// How many targets are cold.
+    /// Number of targets that are cold.
     pub fn count_cold(&self) -> usize {
         let now = Instant::now();
         self.all.borrow().iter().filter(|b| b.is_cold(now)).count()
     }
 
-    /// The target of a digest.
-    pub fn by_word(&self, word: u64) -> Option<Rc<Backend>> {
+    /// The target with the digest `word`.
+    pub fn by_digest(&self, word: u64) -> Option<Rc<Backend>> {
         self.all.borrow().iter().find(|b| b.word == word).cloned()
     }
 
@@ -235,65 +238,70 @@
         self.all.borrow().iter().map(|b| b.id()).collect()
     }
 
-    /// How many targets a service has, and how many of them take new work.
+    /// Number of all targets, and of those that are expected to stay available.
     pub fn count(&self) -> (usize, usize) {
         let all = self.all.borrow();
         (all.len(), all.iter().filter(|b| b.is_expected_to_stay()).count())
     }
 
-    /// The targets that could take a request.
-    pub fn candidates(&self, req: &PlaceRequest<'_>) -> Found {
+    /// The targets that may take a request. Those in the router's zone come first, each zone group
+    /// sorted by the request's order of preference.
+    pub fn candidates(&self, req: &PlacementRequest<'_>) -> PlacementCandidates {
         let now = Instant::now();
         let all = self.all.borrow();
         let affinity = affinity_key(req.parts);
-        let mut barred = None;
-        let takes = |b: &&Rc<Backend>| {
+        let mut exclusion = None;
+        let is_allowed = |b: &&Rc<Backend>| {
             let info = b.info.borrow();
             if info.service != req.service || !b.is_expected_to_stay() {
                 return false;
             }
-            let bars = req.reach.bars(&info.zone);
-            // An emptied zone comes back, a region does not.
-            if bars.is_some() && barred != Some(Barred::Emptied) {
-                barred = bars;
+            let exclusion_reason = req.zone_filter.exclusion_reason(&info.zone);
+            // `Emptied` takes precedence: an emptied zone returns to service, a region does not
+            // become allowed.
+            if exclusion_reason.is_some() && exclusion != Some(ExclusionReason::Emptied) {
+                exclusion = exclusion_reason;
             }
-            bars.is_none()
+            exclusion_reason.is_none()
         };
         let ranked = |b: &Rc<Backend>| {
-            let far = b.info.borrow().zone != req.zone;
-            (far, std::cmp::Reverse(rank_word(affinity, &b.id())), b.clone())
+            let other_zone = b.info.borrow().zone != req.zone;
+            (other_zone, std::cmp::Reverse(rendezvous_digest(affinity, &b.id())), b.clone())
         };
-        let mut found: Vec<_> = all.iter().filter(takes).map(ranked).collect();
-        found.sort_by_key(|(far, word, _)| (*far, *word));
-        let near = found.iter().filter(|(far, _, _)| !far).count();
-        let with_facts = |(i, (far, _, b)): (usize, (bool, _, Rc<Backend>))| {
-            let rank = if far { i - near } else { i };
+        let mut found: Vec<_> = all.iter().filter(is_allowed).map(ranked).collect();
+        found.sort_by_key(|(other_zone, digest, _)| (*other_zone, *digest));
+        let same_zone_count = found.iter().filter(|(other_zone, _, _)| !other_zone).count();
+        let to_candidate = |(i, (other_zone, _, b)): (usize, (bool, _, Rc<Backend>))| {
+            let rank = if other_zone { i - same_zone_count } else { i };
             let c = candidate(&b, req, rank, now);
             (b, c)
         };
-        Found { candidates: found.into_iter().enumerate().map(with_facts).collect(), barred }
+        PlacementCandidates {
+            candidates: found.into_iter().enumerate().map(to_candidate).collect(),
+            exclusion,
+        }
     }
 }
 
-fn candidate(b: &Backend, req: &PlaceRequest<'_>, rank: usize, now: Instant) -> Candidate {
+fn candidate(b: &Backend, req: &PlacementRequest<'_>, rank: usize, now: Instant) -> Candidate {
     let info = b.info.borrow();
     let load = b.load.borrow();
-    let uncached = req.prompt.saturating_sub(load.cache.cached(req.parts));
-    let reading = Reading::of(req.prompt, uncached);
+    let uncached = req.prompt.saturating_sub(load.cache.cached_tokens(req.parts));
+    let work = PrefillWork::of(req.prompt, uncached);
     let estimate = b.timing.borrow().estimate().filter(|_| req.engine);
-    let pace = load.pace.get();
-    let wait_ms = load.read_by.saturating_duration_since(now).as_secs_f64() * 1_000.0;
+    let slowdown = load.slowdown.get();
+    let wait_ms = load.prefills_done_at.saturating_duration_since(now).as_secs_f64() * 1_000.0;
     Candidate {
-        near: info.zone == req.zone,
+        same_zone: info.zone == req.zone,
         uncached,
         wait_ms,
-        base_ms: estimate.map_or(0.0, |e| e.base_ms) * pace,
-        prefill_ms: estimate.map_or(0.0, |e| e.prefill_ms(reading)) * pace,
-        running: load.running,
+        base_ms: estimate.map_or(0.0, |e| e.base_ms) * slowdown,
+        prefill_ms: estimate.map_or(0.0, |e| e.prefill_ms(work)) * slowdown,
+        in_flight_requests: load.in_flight_requests,
         slots: info.slots,
         rank,
-        doubtful: b.lapsed.get() || load.doubtful_until.is_some_and(|t| t > now),
-        resting: b.standing.rests_for(now),
+        unhealthy: b.lapsed.get() || load.unhealthy_until.is_some_and(|t| t > now),
+        backoff: b.standing.backoff_left(now),
         tried: req.tried.contains(&info.id),
         room_in: b.is_cold(now).then(|| {
             b.no_room_until.get().map_or(Duration::ZERO, |t| t.saturating_duration_since(now))
@@ -301,17 +309,17 @@
     }
 }
 
-/// The parts that other requests may share: all but the last, which is the request's own.
-fn shared_parts(parts: &[Part]) -> &[Part] {
+/// The parts that other requests may share: all but the last, which is specific to the request.
+fn shareable_parts(parts: &[Part]) -> &[Part] {
     parts.split_last().map_or(parts, |(_, shared)| shared)
 }
 
-/// What requests with the same cached prompt have in common: the last part they share.
+/// Key that requests with the same cached prompt have in common: the last part that they share.
 fn affinity_key(parts: &[Part]) -> u64 {
-    shared_parts(parts).last().or(parts.last()).map_or_else(|| fastrand::u64(..), |p| p.id)
+    shareable_parts(parts).last().or(parts.last()).map_or_else(|| fastrand::u64(..), |p| p.id)
 }
 
-fn rank_word(key: u64, id: &str) -> u64 {
+fn rendezvous_digest(key: u64, id: &str) -> u64 {
     let mut bytes = Vec::with_capacity(8 + id.len());
     bytes.extend_from_slice(&key.to_le_bytes());
     bytes.extend_from_slice(id.as_bytes());
--- a/src/gateway/zones.rs
+++ b/src/gateway/zones.rs
@@ -1,6 +1,8 @@
-//! The orders to empty zones, shared by the routers: each tells some others what it hears, and
-//! whoever hears something new tells on. So an order reaches routers that the store turns away,
-//! and no router sends more datagrams when there are more routers.
+//! Spreads the operator's orders to empty availability zones among the routers by gossip.
+//!
+//! Each router forwards an order that is new to it to some other routers, chosen at random. Orders
+//! thus also reach routers that the store rejects, and the number of datagrams per router does not
+//! grow with the number of routers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,15 +14,16 @@
 use tokio::time::{Instant, sleep};
 
 use super::datagram::Topic;
-use super::orders::{ZoneOrder, ZoneOrders};
+use super::zone_orders::{ZoneOrder, ZoneOrders};
 use crate::oplog::Log;
 use crate::rows::Ver;
 use crate::stats::Stats;
 
-/// Routers that are told at a time, drawn anew each time.
+/// Number of routers to which each round is sent, drawn anew for each round.
 const FANOUT: usize = 6;
-/// Pauses before an order is told again: datagrams are lost, and a router may be cut off.
-const TELL_AGAIN: [Duration; 6] = [
+/// Delays before each round in which an order is sent. It is sent several times because datagrams
+/// can be lost and a router may be partitioned for a while.
+const RESEND_DELAYS: [Duration; 6] = [
     Duration::ZERO,
     Duration::from_millis(100),
     Duration::from_millis(300),
@@ -28,34 +31,34 @@
     Duration::from_secs(2),
     Duration::from_secs(4),
 ];
-/// Orders in one datagram, at most.
-const MAX_TOLD: usize = 16;
+/// Maximum number of orders in one datagram.
+const MAX_ORDERS_PER_DATAGRAM: usize = 16;
 
-/// What this router knows of orders.
+/// The zone orders that this router knows, and the peers to which it forwards them.
 #[derive(Debug)]
-pub struct Zones {
+pub struct ZoneGossip {
     log: Log,
     stats: Stats,
     orders: RefCell<ZoneOrders>,
     emptied: RefCell<Vec<CompactString>>,
     peers: RefCell<Vec<SocketAddr>>,
-    heard: Notify,
+    changed_signal: Notify,
 }
 
-impl Zones {
-    /// No zone emptied, as far as is known.
-    pub fn new(log: Log, stats: Stats) -> Zones {
-        Zones {
+impl ZoneGossip {
+    /// Creates the state without any emptied zone.
+    pub fn new(log: Log, stats: Stats) -> ZoneGossip {
+        ZoneGossip {
             log,
             stats,
             orders: RefCell::default(),
             emptied: RefCell::default(),
             peers: RefCell::default(),
-            heard: Notify::new(),
+            changed_signal: Notify::new(),
         }
     }
 
-    /// Sets whom to tell.
+    /// Sets the routers to which orders are forwarded.
     pub fn set_peers(&self, peers: Vec<SocketAddr>) {
         *self.peers.borrow_mut() = peers;
     }
@@ -70,25 +73,28 @@
         self.orders.borrow().is_emptied(zone)
     }
 
-    /// How long ago a zone was taken back, as far as this router heard.
+    /// Time since this router learned that a zone was returned to service (`taken_back` in the
+    /// log). `None` if no order for the zone is known or the zone is emptied.
     pub fn taken_back_for(&self, zone: &str, now: Instant) -> Option<Duration> {
         self.orders.borrow().taken_back_for(zone, now)
     }
 
-    /// Takes in the orders in a reading of the whole table.
-    pub fn take_whole(&self, orders: &[ZoneOrder], ver: Ver) {
+    /// Merges the orders of a snapshot of the whole table. Emptied zones that the snapshot does not
+    /// list are returned to service.
+    pub fn apply_snapshot(&self, orders: &[ZoneOrder], ver: Ver) {
         let listed: Vec<CompactString> = orders.iter().map(|o| o.zone.clone()).collect();
-        let gone = self.orders.borrow().unlisted(&listed, ver);
+        let gone = self.orders.borrow().missing_from(&listed, ver);
         let all: Vec<ZoneOrder> = orders.iter().cloned().chain(gone).collect();
-        self.take(&all, "store");
+        self.merge_newer(&all, "store");
     }
 
-    /// Takes in orders that were heard `via` the store or a peer.
-    pub fn take(&self, orders: &[ZoneOrder], via: &'static str) {
+    /// Merges the orders that are newer than the known ones, and schedules them for forwarding.
+    /// `via` is the source of the orders, for the log: the store or a peer.
+    pub fn merge_newer(&self, orders: &[ZoneOrder], via: &'static str) {
         let now = Instant::now();
         let mut known = self.orders.borrow_mut();
         let changed: Vec<ZoneOrder> =
-            orders.iter().filter(|o| known.take(o, now)).cloned().collect();
+            orders.iter().filter(|o| known.merge_newer(o, now)).cloned().collect();
         for o in &changed {
             let state = if o.emptied { "emptied" } else { "taken_back" };
             self.log.note(
@@ -99,11 +105,11 @@
         if !changed.is_empty() {
             *self.emptied.borrow_mut() = known.emptied();
             self.stats.zones_emptied.set(i64::try_from(known.emptied().len()).unwrap_or(i64::MAX));
-            self.heard.notify_one();
+            self.changed_signal.notify_one();
         }
     }
 
-    /// The orders in a datagram; none if it cannot be read.
+    /// Decodes the orders in a datagram. Returns none if it is malformed.
     pub fn parse(&self, bytes: &[u8]) -> Vec<ZoneOrder> {
         ciborium::from_reader::<Vec<ZoneOrder>, _>(bytes).unwrap_or_else(|e| {
             self.log.note("peer", format_args!("topic=orders error={e}"));
@@ -111,31 +117,31 @@
         })
     }
 
-    /// Tells the others, for ever.
-    pub async fn tell(&self, socket: &UdpSocket) {
+    /// Forwards changed orders to other routers. Never returns.
+    pub async fn run_sender(&self, socket: &UdpSocket) {
         loop {
-            self.heard.notified().await;
-            let mut pauses = TELL_AGAIN.iter();
-            while let Some(pause) = pauses.next() {
+            self.changed_signal.notified().await;
+            let mut delays = RESEND_DELAYS.iter();
+            while let Some(delay) = delays.next() {
                 tokio::select! {
-                    () = sleep(*pause) => self.tell_some(socket),
-                    // Something newer: all of it is told from the start.
-                    () = self.heard.notified() => pauses = TELL_AGAIN.iter(),
+                    () = sleep(*delay) => self.send_to_random_peers(socket),
+                    // An order changed: send all recent orders again, from the first round.
+                    () = self.changed_signal.notified() => delays = RESEND_DELAYS.iter(),
                 }
             }
         }
     }
 
-    fn tell_some(&self, socket: &UdpSocket) {
-        let lasts: Duration = TELL_AGAIN.iter().sum();
-        let Some(since) = Instant::now().checked_sub(lasts * 2) else { return };
-        let mut orders = self.orders.borrow().heard_after(since);
-        orders.truncate(MAX_TOLD);
+    fn send_to_random_peers(&self, socket: &UdpSocket) {
+        let resend_span: Duration = RESEND_DELAYS.iter().sum();
+        let Some(since) = Instant::now().checked_sub(resend_span * 2) else { return };
+        let mut orders = self.orders.borrow().received_after(since);
+        orders.truncate(MAX_ORDERS_PER_DATAGRAM);
         let mut bytes = Vec::new();
         ciborium::into_writer(&orders, &mut bytes).expect("writing to memory cannot fail");
         let datagram = Topic::Orders.frame(&bytes);
         for peer in fastrand::choose_multiple(self.peers.borrow().iter(), FANOUT) {
-            // It is told again.
+            // Not retried here: a later round sends the order again.
             if let Err(e) = socket.try_send_to(&datagram, *peer) {
                 self.log.routine("peer", format_args!("to={peer} outcome=unsent cause={e}"));
             }
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -10,16 +10,16 @@
 use super::gateway_target::{StandinTarget, TOKENS_PER_EVENT};
 use crate::error::{Error, Kind, Result};
 use crate::gateway::catalog::{Engine, Share};
-use crate::gateway::cold::ColdBound;
-use crate::gateway::place::Weights;
-use crate::gateway::reach::ZoneRegions;
+use crate::gateway::cold::ColdRateLimit;
+use crate::gateway::place::PlacementWeights;
 use crate::gateway::retries::RetryAllowance;
+use crate::gateway::zone_filter::ZoneRegions;
 use crate::gateway::{
     Catalog, CatalogParts, Limits, Names, Organisation, Platform, Route, RouteKind, Service,
     StartedMs, TargetInfo, TargetState,
 };
 use crate::ids::Tokens;
-use crate::rows::{Arriving, Committed, MemoryRows, Page, RowStore, StoreResult, Tx, Ver};
+use crate::rows::{ArrivingAnswers, Committed, MemoryRows, Page, RowStore, StoreResult, Tx, Ver};
 
 /// Keys of orders to empty a zone begin with this.
 const EMPTY: &str = "empty/";
@@ -131,7 +131,7 @@
 
     /// The same platform for another router, with a fault of its own.
     pub fn another(&self) -> LocalPlatform {
-        LocalPlatform { rows: self.rows.another(), ..self.clone() }
+        LocalPlatform { rows: self.rows.new_client(), ..self.clone() }
     }
 
     /// Acknowledges a configuration.
@@ -184,7 +184,7 @@
         table: &str,
         after: Ver,
         wait: Duration,
-        arriving: &Arriving,
+        arriving: &ArrivingAnswers,
     ) -> StoreResult<Page> {
         self.rows.feed(table, after, wait, arriving).await
     }
@@ -255,16 +255,16 @@
             ("zone-2".into(), "south".into()),
             ("zone-3".into(), "north".into()),
         ]),
-        cold: ColdBound { over: 1.5, slack: 5.0 },
+        cold: ColdRateLimit { rate_factor: 1.5, slack: 5.0 },
         unnamed_after: Duration::from_millis(4_500),
         front,
         peer: front,
         retries: RetryAllowance { ratio: 0.5, slack: 60.0 },
-        budgets: crate::allowance::KeeperSettings {
+        budgets: crate::allowance::BudgetSettings {
             horizon_ms: 10_000,
             patience: Duration::from_millis(500),
         },
-        weights: Weights::default(),
+        weights: PlacementWeights::default(),
         capacity: 100,
         entry_ttl: Duration::from_millis(100),
         grace: Duration::from_secs(5),
@@ -274,6 +274,6 @@
 }
 
 /// The name of a process at an instance.
-pub fn process(instance: &str, incarnation: u64) -> crate::allowance::HolderName {
-    crate::allowance::HolderName { place: format_compact!("{instance}/127.0.0.1"), incarnation }
+pub fn process(instance: &str, incarnation: u64) -> crate::allowance::ProcessId {
+    crate::allowance::ProcessId { endpoint: format_compact!("{instance}/127.0.0.1"), incarnation }
 }
--- a/tests/test_allowance_lending.rs
+++ b/tests/test_allowance_lending.rs
@@ -1,5 +1,5 @@
-//! Routers that lend parts of a budget to one another: who is asked, what a loan becomes when
-//! messages, borrowers or lenders are lost.
+//! Lending between routers: which routers are asked, and what becomes of loans when messages,
+//! borrowers or lenders are lost.
 
 use std::time::Duration;
 
@@ -8,44 +8,45 @@
 use rstest::rstest;
 use tokio::time::sleep;
 
-use crate::lenddir::{Fleet, ORG, Weather, in_virtual_time};
+use crate::lending_fleet::{Fleet, NetworkFaults, ORG, in_virtual_time};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn routers(zones: &[&str], of_each: usize) -> Vec<Lender> {
-    let of_zone = |zone: &str| {
+fn routers(zones: &[&str], per_zone: usize) -> Vec<Lender> {
+    let in_zone = |zone: &str| {
         let zone = zone.to_owned();
-        (0..of_each).map(move |i| Lender {
+        (0..per_zone).map(move |i| Lender {
             name: format!("{zone}-{i}").into(),
             zone: zone.as_str().into(),
             addr: ([10, zone.len() as u8, zone.as_bytes()[0], i as u8], 7_000).into(),
             capacity: if i % 3 == 0 { 200 } else { 100 },
         })
     };
-    zones.iter().flat_map(|z| of_zone(z)).collect()
+    zones.iter().flat_map(|z| in_zone(z)).collect()
 }
 
 #[rstest]
 #[case::two_of_a_small_zone(4, 2)]
 #[case::one_in_sixteen(39, 3)]
-#[case::alone(1, 1)]
-fn lenders_choose(#[case] of_each: usize, #[case] lending: usize) {
-    let lenders = Lenders::choose("a-0", "a", routers(&["a", "b"], of_each));
-    assert_eq!(lenders.count(), 2 * lending);
+#[case::single_router(1, 1)]
+fn lenders_choose(#[case] per_zone: usize, #[case] expected: usize) {
+    let lenders = Lenders::choose("a-0", "a", routers(&["a", "b"], per_zone));
+    assert_eq!(lenders.count(), 2 * expected);
 }
 
 #[test]
 fn lenders_order_own_zone_first() {
     let all = routers(&["a", "b", "c"], 20);
     for org in ["norte", "sur", "este", "oeste"] {
-        let of = |name: &str, zone: &str| Lenders::choose(name, zone, all.clone()).order(org);
-        let (here, there) = (of("a-19", "a"), of("b-19", "b"));
-        // Two routers of a zone ask the same one first, those of other zones ask another.
-        assert_eq!(here, of("a-18", "a"));
-        assert_ne!(here[0], there[0]);
-        // Each one's first is asked by the others before anybody's second.
-        assert!(here[1..3].contains(&there[0]), "{here:?} {there:?}");
-        assert_eq!(here.last(), Some(&Source::Fallback));
+        let order_for =
+            |name: &str, zone: &str| Lenders::choose(name, zone, all.clone()).order(org);
+        let (own_zone, other_zone) = (order_for("a-19", "a"), order_for("b-19", "b"));
+        // Two routers of a zone ask the same lender first; those of another zone ask another.
+        assert_eq!(own_zone, order_for("a-18", "a"));
+        assert_ne!(own_zone[0], other_zone[0]);
+        // Each zone's first lender is asked by the other zones before any second lender.
+        assert!(own_zone[1..3].contains(&other_zone[0]), "{own_zone:?} {other_zone:?}");
+        assert_eq!(own_zone.last(), Some(&Source::Fallback));
     }
 }
 
@@ -58,44 +59,53 @@
     assert_eq!(Lenders::default().order("norte"), [Source::Fallback]);
 }
 
-/// With each router a spender, the row of an organisation was written by all of them. A zone's
-/// lenders write it, whoever serves the requests.
+/// Guards against every router writing an organisation's ledger. Only the zones' lenders write it,
+/// no matter which routers serve the requests.
 #[test]
-fn hold_few_spenders() {
+fn reserve_tokens_few_spenders() {
     in_virtual_time(1, async {
         let fleet = Fleet::start(40, 4, 100_000_000);
         sleep(SECOND).await;
         fleet.load(5_000, 200, 4_000).await;
         assert_eq!(fleet.refused.get(), 0);
         let ledger = fleet.ledger();
-        assert!(ledger.grants.len() <= 4, "{} spend", ledger.grants.len());
+        assert!(ledger.grants.len() <= 4, "{} grants", ledger.grants.len());
     });
 }
 
-/// The first request for an organisation, and the first one at a router without a grant, were
-/// refused after 60 ms with all of the budget free. They wait for a few store calls at the most.
+/// Guards against refusing the first request of an organisation, or at a router without a grant,
+/// after 60 ms with all of the budget free. Such requests wait for a few store calls at most.
 #[test]
-fn hold_first_request() {
+fn reserve_tokens_first_request() {
     in_virtual_time(2, async {
         let fleet = Fleet::start(40, 4, 10_000_000);
         sleep(SECOND).await;
         fleet.request(0, 4_000, 4_000, SECOND);
         sleep(SECOND).await;
         assert_eq!(fleet.refused.get(), 0);
-        assert!(fleet.longest.get() < Duration::from_millis(40), "{:?}", fleet.longest.get());
-        // By now the zone's lender has a grant: the others wait for two datagrams.
-        fleet.longest.set(Duration::ZERO);
+        assert!(
+            fleet.longest_wait.get() < Duration::from_millis(40),
+            "{:?}",
+            fleet.longest_wait.get()
+        );
+        // Now the zone's lender has a grant, and the others wait for two datagrams.
+        fleet.longest_wait.set(Duration::ZERO);
         (1..10).for_each(|i| fleet.request(4 * i, 400, 400, SECOND));
         sleep(SECOND).await;
         assert_eq!(fleet.refused.get(), 0);
-        assert!(fleet.longest.get() < Duration::from_millis(20), "{:?}", fleet.longest.get());
+        assert!(
+            fleet.longest_wait.get() < Duration::from_millis(20),
+            "{:?}",
+            fleet.longest_wait.get()
+        );
     });
 }
 
-/// A burst at the start of a cut was refused with two thirds of the budget free: it came to routers
-/// without a grant, or to one whose grant had run out. Whoever has a part lends it.
+/// Guards against refusals with two thirds of the budget free when a burst arrives at the start of
+/// a store outage, at routers without a grant or with one that is used up. Any router with tokens
+/// must lend them.
 #[test]
-fn hold_in_cut_of_all() {
+fn reserve_tokens_store_outage() {
     in_virtual_time(3, async {
         let fleet = Fleet::start(40, 4, 12_000_000);
         sleep(SECOND).await;
@@ -110,10 +120,10 @@
     });
 }
 
-/// At the end of a budget its last tokens lay in pieces with 25 routers, and callers were refused
-/// with 2 to 3% of it left. Lenders are asked one after the other, and each has one piece.
+/// Guards against refusals with 2 to 3% of the budget left because its last tokens are split among
+/// 25 routers. Lenders are asked one after another, and each has one piece.
 #[test]
-fn hold_end_of_budget() {
+fn reserve_tokens_end_of_budget() {
     in_virtual_time(4, async {
         let fleet = Fleet::start(40, 4, 4_000_000);
         sleep(SECOND).await;
@@ -121,55 +131,60 @@
         sleep(3 * SECOND).await;
         assert!(fleet.refused.get() > 0);
         let left = fleet.prepaid() - fleet.spent.get();
-        assert!(left < 4 * 4_000, "{left} left");
-        // What is spent is proved: callers are told so, and do not come back in vain.
-        let before = fleet.told_spent.get();
+        assert!(left < 4 * 4_000, "{left} tokens left");
+        // The spending is proven, so callers learn that the budget is spent and do not retry in
+        // vain.
+        let before = fleet.refused_as_spent.get();
         fleet.load(2_000, 50, 20_000).await;
         sleep(SECOND).await;
-        let told = fleet.told_spent.get() - before;
-        assert!(told >= 80, "{told} of 100 told that it is spent");
+        let as_spent = fleet.refused_as_spent.get() - before;
+        assert!(as_spent >= 80, "{as_spent} of 100 refused as spent");
     });
 }
 
-/// A zone's lender stands still. Requests that ask it would wait for it one after the other: the
-/// first ones wait for their patience, all others go to the next at once.
+/// Guards against requests that wait for an unresponsive lender one after another. Only the first
+/// ones wait for the timeout; later ones skip the lender.
 #[test]
-fn hold_lender_silent() {
+fn reserve_tokens_lender_unresponsive() {
     in_virtual_time(5, async {
         let fleet = Fleet::start(16, 4, 100_000_000);
         sleep(SECOND).await;
         fleet.load(2_000, 100, 4_000).await;
-        let lender = fleet.ledger().grants[0].name.place.clone();
-        let place: usize = lender[1..].parse().unwrap();
-        fleet.cut.borrow_mut().push(place);
+        let lender = fleet.ledger().grants[0].name.endpoint.clone();
+        let router: usize = lender[1..].parse().unwrap();
+        fleet.isolated.borrow_mut().push(router);
         sleep(Duration::from_millis(100)).await;
         for i in 0..200 {
-            // The one that is cut off has no callers.
+            // The isolated router has no callers.
             let at = (i * 7) % 16;
-            if at != place {
+            if at != router {
                 fleet.request(at, 4_000, 4_000, SECOND);
             }
             sleep(Duration::from_millis(10)).await;
         }
         assert_eq!(fleet.refused.get(), 0);
-        assert!(fleet.longest.get() < Duration::from_millis(130), "{:?}", fleet.longest.get());
+        assert!(
+            fleet.longest_wait.get() < Duration::from_millis(130),
+            "{:?}",
+            fleet.longest_wait.get()
+        );
     });
 }
 
-/// Datagrams are lost and doubled. A loan that is made twice, or whose end is not heard of, would
-/// take tokens from the organisation for ever.
+/// Guards against leaking tokens when datagrams are lost or duplicated: a loan that is given twice,
+/// or whose end is never reported, would never be returned.
 #[rstest]
 #[case::lossy(30, 0)]
 #[case::doubling(0, 50)]
 #[case::both(20, 30)]
-fn loans_lost_messages(#[case] lost: u32, #[case] doubled: u32) {
+fn loans_lost_messages(#[case] lost_percent: u32, #[case] duplicated_percent: u32) {
     in_virtual_time(6, async {
         let fleet = Fleet::start(16, 4, 100_000_000);
         sleep(SECOND).await;
-        fleet.weather.set(Weather { lost, doubled });
+        fleet.network.set(NetworkFaults { lost_percent, duplicated_percent });
         fleet.load(5_000, 100, 4_000).await;
-        fleet.weather.set(Weather::default());
-        // All grants are given back once nobody asks any more: what stays closed is what was spent.
+        fleet.network.set(NetworkFaults::default());
+        // All grants are returned without requests, so the closed amount equals what was spent.
         sleep(40 * SECOND).await;
         let ledger = fleet.ledger();
         assert!(ledger.grants.is_empty(), "{ledger:?}");
@@ -178,14 +193,14 @@
     });
 }
 
-/// A borrower dies while its requests run. Nobody knows what its callers got: that stays spent, and
-/// nobody is told that the budget is used up because of it.
+/// A borrower dies while its requests run, and what its callers received is unknown. The loans stay
+/// charged, but do not count as proof that the budget is spent.
 #[test]
 fn loans_borrower_dies() {
     in_virtual_time(7, async {
         let fleet = Fleet::start(16, 1, 1_000_000);
         sleep(SECOND).await;
-        // Not a lender: those are the first two.
+        // Not a lender: the lenders are the first two.
         (0..10).for_each(|_| fleet.request(9, 40_000, 10_000, 20 * SECOND));
         sleep(SECOND).await;
         fleet.kill(9);
@@ -196,39 +211,40 @@
     });
 }
 
-/// A lender dies. Its borrowers go on with another, and what they had of it is closed once.
+/// A lender dies. Its borrowers continue with another lender, and the loans are closed exactly
+/// once.
 #[test]
 fn loans_lender_dies() {
     in_virtual_time(8, async {
         let fleet = Fleet::start(16, 2, 100_000_000);
         sleep(SECOND).await;
         fleet.load(4_000, 60, 4_000).await;
-        let lender = fleet.ledger().grants[0].name.place.clone();
-        let place: usize = lender[1..].parse().unwrap();
-        fleet.kill(place);
+        let lender = fleet.ledger().grants[0].name.endpoint.clone();
+        let router: usize = lender[1..].parse().unwrap();
+        fleet.kill(router);
         fleet.load(1_000, 60, 4_000).await;
-        fleet.start_at(place);
+        fleet.start_router(router);
         fleet.load(4_000, 60, 4_000).await;
-        // At most those that it had taken itself, or that were on their way to it.
+        // Only requests at the dead router itself, or on their way to it, may be refused.
         assert!(fleet.refused.get() <= 2, "{}", fleet.refused.get());
         sleep(100 * SECOND).await;
         let row = fleet.ledger();
         assert!(row.closed.0 >= fleet.spent.get());
         let over = row.closed.0 - fleet.spent.get();
-        assert!(over < fleet.prepaid() / 100, "{over} closed though nobody spent it");
+        assert!(over < fleet.prepaid() / 100, "{over} closed but not spent");
     });
 }
 
-/// A planned stop of a lender leaves nothing in doubt, also if others have borrowed of it.
+/// A planned stop of a lender leaves nothing in doubt, even with open loans.
 #[test]
 fn loans_lender_stops() {
     in_virtual_time(9, async {
         let fleet = Fleet::start(16, 2, 100_000_000);
         sleep(SECOND).await;
         fleet.load(4_000, 60, 4_000).await;
-        for place in 0..16 {
-            fleet.stop(place).await;
-            fleet.start_at(place);
+        for router in 0..16 {
+            fleet.stop(router).await;
+            fleet.start_router(router);
             fleet.load(500, 60, 4_000).await;
         }
         sleep(40 * SECOND).await;
@@ -238,14 +254,14 @@
     });
 }
 
-/// A router that is cut off from all others serves from a grant of its own.
+/// A router that is isolated from all others serves requests from its own grant.
 #[test]
-fn hold_cut_off_from_others() {
+fn reserve_tokens_isolated_router() {
     in_virtual_time(10, async {
         let fleet = Fleet::start(16, 2, 100_000_000);
         sleep(SECOND).await;
         fleet.load(2_000, 60, 4_000).await;
-        fleet.cut.borrow_mut().push(9);
+        fleet.isolated.borrow_mut().push(9);
         for _ in 0..40 {
             fleet.request(9, 4_000, 4_000, SECOND);
             sleep(Duration::from_millis(50)).await;
@@ -254,58 +270,60 @@
     });
 }
 
-/// A request whose route allows it 300 ms was held for a second and a half: a cut had begun, and
-/// the line opened later than that. The refusal came long after its caller had gone.
+/// Guards against holding a request for 1.5 s although its route allows 300 ms. In a store outage
+/// the limit opens later than that, and the refusal comes after the caller has gone.
 #[test]
-fn hold_by_own_time() {
+fn reserve_by_deadline() {
     in_virtual_time(11, async {
         let fleet = Fleet::start(1, 1, 400_000);
         sleep(SECOND).await;
         fleet.load(6_000, 10, 4_000).await;
         fleet.cut_store(true);
-        let keeper = fleet.hosts.borrow()[0].as_ref().unwrap().keeper.clone();
-        let (asked, most) = (tokio::time::Instant::now(), kingcupwall::ids::Tokens(30_000));
-        let until = asked + Duration::from_millis(300);
-        assert!(keeper.hold_by(ORG, most, until).await.is_err());
-        assert!(asked.elapsed() <= Duration::from_millis(310), "{:?}", asked.elapsed());
+        let manager = fleet.hosts.borrow()[0].as_ref().unwrap().manager.clone();
+        let (started, max_cost) = (tokio::time::Instant::now(), kingcupwall::ids::Tokens(30_000));
+        let until = started + Duration::from_millis(300);
+        assert!(manager.reserve_by(ORG, max_cost, until).await.is_err());
+        assert!(started.elapsed() <= Duration::from_millis(310), "{:?}", started.elapsed());
     });
 }
 
-/// A process of a place is still running when another one begins there, against what the platform
-/// promises. It must spend nothing more once the other has written the place's row.
+/// Guards against double spending if, contrary to the platform's guarantee, two processes run at
+/// one endpoint. The older one must stop spending once the newer one has written the endpoint's
+/// row.
 #[test]
-fn place_taken_over() {
+fn endpoint_taken_over() {
     in_virtual_time(12, async {
         let fleet = Fleet::start(1, 1, 1_000_000);
         sleep(SECOND).await;
         fleet.load(1_000, 10, 4_000).await;
-        let keeper = fleet.hosts.borrow()[0].as_ref().unwrap().keeper.clone();
-        fleet.start_at(0);
+        let manager = fleet.hosts.borrow()[0].as_ref().unwrap().manager.clone();
+        fleet.start_router(0);
         sleep(SECOND).await;
-        let held = keeper.hold(ORG, kingcupwall::ids::Tokens(4_000)).await;
-        // The first attempt after the take-over may still find its old line; its write cannot.
-        drop(held);
+        let first = manager.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await;
+        // The first attempt may still be covered by the old limit, but a write of the old process
+        // fails.
+        drop(first);
         sleep(SECOND).await;
-        assert!(keeper.hold(ORG, kingcupwall::ids::Tokens(4_000)).await.is_err());
+        assert!(manager.reserve_tokens(ORG, kingcupwall::ids::Tokens(4_000)).await.is_err());
     });
 }
 
-/// Rows of another format, or damaged ones, are spent from and closed by nobody.
+/// Rows that are damaged or have another format must not be spent from or closed.
 #[rstest]
 #[case::budget("budgets", ORG)]
-#[case::place("spending", "r0")]
+#[case::spending_row("spending", "r0")]
 fn rows_unreadable(#[case] table: &str, #[case] key: &str) {
     in_virtual_time(13, async {
         let fleet = Fleet::start(1, 1, 1_000_000);
         fleet.kill(0);
         let store: &MemoryRows = &fleet.store;
-        let at = kingcupwall::rows::RowKey::alone(table, key);
+        let at = kingcupwall::rows::RowKey::own_partition(table, key);
         let tx = kingcupwall::rows::Tx {
             write: vec![(at, bytes::Bytes::from_static(b"no row"))],
             ..Default::default()
         };
         store.commit(&tx).await.unwrap();
-        fleet.start_at(0);
+        fleet.start_router(0);
         sleep(SECOND).await;
         fleet.load(1_000, 10, 4_000).await;
         sleep(SECOND).await;
@@ -315,9 +333,10 @@
     });
 }
 
-/// Store answers are lost for a while: nothing that was written without an answer is spent twice.
+/// Guards against spending twice what was written without an answer. Store answers are lost for a
+/// while.
 #[test]
-fn hold_lost_answers() {
+fn reserve_tokens_lost_answers() {
     in_virtual_time(14, async {
         let fleet = Fleet::start(8, 2, 4_000_000);
         sleep(SECOND).await;
--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -1,10 +1,13 @@
-//! Cold targets: what they get from all routers together.
+//! Rate limiting of requests to cold targets across all routers.
 
 use std::time::Duration;
 
 use kingcupwall::gateway::CatalogParts;
-use kingcupwall::gateway::cold::{ADMISSION_LIFE, ColdBound, Meter, Owner, Pace, WarmUp, owner};
-use kingcupwall::gateway::place::{Candidate, Demand, Placement, Weights, place};
+use kingcupwall::gateway::cold::{
+    ADMISSION_TTL, AdmissionLimit, AdmissionWindow, ColdRateLimit, OwnerCandidate, WarmUp,
+    pick_owner,
+};
+use kingcupwall::gateway::place::{Candidate, Placement, PlacementGoal, PlacementWeights, place};
 use kingcupwall::standin::gateway::{LocalPlatform, parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::StandinTarget;
@@ -15,130 +18,135 @@
 
 use crate::gatedir::{Call, eventually, local};
 
-const BOUND: ColdBound = ColdBound { over: 1.5, slack: 5.0 };
+const BOUND: ColdRateLimit = ColdRateLimit { rate_factor: 1.5, slack: 5.0 };
 
-fn warm_up(per_s: f64) -> WarmUp {
-    WarmUp { lasts: Duration::from_secs(3), per_s }
+fn warm_up(requests_per_s: f64) -> WarmUp {
+    WarmUp { cold_duration: Duration::from_secs(3), requests_per_s }
 }
 
 #[rstest]
 #[case::usual(11.0, BOUND)]
 #[case::slow(2.0, BOUND)]
 #[case::very_slow(0.3, BOUND)]
-#[case::no_slack(8.0, ColdBound { over: 1.0, slack: 0.0 })]
-#[case::nothing_on_top(0.8, ColdBound { over: 1.0, slack: 0.0 })]
+#[case::no_slack(8.0, ColdRateLimit { rate_factor: 1.0, slack: 0.0 })]
+#[case::below_one_per_s(0.8, ColdRateLimit { rate_factor: 1.0, slack: 0.0 })]
 #[case::fast(400.0, BOUND)]
-fn pace_two_owners_within_bound(#[case] per_s: f64, #[case] bound: ColdBound) {
-    let pace = Pace::of(warm_up(per_s), bound);
-    let spans = 1.0_f64.max(pace.window.as_secs_f64());
-    let most = 2.0 * pace.requests as f64 / spans;
-    assert!(most <= per_s * bound.over + bound.slack, "{pace:?}");
-    assert!(pace.requests >= 1 && pace.requests as f64 / spans <= per_s, "{pace:?}");
+fn for_warm_up_two_owners_within_limit(#[case] requests_per_s: f64, #[case] bound: ColdRateLimit) {
+    let limit = AdmissionLimit::for_warm_up(warm_up(requests_per_s), bound);
+    let spans = 1.0_f64.max(limit.window.as_secs_f64());
+    let max_per_s = 2.0 * limit.requests as f64 / spans;
+    assert!(max_per_s <= requests_per_s * bound.rate_factor + bound.slack, "{limit:?}");
+    assert!(limit.requests >= 1 && limit.requests as f64 / spans <= requests_per_s, "{limit:?}");
 }
 
 proptest! {
     #[test]
-    fn meter_any_second(gaps in proptest::collection::vec(0_u64..300, 1..200)) {
-        let pace = Pace::of(warm_up(11.0), BOUND);
-        let mut meter = Meter::default();
+    fn admit_any_second_within_limit(gaps in proptest::collection::vec(0_u64..300, 1..200)) {
+        let limit = AdmissionLimit::for_warm_up(warm_up(11.0), BOUND);
+        let mut admission_window = AdmissionWindow::default();
         let mut now = Instant::now();
         let mut admitted = Vec::new();
         for gap in gaps {
             now += Duration::from_millis(gap);
-            match meter.admit(now, pace) {
+            match admission_window.admit(now, limit) {
                 Ok(()) => admitted.push(now),
                 Err(room_in) => {
                     prop_assert!(!room_in.is_zero());
-                    // There is room when it says so, and not before.
-                    prop_assert!(room_in <= pace.window);
+                    // The next admission is possible within one window.
+                    prop_assert!(room_in <= limit.window);
                 }
             }
         }
         for from in &admitted {
             let within = |t: &&Instant| *t >= from && **t < *from + Duration::from_secs(1);
-            prop_assert!(admitted.iter().filter(within).count() <= pace.requests);
+            prop_assert!(admitted.iter().filter(within).count() <= limit.requests);
         }
     }
 }
 
-fn router(name: &str, zone: &str, capacity: u32) -> Owner {
+fn router(name: &str, zone: &str, capacity: u32) -> OwnerCandidate {
     let addr = "127.0.0.1:80".parse().unwrap();
-    Owner { instance: name.into(), zone: zone.into(), addr, capacity }
+    OwnerCandidate { instance: name.into(), zone: zone.into(), addr, capacity }
 }
 
 #[test]
-fn owner_largest_of_the_zone() {
+fn pick_owner_largest_in_zone() {
     let mut routers = vec![
         router("a", "z1", 50),
         router("b", "z1", 200),
         router("c", "z1", 200),
         router("d", "z2", 900),
     ];
-    let of =
-        |routers: &[Owner], target: &str| owner(routers, target, "z1").unwrap().instance.clone();
+    let of = |routers: &[OwnerCandidate], target: &str| {
+        pick_owner(routers, target, "z1").unwrap().instance.clone()
+    };
     let owners: Vec<_> = (0..20).map(|n| of(&routers, &format!("t{n}"))).collect();
     assert!(owners.iter().all(|o| o == "b" || o == "c"));
     assert!(owners.iter().any(|o| o == "b") && owners.iter().any(|o| o == "c"));
-    // Only the targets of a router that goes change their owner, in whatever order others stand.
+    // Removing a router changes the owner of its own targets only, whatever the order of the list.
     routers.retain(|r| r.instance != "c");
     routers.reverse();
     for (n, before) in owners.iter().enumerate().filter(|(_, o)| *o == "b") {
         assert_eq!(of(&routers, &format!("t{n}")), *before);
     }
-    // A zone without routers is seen to by the others.
-    assert_eq!(owner(&routers, "t1", "z3").unwrap().instance, "d");
-    assert_eq!(owner(&[], "t1", "z1"), None);
+    // Targets in a zone without routers are owned by routers of other zones.
+    assert_eq!(pick_owner(&routers, "t1", "z3").unwrap().instance, "d");
+    assert_eq!(pick_owner(&[], "t1", "z1"), None);
 }
 
 #[rstest]
 #[case::room(&[Some(0), None], 0)]
 #[case::no_room(&[Some(30), None], 1)]
-fn place_cold_with_room(#[case] room_in_ms: &[Option<u64>], #[case] expected: usize) {
-    let sent = place(&candidates(room_in_ms), &DEMAND, &Weights::default());
+fn place_cold_target_with_capacity(#[case] room_in_ms: &[Option<u64>], #[case] expected: usize) {
+    let sent = place(&candidates(room_in_ms), &GOAL, &PlacementWeights::default());
     assert!(matches!(sent, Placement::Send { index, .. } if index == expected), "{sent:?}");
 }
 
 #[test]
-fn place_all_cold_without_room() {
-    // Guards against callers that are sent away without the time at which there is room.
-    let placement = place(&candidates(&[Some(70), Some(30)]), &DEMAND, &Weights::default());
+fn place_all_targets_cold() {
+    // Guards against refusals that don't state when the next request can be admitted.
+    let placement = place(&candidates(&[Some(70), Some(30)]), &GOAL, &PlacementWeights::default());
     assert_eq!(placement, Placement::Cold { room_in: Duration::from_millis(30) });
 }
 
-const DEMAND: Demand =
-    Demand { aim: Duration::from_millis(300), left: Duration::from_secs(5), engine: true };
+const GOAL: PlacementGoal = PlacementGoal {
+    aim: Duration::from_millis(300),
+    remaining: Duration::from_secs(5),
+    engine: true,
+};
 
-/// One candidate each, the first ones cheaper.
+/// One candidate per element of `room_in_ms`, in order of increasing cost.
 fn candidates(room_in_ms: &[Option<u64>]) -> Vec<Candidate> {
     let candidate = |(i, ms): (usize, &Option<u64>)| Candidate {
-        near: true,
+        same_zone: true,
         uncached: 100,
         wait_ms: 50.0 * i as f64,
         base_ms: 0.0,
         prefill_ms: 10.0,
-        running: 0,
+        in_flight_requests: 0,
         slots: 8,
         rank: i,
-        doubtful: false,
-        resting: None,
+        unhealthy: false,
+        backoff: None,
         tried: false,
         room_in: ms.map(Duration::from_millis),
     };
     room_in_ms.iter().enumerate().map(candidate).collect()
 }
 
-/// Requests within any second that a cold target bears here.
-const BEARS: usize = 12;
-/// The operator's bound for it: 4 a second, times 1.5, and 6 more.
-const PER_S: f64 = 4.0;
+/// Number of requests within any second that a cold target can handle in these tests.
+const COLD_CAPACITY: usize = 12;
+/// The warm-up rate of the service. With the factor 1.5 and the slack of 5 that the test routers
+/// use, the operator's limit is 11 requests per second.
+const COLD_REQUESTS_PER_S: f64 = 4.0;
 
-fn warming_parts() -> CatalogParts {
+fn warm_up_parts() -> CatalogParts {
     let mut p = parts(1, 1_000_000);
-    p.services[0].warm_up = Some(warm_up(PER_S));
+    p.services[0].warm_up = Some(warm_up(COLD_REQUESTS_PER_S));
     p
 }
 
-/// Routers before targets of which the first ones are cold.
+/// Routers and their targets, of which the first ones are cold.
 struct Fleet {
     platform: LocalPlatform,
     targets: Vec<StandinTarget>,
@@ -148,7 +156,7 @@
 impl Fleet {
     async fn start(routers: usize, cold: usize, warm: usize) -> Fleet {
         let platform = LocalPlatform::new();
-        platform.configure(warming_parts());
+        platform.configure(warm_up_parts());
         let mut targets = Vec::new();
         for n in 1..=warm + cold {
             let target = StandinTarget::start(&format!("t{n}"), "model", "zone-1").await.unwrap();
@@ -161,26 +169,30 @@
             hosts.push(GatewayHost::start(&platform, &name, "zone-1", 1).await.unwrap());
         }
         for r in &hosts {
-            eventually("the others are known", || r.gw.peers.borrow().len() + 1 >= routers).await;
-            eventually("targets are known", || r.gw.targets.count().0 == warm + cold).await;
+            eventually("discovery ofthe other routers", || {
+                r.gw.peers.borrow().len() + 1 >= routers
+            })
+            .await;
+            eventually("discovery of thetargets", || r.gw.targets.count().0 == warm + cold).await;
         }
-        // Until each knows its own row, and has settled.
+        // By then every router has read its own row, and its startup delay is over.
         sleep(Duration::from_millis(2_300)).await;
         let fleet = Fleet { platform, targets, routers: hosts };
         for target in &fleet.targets[..cold] {
-            target.set_cold(Some(BEARS));
+            target.set_cold(Some(COLD_CAPACITY));
             fleet.platform.register_cold(target, "ready", Duration::from_secs(3));
         }
         for r in &fleet.routers {
-            eventually("targets are cold", || r.gw.targets.count_cold() == cold).await;
+            eventually("the warm-up of thetargets", || r.gw.targets.count_cold() == cold).await;
         }
         fleet
     }
 
-    /// Many requests at each router, all at once. Returns how many were answered.
-    async fn burst(&self, at_each: usize) -> usize {
+    /// Sends requests to each router, all at the same time. Returns the number of answered
+    /// requests.
+    async fn burst(&self, per_router: usize) -> usize {
         let mut calls = Vec::new();
-        for (r, n) in self.routers.iter().flat_map(|r| (0..at_each).map(move |n| (r, n))) {
+        for (r, n) in self.routers.iter().flat_map(|r| (0..per_router).map(move |n| (r, n))) {
             let front = r.front;
             let call = Call::get("/once/a").id(&format!("{front}-{n}")).body("order");
             calls.push(spawn_local(async move { call.send(front).await.status() }));
@@ -196,21 +208,21 @@
 }
 
 #[test]
-fn cold_target_before_many_routers() {
-    // Guards against a target that has just come back and ends under what all routers send it at
-    // once, each of them a little.
+fn cold_target_with_many_routers() {
+    // Guards against a restarted target that crashes because every router sends it a few requests
+    // at the same time.
     local(async {
         let fleet = Fleet::start(5, 1, 0).await;
         let answered = fleet.burst(12).await;
         let cold = &fleet.targets[0];
-        assert!(!cold.has_ended(), "{} within a second", cold.most_while_cold());
-        assert!(answered >= PER_S as usize, "{answered} answered");
+        assert!(!cold.has_ended(), "{} requests within a second", cold.most_while_cold());
+        assert!(answered >= COLD_REQUESTS_PER_S as usize, "{answered} answered");
     });
 }
 
 #[test]
-fn cold_target_beside_warm_ones() {
-    // Guards against callers that are refused because one of the targets is cold.
+fn cold_target_with_warm_targets() {
+    // Guards against refusals because one of several targets is cold.
     local(async {
         let fleet = Fleet::start(3, 1, 2).await;
         assert_eq!(fleet.burst(10).await, 30);
@@ -220,8 +232,8 @@
 }
 
 #[test]
-fn cold_refusal_says_when() {
-    // Guards against callers that are refused at a cold target without a time to come back.
+fn cold_refusal_has_retry_after() {
+    // Guards against refusals at a cold target without a `Retry-After`.
     local(async {
         let fleet = Fleet::start(1, 1, 0).await;
         let front = fleet.routers[0].front;
@@ -230,7 +242,7 @@
             let got = Call::get("/once/a").id(&format!("q{n}")).body("order").send(front).await;
             refused = refused.or((got.status() == 503).then_some(got));
         }
-        let refused = refused.expect("more than it bears");
+        let refused = refused.expect("no request was refused");
         assert_eq!(refused.body, r#"{"error":"cold"}"#);
         let after: f64 = refused.header("Retry-After").unwrap().parse().unwrap();
         assert!((0.1..=3.0).contains(&after), "{after}");
@@ -238,19 +250,19 @@
 }
 
 #[test]
-fn cold_after_zone_is_taken_back() {
-    // Guards against targets that became cold while their zone was emptied and get all requests at
-    // once, because their entries do not say so yet.
+fn cold_target_after_zone_is_restored() {
+    // Guards against sending all requests at once to targets that became cold while their zone was
+    // emptied. Their entries do not show this yet.
     local(async {
         let fleet = Fleet::start(2, 0, 1).await;
         fleet.platform.empty_zone("zone-1");
         for r in &fleet.routers {
-            eventually("it is emptied", || r.gw.zones.is_emptied("zone-1")).await;
+            eventually("emptying the zone", || r.gw.zones.is_emptied("zone-1")).await;
         }
-        fleet.targets[0].set_cold(Some(BEARS));
+        fleet.targets[0].set_cold(Some(COLD_CAPACITY));
         fleet.platform.take_zone_back("zone-1");
         for r in &fleet.routers {
-            eventually("it is back", || !r.gw.zones.is_emptied("zone-1")).await;
+            eventually("restoring the zone", || !r.gw.zones.is_emptied("zone-1")).await;
         }
         fleet.burst(20).await;
         assert!(!fleet.targets[0].has_ended());
@@ -258,36 +270,36 @@
 }
 
 #[test]
-fn cold_in_zone_taken_back_before_target_is_known() {
-    // Guards against a target that gets all requests at once because its zone was taken back
-    // before this router knew of it, or of the configuration.
+fn cold_target_unknown_when_zone_is_restored() {
+    // Guards against sending all requests at once to a target whose zone was restored before this
+    // router knew the target or the configuration.
     local(async {
         let mut fleet = Fleet::start(1, 0, 1).await;
         fleet.platform.empty_zone("zone-1");
         let gw = fleet.routers[0].gw.clone();
-        eventually("it is emptied", || gw.zones.is_emptied("zone-1")).await;
+        eventually("emptying the zone", || gw.zones.is_emptied("zone-1")).await;
         fleet.platform.take_zone_back("zone-1");
-        eventually("it is back", || !gw.zones.is_emptied("zone-1")).await;
+        eventually("restoring the zone", || !gw.zones.is_emptied("zone-1")).await;
         let target = StandinTarget::start("t2", "model", "zone-1").await.unwrap();
-        target.set_cold(Some(BEARS));
+        target.set_cold(Some(COLD_CAPACITY));
         fleet.platform.register(&target, "ready");
-        eventually("it is known", || gw.targets.count().0 == 2).await;
+        eventually("registering the second target", || gw.targets.count().0 == 2).await;
         fleet.targets.push(target);
         fleet.burst(30).await;
         let target = &fleet.targets[1];
-        assert!(!target.has_ended(), "{} within a second", target.most_while_cold());
+        assert!(!target.has_ended(), "{} requests within a second", target.most_while_cold());
     });
 }
 
 #[test]
-fn cold_after_it_could_not_be_reached() {
-    // Guards against a target that started anew and gets all requests at once, because the store
-    // is away and its entry says nothing of that.
+fn cold_target_after_refused_connection() {
+    // Guards against sending all requests at once to a restarted target whose entry does not show
+    // the restart because the store is unavailable.
     local(async {
         let fleet = Fleet::start(1, 0, 1).await;
         let backend = fleet.routers[0].gw.targets.all().remove(0);
-        backend.life.unreached(&std::io::ErrorKind::ConnectionRefused.into());
-        fleet.targets[0].set_cold(Some(BEARS));
+        backend.life.connect_failed(&std::io::ErrorKind::ConnectionRefused.into());
+        fleet.targets[0].set_cold(Some(COLD_CAPACITY));
         fleet.burst(30).await;
         assert!(!fleet.targets[0].has_ended());
         assert!(backend.is_cold(Instant::now()));
@@ -295,8 +307,9 @@
 }
 
 #[test]
-fn cold_owner_is_silent() {
-    // Guards against routers that send on their own when the one that admits does not answer.
+fn cold_target_with_unresponsive_owner() {
+    // Guards against routers that send requests without an admission when the owner does not
+    // answer.
     local(async {
         let mut fleet = Fleet::start(2, 1, 0).await;
         let owner_of = |r: &GatewayHost| r.gw.cold.owner_of("t1", "zone-1").unwrap();
@@ -311,7 +324,7 @@
 }
 
 #[test]
-fn admission_is_short() {
-    // An admission that is used later than this counts in another second than it was admitted in.
-    assert!(ADMISSION_LIFE < Duration::from_millis(50));
+fn admission_ttl_is_short() {
+    // A longer TTL would let requests count in a later second than the one they were admitted in.
+    assert!(ADMISSION_TTL < Duration::from_millis(50));
 }
