--- a/src/table/memory.rs
+++ b/src/table/memory.rs
@@ -88,7 +88,7 @@
         Outcome::Committed(self.last_version)
     }
 
-    fn record_outcome(&mut self, id: CompactString, outcome: Outcome) {
+    fn store_outcome(&mut self, id: CompactString, outcome: Outcome) {
         self.outcome_order.push_back(id.clone());
         self.outcomes.insert(id, outcome);
         if self.outcome_order.len() > MAX_KEPT_OUTCOMES
@@ -180,7 +180,7 @@
         }
         state.counts.txns += 1;
         let outcome = state.apply(&txn);
-        state.record_outcome(txn.id, outcome.clone());
+        state.store_outcome(txn.id, outcome.clone());
         if state.faults.lose_answers > 0 {
             state.faults.lose_answers -= 1;
             return Err(Error::new(Kind::Timeout, "the response to the write was lost"));
