--- a/src/api/chat.rs
+++ b/src/api/chat.rs
@@ -20,7 +20,7 @@
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, RequestKey, ServiceId, Tokens};
-use crate::membership::wire::Mesh;
+use crate::membership::wire::PeerClient;
 use crate::request::runs::{Run, RunEnd};
 use crate::router::drive::{ModelJob, open_run};
 use crate::router::gates::AdmissionRequest;
@@ -53,7 +53,7 @@
 }
 
 /// Handles a chat request.
-pub async fn complete<P: Platform, E: Engine, M: Mesh>(
+pub async fn complete<P: Platform, E: Engine, M: PeerClient>(
     State(node): NodeState<P, E, M>,
     headers: HeaderMap,
     body: BodyResult,
@@ -62,7 +62,7 @@
     try_complete(node, headers, body).await.unwrap_or_else(IntoResponse::into_response)
 }
 
-async fn try_complete<P: Platform, E: Engine, M: Mesh>(
+async fn try_complete<P: Platform, E: Engine, M: PeerClient>(
     node: Arc<Node<P, E, M>>,
     headers: HeaderMap,
     body: BodyResult,
@@ -189,7 +189,7 @@
     }
 }
 
-fn open<P: Platform, E: Engine, M: Mesh>(
+fn open<P: Platform, E: Engine, M: PeerClient>(
     node: &Arc<Node<P, E, M>>,
     org: &Organisation,
     key: RequestKey,
--- a/src/api/entry.rs
+++ b/src/api/entry.rs
@@ -11,8 +11,8 @@
 use crate::engine::Engine;
 use crate::error::Result;
 use crate::ids::ZoneId;
-use crate::membership::entry::answer;
-use crate::membership::wire::Mesh;
+use crate::membership::selection::routers_for_caller;
+use crate::membership::wire::PeerClient;
 use crate::router::node::Node;
 use crate::table::Platform;
 
@@ -34,7 +34,7 @@
 }
 
 /// Handles an entry request.
-pub async fn entry<P: Platform, E: Engine, M: Mesh>(
+pub async fn entry<P: Platform, E: Engine, M: PeerClient>(
     State(node): NodeState<P, E, M>,
     Query(query): Query<EntryQuery>,
     headers: HeaderMap,
@@ -43,7 +43,7 @@
         .map_or_else(IntoResponse::into_response, |a| Json(a).into_response())
 }
 
-fn try_entry<P: Platform, E: Engine, M: Mesh>(
+fn try_entry<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     query: &EntryQuery,
     headers: &HeaderMap,
@@ -51,7 +51,8 @@
     let org = organisation(node, headers)?;
     let zone: Option<ZoneId> = query.zone.as_deref().map(str::parse).transpose()?;
     let fleet = node.cfg.read().expect("the lock is never poisoned").fleet.clone();
-    let entries = answer(&node.live(), &org.id, fleet.entry_width as usize, zone.as_ref());
+    let entries =
+        routers_for_caller(&node.live(), &org.id, fleet.entry_width as usize, zone.as_ref());
     let addresses = entries.into_iter().map(|e| e.api.to_string()).collect();
     Ok(EntryAnswer { addresses, lifetime_ms: fleet.entry_lifetime.0 })
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -21,7 +21,7 @@
 use crate::engine::Engine;
 use crate::error::{Error, Kind, NotRun, Result};
 use crate::ids::RequestKey;
-use crate::membership::wire::Mesh;
+use crate::membership::wire::PeerClient;
 use crate::router::node::Node;
 use crate::table::Platform;
 
@@ -46,7 +46,7 @@
 pub type BodyResult = std::result::Result<Bytes, BytesRejection>;
 
 /// Builds the router for all paths.
-pub fn api_app<P: Platform, E: Engine, M: Mesh>(node: Arc<Node<P, E, M>>) -> axum::Router {
+pub fn api_app<P: Platform, E: Engine, M: PeerClient>(node: Arc<Node<P, E, M>>) -> axum::Router {
     let operator = axum::Router::new()
         .route("/operator/status", get(operator::status::<P, E, M>))
         .route("/operator/budget/{organisation}", get(operator::budget::<P, E, M>))
@@ -66,7 +66,9 @@
         .with_state(node)
 }
 
-async fn readyz<P: Platform, E: Engine, M: Mesh>(State(node): NodeState<P, E, M>) -> Response {
+async fn readyz<P: Platform, E: Engine, M: PeerClient>(
+    State(node): NodeState<P, E, M>,
+) -> Response {
     match node.is_ready() {
         true => "ready".into_response(),
         false => (StatusCode::SERVICE_UNAVAILABLE, "not ready").into_response(),
@@ -129,7 +131,7 @@
 /// # Errors
 ///
 /// Returns `Unauthorized`, with the same message for a missing and a wrong key.
-pub fn organisation<P: Platform, E: Engine, M: Mesh>(
+pub fn organisation<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     headers: &HeaderMap,
 ) -> Result<Organisation> {
@@ -144,7 +146,7 @@
 /// # Errors
 ///
 /// Returns `BadRequest` if the key is malformed.
-pub fn request_key<P: Platform, E: Engine, M: Mesh>(
+pub fn request_key<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     headers: &HeaderMap,
 ) -> Result<(RequestKey, bool)> {
@@ -186,7 +188,7 @@
 /// # Errors
 ///
 /// Returns `Draining` if it does not.
-pub fn check_accepting<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>) -> Result<()> {
+pub fn check_accepting<P: Platform, E: Engine, M: PeerClient>(node: &Node<P, E, M>) -> Result<()> {
     match node.refuses_new() {
         true => Err(Error::new(Kind::Draining, "this router drains; ask /v1/entry for others")),
         false => Ok(()),
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,8 @@
-//! Who else is there: gossip among routers, entry answers, authenticated links.
+//! Membership of the router fleet: gossip among routers, selection of routers for callers, and
+//! authenticated links between routers.
 
-pub mod entry;
 pub mod frame;
 pub mod link;
+pub mod selection;
 pub mod view;
 pub mod wire;
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 
-use crate::engine::{Part, Piece, RunUsage};
+use crate::engine::{Piece, RunPiece, RunUsage};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, RunId};
 
@@ -37,7 +37,7 @@
     ///
     /// Returns `TargetFailed` if a token is missing, or if the token count at the end does not
     /// match. The stream cannot be trusted then and has to be fetched again.
-    pub fn append_part(&mut self, run: &RunId, part: Part) -> Result<PieceResult> {
+    pub fn append_part(&mut self, run: &RunId, part: RunPiece) -> Result<PieceResult> {
         if part.run != *run {
             self.dropped += 1;
             return Ok(PieceResult::Dropped);
--- a/src/request/runs.rs
+++ b/src/request/runs.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use super::answer::{AnswerAssembler, PieceResult};
-use crate::engine::{Part, RunUsage, ServiceAnswer};
+use crate::engine::{RunPiece, RunUsage, ServiceAnswer};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, Millis, OrganisationId, RequestKey, RunId, TargetId};
 
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// Same as [`AnswerAssembler::append_part`].
-    pub fn append_part(&self, run: &RunId, part: Part) -> Result<PieceResult> {
+    pub fn append_part(&self, run: &RunId, part: RunPiece) -> Result<PieceResult> {
         let result = self.lock().answer.append_part(run, part)?;
         if result == PieceResult::Appended {
             self.notify_followers();
--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -19,11 +19,11 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::config::settings::Settings;
-use crate::config::store::Follower;
+use crate::config::store::ConfigFollower;
 use crate::engine::Engine;
 use crate::ids::{Digest, Incarnation};
-use crate::membership::view::{Entry, View};
-use crate::membership::wire::Mesh;
+use crate::membership::view::{RouterInfo, View};
+use crate::membership::wire::PeerClient;
 use crate::route::picker::{Picker, Policy};
 use crate::table::Platform;
 
@@ -59,7 +59,7 @@
 }
 
 /// A started node.
-pub struct BootedNode<P: Platform, E: Engine, M: Mesh> {
+pub struct BootedNode<P: Platform, E: Engine, M: PeerClient> {
     /// The node.
     pub node: Arc<Node<P, E, M>>,
     /// Handler for messages from other routers.
@@ -83,17 +83,17 @@
 
 /// Starts a node. Waits until the platform is available, because a router cannot serve anything
 /// without the head of the configuration and a holder row.
-pub async fn boot<P: Platform, E: Engine, M: Mesh>(
+pub async fn boot<P: Platform, E: Engine, M: PeerClient>(
     options: BootOptions<P, E, M>,
 ) -> BootedNode<P, E, M> {
     let cfg: Arc<RwLock<Config>> = Arc::default();
-    let mut follower = Follower::default();
+    let mut follower = ConfigFollower::default();
     while let Err(e) = follower.catch_up(&options.platform, &cfg).await {
         log::warn!("start=waits for=configuration error={:?}", e.message);
         sleep(RETRY_INTERVAL).await;
     }
     let (session, events) = first_session(&options, &cfg).await;
-    let me = Entry {
+    let me = RouterInfo {
         incarnation: session.incarnation.clone(),
         zone: options.settings.zone.clone(),
         api: options.api,
@@ -125,7 +125,7 @@
     BootedNode { node, peer_handler, tasks }
 }
 
-async fn first_session<P: Platform, E: Engine, M: Mesh>(
+async fn first_session<P: Platform, E: Engine, M: PeerClient>(
     options: &BootOptions<P, E, M>,
     cfg: &Arc<RwLock<Config>>,
 ) -> (Arc<Session<P, M>>, mpsc::UnboundedReceiver<SessionEvent>) {
@@ -157,7 +157,7 @@
 
 /// Releases all grants, flushes the bills and marks the incarnation as left. Whatever is not done
 /// by `limit` is left to the witness.
-pub async fn release_and_leave<P: Platform, E: Engine, M: Mesh>(
+pub async fn release_and_leave<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     limit: Instant,
 ) {
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -11,11 +11,11 @@
 use super::node::{Counts, Node};
 use super::session::{HeldTokens, HoldSpec, Session};
 use crate::budget::ledger::Bill;
-use crate::engine::{Engine, Parts, RunUsage, StartRun};
+use crate::engine::{Engine, PieceStream, RunUsage, StartRun};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, OrganisationId, RequestKey, RunId, TargetId, Tokens};
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Found, Mesh, Reply};
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{KnownRequest, PeerClient, PeerReply, PeerRequest};
 use crate::request::answer::PieceResult;
 use crate::request::runs::{Run, RunEnd};
 use crate::request::stage::{Next, Repeatable, Stage, after_failure};
@@ -72,22 +72,22 @@
 }
 
 /// Asks the routers that may know a request with this key. Prefers an answer that names a run.
-pub async fn find_at_peers<P: Platform, E: Engine, M: Mesh>(
+pub async fn find_at_peers<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     organisation: &OrganisationId,
     key: &RequestKey,
-) -> Option<Found> {
+) -> Option<KnownRequest> {
     // This router may itself be the witness of a dead router and have its copy.
     if let Some(found) = node.find_copy(organisation, key) {
         return Some(found);
     }
     let others = node.budget_peers(organisation);
-    let ask = || Ask::Find { organisation: organisation.clone(), key: key.clone() };
+    let ask = || PeerRequest::Find { organisation: organisation.clone(), key: key.clone() };
     let replies =
-        futures_util::future::join_all(others.iter().map(|o| node.mesh.ask(o, ask()))).await;
-    let mut found: Vec<Found> = replies
+        futures_util::future::join_all(others.iter().map(|o| node.mesh.rpc(o, ask()))).await;
+    let mut found: Vec<KnownRequest> = replies
         .into_iter()
-        .filter_map(|r| if let Ok(Reply::Found(f)) = r { f } else { None })
+        .filter_map(|r| if let Ok(PeerReply::Found(f)) = r { f } else { None })
         .collect();
     let started = found.iter().position(|f| f.run.is_some()).unwrap_or(0);
     (!found.is_empty()).then(|| found.swap_remove(started))
@@ -98,7 +98,7 @@
 /// # Errors
 ///
 /// Returns `KeyReused` if the key belongs to a request with other content.
-pub fn open_run<P: Platform, E: Engine, M: Mesh>(
+pub fn open_run<P: Platform, E: Engine, M: PeerClient>(
     node: &Arc<Node<P, E, M>>,
     new: Run,
     job: ModelJob,
@@ -107,7 +107,7 @@
 }
 
 /// Drives `run` until it ends. The end is always set, so that callers never wait forever.
-pub async fn drive<P: Platform, E: Engine, M: Mesh>(
+pub async fn drive<P: Platform, E: Engine, M: PeerClient>(
     node: Arc<Node<P, E, M>>,
     run: Arc<Run>,
     job: ModelJob,
@@ -143,14 +143,14 @@
     run.end(end);
 }
 
-fn refuse<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>, run: &Run, e: Error) {
+fn refuse<P: Platform, E: Engine, M: PeerClient>(node: &Node<P, E, M>, run: &Run, e: Error) {
     Counts::add(&node.counts.refused);
     log::info!("request=refused org={} key={} kind={}", run.organisation, run.key, e.kind);
     run.end(RunEnd::Failed(e));
 }
 
 /// Joins a run that another router has admitted. Returns whether the request has ended.
-async fn join_at_peer<P: Platform, E: Engine, M: Mesh>(
+async fn join_at_peer<P: Platform, E: Engine, M: PeerClient>(
     node: &Arc<Node<P, E, M>>,
     run: &Run,
     job: &ModelJob,
@@ -177,7 +177,7 @@
     false
 }
 
-async fn follow_run<P: Platform, E: Engine, M: Mesh>(
+async fn follow_run<P: Platform, E: Engine, M: PeerClient>(
     node: &Arc<Node<P, E, M>>,
     run: &Run,
     id: &RunId,
@@ -195,7 +195,7 @@
 }
 
 /// Reads a stream until the run ends.
-async fn read_parts<S: Parts>(run: &Run, id: &RunId, parts: &mut S) -> Result<RunUsage> {
+async fn read_parts<S: PieceStream>(run: &Run, id: &RunId, parts: &mut S) -> Result<RunUsage> {
     let mut last_followed = Instant::now();
     loop {
         let broke = || Error::new(Kind::TargetFailed, "the stream broke off");
@@ -214,7 +214,7 @@
 }
 
 /// State of driving one model request through its attempts.
-struct RunDriver<'a, P: Platform, E: Engine, M: Mesh> {
+struct RunDriver<'a, P: Platform, E: Engine, M: PeerClient> {
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Arc<Run>,
     job: &'a ModelJob,
@@ -224,7 +224,7 @@
 }
 
 /// A hold together with the session that made it. The router may have started a new session since.
-pub struct Reservation<P: Platform, M: Mesh> {
+pub struct Reservation<P: Platform, M: PeerClient> {
     /// Session that made the hold.
     pub session: Arc<Session<P, M>>,
     /// The held tokens.
@@ -233,7 +233,7 @@
     pub spec: HoldSpec,
 }
 
-impl<P: Platform, M: Mesh> Reservation<P, M> {
+impl<P: Platform, M: PeerClient> Reservation<P, M> {
     /// Bills the tokens used.
     pub async fn settle(self, usage: RunUsage) {
         let cost = Tokens(usage.prompt_tokens).plus(Tokens(usage.tokens));
@@ -246,7 +246,7 @@
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> RunDriver<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: PeerClient> RunDriver<'_, P, E, M> {
     async fn run_to_end(&mut self) -> RunEnd {
         let late = |_| Error::new(Kind::Timeout, "the answer was not whole before its deadline");
         let ended = timeout_at(self.deadline, self.try_targets()).await.map_err(late).flatten();
@@ -282,11 +282,11 @@
     }
 
     async fn stop_run(&self, id: &RunId, target: &TargetId) -> Option<RunUsage> {
-        use crate::engine::Cancelled;
+        use crate::engine::CancelOutcome;
         let addr = self.node.lock_picker().addr(target)?;
         match self.node.engine.cancel(&addr, id).await.ok()? {
-            Cancelled::NeverRan => None,
-            Cancelled::Stopped(usage) | Cancelled::Ended(usage) => Some(usage),
+            CancelOutcome::NeverRan => None,
+            CancelOutcome::Stopped(usage) | CancelOutcome::Ended(usage) => Some(usage),
         }
     }
 
@@ -443,11 +443,11 @@
 /// # Errors
 ///
 /// Returns the errors of [`Session::reserve`], with `Fenced` replaced by `PlatformAway`.
-pub async fn reserve_with_retry<P: Platform, E: Engine, M: Mesh>(
+pub async fn reserve_with_retry<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     session: &Arc<Session<P, M>>,
     spec: &HoldSpec,
-    others: &[Entry],
+    others: &[RouterInfo],
 ) -> Result<HeldTokens> {
     let mut attempt = 0;
     loop {
@@ -456,7 +456,7 @@
             Err(e) => e,
         };
         attempt += 1;
-        let has_suspect = node.lock_view().has_doubtful(node.now());
+        let has_suspect = node.lock_view().has_recently_silent(node.now());
         if refused.kind != Kind::BudgetExhausted || !has_suspect || attempt > MAX_SUSPECT_RETRIES {
             return Err(fenced_as_platform_away(refused));
         }
@@ -471,13 +471,13 @@
 }
 
 /// Counts a run as in flight at its target until dropped.
-struct InFlightGuard<'a, P: Platform, E: Engine, M: Mesh> {
+struct InFlightGuard<'a, P: Platform, E: Engine, M: PeerClient> {
     node: &'a Node<P, E, M>,
     target: TargetId,
     ok: bool,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Drop for InFlightGuard<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: PeerClient> Drop for InFlightGuard<'_, P, E, M> {
     fn drop(&mut self) {
         self.node.lock_picker().ended(self.node.now(), &self.target, self.ok);
     }
--- a/src/router/drive_call.rs
+++ b/src/router/drive_call.rs
@@ -15,7 +15,7 @@
 use crate::engine::{Engine, RunUsage, ServiceAnswer, ServiceCall};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Incarnation, RunId, TargetId, Tokens};
-use crate::membership::wire::Mesh;
+use crate::membership::wire::PeerClient;
 use crate::request::runs::{Run, RunEnd};
 use crate::request::stage::{Next, Repeatable, Stage, after_failure};
 use crate::route::picker::Choice;
@@ -71,7 +71,7 @@
 /// # Errors
 ///
 /// Returns `KeyReused` if the key belongs to a call with other content.
-pub fn open_call<P: Platform, E: Engine, M: Mesh>(
+pub fn open_call<P: Platform, E: Engine, M: PeerClient>(
     node: &Arc<Node<P, E, M>>,
     new: Run,
     job: CallJob,
@@ -80,7 +80,7 @@
 }
 
 /// Drives `run` until it ends. The end is always set, so that callers never wait forever.
-pub async fn drive_call<P: Platform, E: Engine, M: Mesh>(
+pub async fn drive_call<P: Platform, E: Engine, M: PeerClient>(
     node: Arc<Node<P, E, M>>,
     run: Arc<Run>,
     job: CallJob,
@@ -116,14 +116,14 @@
 }
 
 /// State of driving one service call through its attempts.
-struct CallDriver<'a, P: Platform, E: Engine, M: Mesh> {
+struct CallDriver<'a, P: Platform, E: Engine, M: PeerClient> {
     node: &'a Arc<Node<P, E, M>>,
     run: &'a Run,
     job: &'a CallJob,
     reservation: Option<Reservation<P, M>>,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> CallDriver<'_, P, E, M> {
+impl<P: Platform, E: Engine, M: PeerClient> CallDriver<'_, P, E, M> {
     async fn run_to_end(&mut self) -> Result<ServiceAnswer> {
         let choice = self.choose(&[])?;
         let id = self.node.session().new_run_id();
@@ -262,7 +262,7 @@
     }
 
     fn is_alive(&self, owner: &Incarnation) -> bool {
-        self.node.lock_view().alive(self.node.now(), owner)
+        self.node.lock_view().is_router_alive(self.node.now(), owner)
     }
 
     async fn dispatch(&mut self, id: &RunId, first: Choice) -> (Stage, Result<ServiceAnswer>) {
--- a/src/router/node.rs
+++ b/src/router/node.rs
@@ -13,13 +13,13 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::config::settings::Settings;
-use crate::config::store::Follower;
+use crate::config::store::ConfigFollower;
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Incarnation, Millis, OrganisationId, RequestKey, TargetId};
-use crate::membership::entry::home;
-use crate::membership::view::{Entry, View};
-use crate::membership::wire::{Ask, Found, Mesh, Reply};
+use crate::membership::selection::home_routers;
+use crate::membership::view::{RouterInfo, View};
+use crate::membership::wire::{KnownRequest, PeerClient, PeerReply, PeerRequest};
 use crate::request::runs::{Lookup, Run, Runs};
 use crate::route::picker::Picker;
 use crate::route::retry::RetryBudget;
@@ -37,21 +37,21 @@
 
 /// Seals holders at their backups over the links between routers.
 #[derive(Clone, Debug)]
-pub struct MeshBackupSealer<M: Mesh> {
+pub struct MeshBackupSealer<M: PeerClient> {
     mesh: M,
-    known: Vec<Entry>,
+    known: Vec<RouterInfo>,
 }
 
-impl<M: Mesh> BackupSealer for MeshBackupSealer<M> {
+impl<M: PeerClient> BackupSealer for MeshBackupSealer<M> {
     async fn seal_at(&self, backup: &Incarnation, holder: &Incarnation) -> Result<Vec<HoldCopy>> {
         let unknown = || Error::new(Kind::Io, format!("backup {backup} is not known"));
         let to = self.known.iter().find(|e| e.incarnation == *backup).ok_or_else(unknown)?;
         match self
             .mesh
-            .ask(to, Ask::Seal { keeper: backup.clone(), holder: holder.clone() })
+            .rpc(to, PeerRequest::Seal { keeper: backup.clone(), holder: holder.clone() })
             .await?
         {
-            Reply::Copies(copies) => Ok(copies),
+            PeerReply::Copies(copies) => Ok(copies),
             _ => Err(Error::new(
                 Kind::BadFormat,
                 format!("backup {backup} sent an unexpected reply"),
@@ -61,7 +61,7 @@
 }
 
 /// Shared state of one router.
-pub struct Node<P: Platform, E: Engine, M: Mesh> {
+pub struct Node<P: Platform, E: Engine, M: PeerClient> {
     /// Settings of the router.
     pub settings: Settings,
     /// Source of the current time.
@@ -75,7 +75,7 @@
     /// The active configuration.
     pub cfg: Arc<RwLock<Config>>,
     /// Applies new revisions to the configuration.
-    pub follower: tokio::sync::Mutex<Follower>,
+    pub follower: tokio::sync::Mutex<ConfigFollower>,
     /// Wakes the task that updates the configuration.
     pub new_revision: tokio::sync::Notify,
     /// Known routers and their liveness.
@@ -130,7 +130,7 @@
 }
 
 /// Dependencies and initial state of a [`Node`].
-pub struct NodeParts<P: Platform, E: Engine, M: Mesh> {
+pub struct NodeParts<P: Platform, E: Engine, M: PeerClient> {
     /// Settings of the router.
     pub settings: Settings,
     /// Source of the current time.
@@ -144,7 +144,7 @@
     /// The active configuration.
     pub cfg: Arc<RwLock<Config>>,
     /// Applies new revisions to the configuration.
-    pub follower: Follower,
+    pub follower: ConfigFollower,
     /// Known routers and their liveness.
     pub view: View,
     /// Known targets, and the choice among them.
@@ -159,7 +159,7 @@
     pub sizing: Option<Sizing>,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Node<P, E, M> {
+impl<P: Platform, E: Engine, M: PeerClient> Node<P, E, M> {
     /// Creates a node that is not ready yet and runs no tasks.
     pub fn new(parts: NodeParts<P, E, M>) -> Node<P, E, M> {
         Node {
@@ -266,7 +266,7 @@
     /// Starts draining: the router is left out of entry answers from now on.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
-        self.lock_view().update_me(|e| e.leaving = true);
+        self.lock_view().update_local(|e| e.leaving = true);
     }
 
     /// Refuses requests with unknown keys from now on.
@@ -290,36 +290,40 @@
     }
 
     /// Returns all live routers, including this one.
-    pub fn live(&self) -> Vec<Entry> {
-        self.lock_view().live(self.now())
+    pub fn live(&self) -> Vec<RouterInfo> {
+        self.lock_view().live_routers(self.now())
     }
 
     /// Returns the other routers that may hold parts of an organisation's budgets, sorted by rank
     /// for that organisation.
-    pub fn budget_peers(&self, organisation: &OrganisationId) -> Vec<Entry> {
+    pub fn budget_peers(&self, organisation: &OrganisationId) -> Vec<RouterInfo> {
         let width = self.cfg.read().expect("the lock is never poisoned").fleet.entry_width as usize;
-        let me = self.lock_view().me().incarnation.clone();
+        let me = self.lock_view().local_router().incarnation.clone();
         let live = self.live();
-        let mut out = home(&live, organisation, width.max(MIN_BUDGET_PEERS));
+        let mut out = home_routers(&live, organisation, width.max(MIN_BUDGET_PEERS));
         out.retain(|e| e.incarnation != me);
         out
     }
 
     /// Returns what the copies that this router keeps for others tell about a request.
-    pub fn find_copy(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Found> {
+    pub fn find_copy(
+        &self,
+        organisation: &OrganisationId,
+        key: &RequestKey,
+    ) -> Option<KnownRequest> {
         let witness = self.witness.lock().expect("the witness lock is never poisoned");
-        witness.find(organisation, key).map(Found::of_copy)
+        witness.find(organisation, key).map(KnownRequest::from_copy)
     }
 
     /// Returns the routers to borrow tokens from.
-    pub fn lenders_for(&self, organisation: &OrganisationId) -> Vec<Entry> {
+    pub fn lenders_for(&self, organisation: &OrganisationId) -> Vec<RouterInfo> {
         if self.lending { self.budget_peers(organisation) } else { Vec::new() }
     }
 
     /// Creates a reclaimer for the grants of dead holders.
     pub fn reclaimer(&self) -> Reclaimer<P, E, PickerAddresses, MeshBackupSealer<M>> {
         let session = self.session();
-        let known = self.lock_view().known(self.now()).into_iter().map(|(e, _)| e).collect();
+        let known = self.lock_view().known_peers(self.now()).into_iter().map(|(e, _)| e).collect();
         Reclaimer {
             sealer: MeshBackupSealer { mesh: self.mesh.clone(), known },
             table: self.platform.clone(),
--- a/src/router/session.rs
+++ b/src/router/session.rs
@@ -23,8 +23,8 @@
 use crate::config::Config;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Incarnation, RunId, Tokens};
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Mesh, Reply};
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::table::committer::Committer;
 use crate::table::{Mutation, Platform, Version};
 use loans::ReleaseGate;
@@ -64,14 +64,14 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WitnessPair {
     /// Settles all holds if this router crashes. In another availability zone if possible.
-    pub witness: Entry,
+    pub witness: RouterInfo,
     /// Keeps copies while the witness cannot be reached. In the same availability zone if possible.
-    pub backup: Option<Entry>,
+    pub backup: Option<RouterInfo>,
 }
 
 impl WitnessPair {
     /// Iterates over the witness and the backup.
-    pub fn members(&self) -> impl Iterator<Item = &Entry> {
+    pub fn members(&self) -> impl Iterator<Item = &RouterInfo> {
         std::iter::once(&self.witness).chain(&self.backup)
     }
 }
@@ -95,7 +95,7 @@
     /// Id of the hold at the router that granted it.
     pub hold: HoldId,
     /// Router that lent the tokens; `None` if they belong to this router's own grant.
-    pub lender: Option<Entry>,
+    pub lender: Option<RouterInfo>,
 }
 
 /// Specifies a hold for a request.
@@ -122,7 +122,7 @@
 }
 
 /// One incarnation of a router.
-pub struct Session<P: Platform, M: Mesh> {
+pub struct Session<P: Platform, M: PeerClient> {
     /// Name of the incarnation.
     pub incarnation: Incarnation,
     /// Group committer for writes to the ledger.
@@ -162,7 +162,7 @@
     pub sizing: Option<Sizing>,
 }
 
-impl<P: Platform, M: Mesh> Session<P, M> {
+impl<P: Platform, M: PeerClient> Session<P, M> {
     /// Writes the holder row and starts the grant actor. The receiver gets the events of the
     /// session.
     ///
@@ -234,7 +234,7 @@
     pub async fn reserve(
         self: &Arc<Self>,
         spec: &HoldSpec,
-        others: &[Entry],
+        others: &[RouterInfo],
     ) -> Result<HeldTokens> {
         let own = match self.hold(&spec.bill.budget, spec.amount, true).await {
             Ok(hold) => self.protect_or_cancel(hold, spec).await,
@@ -265,11 +265,15 @@
 
     /// Asks other routers how many tokens of a budget they have free. Routers that do not answer
     /// are left out.
-    async fn query_free_tokens(&self, budget: &BudgetId, others: &[Entry]) -> Vec<(Tokens, Entry)> {
-        let asked = others.iter().map(|o| self.mesh.ask(o, Ask::Free(budget.clone())));
+    async fn query_free_tokens(
+        &self,
+        budget: &BudgetId,
+        others: &[RouterInfo],
+    ) -> Vec<(Tokens, RouterInfo)> {
+        let asked = others.iter().map(|o| self.mesh.rpc(o, PeerRequest::Free(budget.clone())));
         let replies = futures_util::future::join_all(asked).await;
-        let free = |(reply, other): (Result<Reply>, &Entry)| match reply {
-            Ok(Reply::Free(tokens)) => Some((tokens, other.clone())),
+        let free = |(reply, other): (Result<PeerReply>, &RouterInfo)| match reply {
+            Ok(PeerReply::Free(tokens)) => Some((tokens, other.clone())),
             _ => None,
         };
         replies.into_iter().zip(others).filter_map(free).collect()
@@ -375,17 +379,17 @@
     /// both.
     async fn send_to_pair(&self, pair: Option<&WitnessPair>, copies: Vec<HoldCopy>) -> Result<()> {
         let Some(pair) = pair else { return Ok(()) };
-        let mut members: Vec<&Entry> = pair.members().collect();
+        let mut members: Vec<&RouterInfo> = pair.members().collect();
         let suspects = self.suspects();
         members.sort_by_key(|e| suspects.contains(&e.incarnation));
         let mut last = Error::new(Kind::PlatformAway, "no witness is named");
         for member in members {
-            let ask = Ask::Keep {
+            let ask = PeerRequest::Keep {
                 keeper: member.incarnation.clone(),
                 holder: self.incarnation.clone(),
                 copies: copies.clone(),
             };
-            match self.mesh.ask(member, ask).await {
+            match self.mesh.rpc(member, ask).await {
                 Ok(_) => return Ok(()),
                 Err(e) if e.kind == Kind::Fenced => {
                     let _ = self.grant_actor.tell(Fence).await;
@@ -435,8 +439,8 @@
         // old target would report that the run never happened, and the lender would free tokens
         // that the run is still using.
         let target = spec.target.clone();
-        let ask = Ask::Move { lender: lender.incarnation.clone(), hold: held.hold, target };
-        self.mesh.ask(lender, ask).await.map(drop)
+        let ask = PeerRequest::Move { lender: lender.incarnation.clone(), hold: held.hold, target };
+        self.mesh.rpc(lender, ask).await.map(drop)
     }
 
     /// Replaces a hold by its bill. When this returns, the bill survives a crash of this router.
@@ -470,11 +474,13 @@
         let pair = match self.assignment() {
             WitnessAssignment::Stable(pair) | WitnessAssignment::Changing(_, pair) => pair,
         };
-        let ask = || Ask::Forget { holder: self.incarnation.clone(), holds: holds.to_vec() };
-        let members: Vec<Entry> = pair.iter().flat_map(WitnessPair::members).cloned().collect();
+        let ask =
+            || PeerRequest::Forget { holder: self.incarnation.clone(), holds: holds.to_vec() };
+        let members: Vec<RouterInfo> =
+            pair.iter().flat_map(WitnessPair::members).cloned().collect();
         // A failure is harmless: a leftover copy has no effect while this router is alive.
         let _ =
-            futures_util::future::join_all(members.iter().map(|m| self.mesh.ask(m, ask()))).await;
+            futures_util::future::join_all(members.iter().map(|m| self.mesh.rpc(m, ask()))).await;
     }
 
     /// Rewrites the holder row to name another witness and backup.
--- a/src/router/session/loans.rs
+++ b/src/router/session/loans.rs
@@ -13,8 +13,8 @@
 use crate::budget::witness::HoldCopy;
 use crate::error::Result;
 use crate::ids::{BudgetId, Tokens};
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Mesh, Reply};
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::table::Platform;
 
 /// Minimum time between two requests to the other routers to release tokens of the same budget.
@@ -40,14 +40,14 @@
     }
 }
 
-impl<P: Platform, M: Mesh> Session<P, M> {
-    pub(super) async fn borrow(&self, spec: &HoldSpec, lender: &Entry) -> Option<HeldTokens> {
-        let ask = Ask::Borrow {
+impl<P: Platform, M: PeerClient> Session<P, M> {
+    pub(super) async fn borrow(&self, spec: &HoldSpec, lender: &RouterInfo) -> Option<HeldTokens> {
+        let ask = PeerRequest::Borrow {
             budget: spec.bill.budget.clone(),
             amount: spec.amount,
             copy: spec.copy(HoldId(0)),
         };
-        let Ok(Reply::Held(hold)) = self.mesh.ask(lender, ask).await else { return None };
+        let Ok(PeerReply::Held(hold)) = self.mesh.rpc(lender, ask).await else { return None };
         log::info!(
             "borrow=held run={} budget={} from={}",
             spec.bill.run,
@@ -63,7 +63,7 @@
     /// Requests that need the same budget at the same time share one release request, and there is
     /// a minimum interval between two of them, because an exhausted budget must not cost the table
     /// a write for each refused request.
-    pub(super) async fn request_release(&self, budget: &BudgetId, others: &[Entry]) {
+    pub(super) async fn request_release(&self, budget: &BudgetId, others: &[RouterInfo]) {
         let gate = {
             let mut release_gates = self.release_gates.lock().expect("the lock is never poisoned");
             release_gates.retain(|(_, gate)| Arc::strong_count(gate) > 1 || gate.is_recent());
@@ -85,20 +85,24 @@
             tokio::time::sleep_until(at + MIN_RELEASE_INTERVAL).await;
         }
         *last_started = Some(Instant::now());
-        let asked = others.iter().map(|o| self.mesh.ask(o, Ask::Release(budget.clone())));
+        let asked = others.iter().map(|o| self.mesh.rpc(o, PeerRequest::Release(budget.clone())));
         futures_util::future::join_all(asked).await;
     }
 
     /// Reports the outcome of a borrowed hold to its lender and retries until the lender confirms.
     /// Retries are idempotent because a hold is settled only once.
-    pub(super) fn repay(self: &Arc<Self>, lender: Entry, hold: HoldId, bill: Option<Bill>) {
+    pub(super) fn repay(self: &Arc<Self>, lender: RouterInfo, hold: HoldId, bill: Option<Bill>) {
         let mesh = self.mesh.clone();
         tokio::spawn(async move {
             for _ in 0..MAX_REPAY_ATTEMPTS {
                 if mesh
-                    .ask(
+                    .rpc(
                         &lender,
-                        Ask::Repay { lender: lender.incarnation.clone(), hold, bill: bill.clone() },
+                        PeerRequest::Repay {
+                            lender: lender.incarnation.clone(),
+                            hold,
+                            bill: bill.clone(),
+                        },
                     )
                     .await
                     .is_ok()
--- a/src/router/tasks.rs
+++ b/src/router/tasks.rs
@@ -17,9 +17,9 @@
 use crate::engine::Engine;
 use crate::error::{Kind, Result};
 use crate::ids::{Incarnation, TargetId};
-use crate::membership::entry::{backup, witness};
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Mesh, Reply};
+use crate::membership::selection::{select_backup, select_witness};
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::route::picker::ListedTarget;
 use crate::table::{InstanceState, Platform, scan_all};
 
@@ -97,7 +97,7 @@
 }
 
 /// Starts all tasks. They stop when the set is dropped.
-pub fn start_tasks<P: Platform, E: Engine, M: Mesh>(
+pub fn start_tasks<P: Platform, E: Engine, M: PeerClient>(
     node: &SharedNode<P, E, M>,
     loans: &Arc<Loans>,
     events: mpsc::UnboundedReceiver<SessionEvent>,
@@ -121,7 +121,7 @@
 
 /// Sends heartbeats to the witness, the backup and a few other routers in turn. The number of
 /// messages per interval does not grow with the fleet.
-async fn send_heartbeats<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
+async fn send_heartbeats<P: Platform, E: Engine, M: PeerClient>(node: SharedNode<P, E, M>) {
     let mut ticks = ticker(node.settings.heartbeat.duration());
     let mut offset = 0;
     loop {
@@ -130,20 +130,20 @@
         let load = node.gates.load().0;
         let (entries, to) = {
             let mut view = node.lock_view();
-            view.update_me(|e| e.load = load);
-            let me = view.me().incarnation.clone();
-            let mut others = view.live(now);
+            view.update_local(|e| e.load = load);
+            let me = view.local_router().incarnation.clone();
+            let mut others = view.live_routers(now);
             others.retain(|e| e.incarnation != me);
-            (view.beat(now), others)
+            (view.next_heartbeat(now), others)
         };
-        let candidate = node.lock_view().next_candidate(now);
+        let candidate = node.lock_view().next_silent_candidate(now);
         let n = to.len().max(1);
-        let mut chosen: Vec<Entry> =
+        let mut chosen: Vec<RouterInfo> =
             (0..HEARTBEAT_FANOUT.min(to.len())).map(|i| to[(offset + i) % n].clone()).collect();
         offset = (offset + HEARTBEAT_FANOUT) % n;
         if let WitnessAssignment::Stable(Some(pair)) = node.session().assignment() {
-            let missing = |m: &&Entry| !chosen.iter().any(|c| c.incarnation == m.incarnation);
-            let missing: Vec<Entry> = pair.members().filter(missing).cloned().collect();
+            let missing = |m: &&RouterInfo| !chosen.iter().any(|c| c.incarnation == m.incarnation);
+            let missing: Vec<RouterInfo> = pair.members().filter(missing).cloned().collect();
             chosen.extend(missing);
         }
         chosen.extend(candidate);
@@ -153,12 +153,12 @@
     }
 }
 
-async fn send_heartbeat<P: Platform, E: Engine, M: Mesh>(
+async fn send_heartbeat<P: Platform, E: Engine, M: PeerClient>(
     node: SharedNode<P, E, M>,
-    peer: Entry,
-    entries: Vec<Entry>,
+    peer: RouterInfo,
+    entries: Vec<RouterInfo>,
 ) {
-    if let Ok(Reply::Beat(theirs)) = node.mesh.ask(&peer, Ask::Beat(entries)).await {
+    if let Ok(PeerReply::Beat(theirs)) = node.mesh.rpc(&peer, PeerRequest::Beat(entries)).await {
         let now = node.now();
         node.lock_view().merge(now, theirs);
     }
@@ -166,7 +166,7 @@
 
 /// Keeps the configuration up to date: polls its head, reads it at once when another router runs a
 /// newer revision, and fetches revisions from other routers while the platform is unavailable.
-async fn follow_config<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
+async fn follow_config<P: Platform, E: Engine, M: PeerClient>(node: SharedNode<P, E, M>) {
     loop {
         let before = node.follower.lock().await.head().revision;
         let result = node.follower.lock().await.catch_up(&node.platform, &node.cfg).await;
@@ -184,20 +184,22 @@
 }
 
 /// Announces the active configuration revision to the other routers.
-pub async fn publish_revision<P: Platform, E: Engine, M: Mesh>(node: &SharedNode<P, E, M>) {
+pub async fn publish_revision<P: Platform, E: Engine, M: PeerClient>(node: &SharedNode<P, E, M>) {
     let revision = node.follower.lock().await.head().revision;
     let mut view = node.lock_view();
-    if view.me().revision < revision {
-        view.update_me(|e| e.revision = revision);
+    if view.local_router().revision < revision {
+        view.update_local(|e| e.revision = revision);
         log::info!("config=in_force revision={revision}");
     }
 }
 
-async fn fetch_from_peers<P: Platform, E: Engine, M: Mesh>(node: &SharedNode<P, E, M>) {
+async fn fetch_from_peers<P: Platform, E: Engine, M: PeerClient>(node: &SharedNode<P, E, M>) {
     let have = node.follower.lock().await.head().revision;
-    let ahead: Vec<Entry> = node.live().into_iter().filter(|e| e.revision > have).collect();
+    let ahead: Vec<RouterInfo> = node.live().into_iter().filter(|e| e.revision > have).collect();
     for peer in ahead {
-        if let Ok(Reply::Revisions(rows)) = node.mesh.ask(&peer, Ask::Revisions(have)).await {
+        if let Ok(PeerReply::Revisions(rows)) =
+            node.mesh.rpc(&peer, PeerRequest::Revisions(have)).await
+        {
             let mut follower = node.follower.lock().await;
             for row in &rows {
                 if let Err(e) = follower.apply(row, &node.cfg) {
@@ -210,7 +212,7 @@
 }
 
 /// Updates the targets from the instance list. A list that is empty or cannot be read is ignored.
-async fn poll_instances<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
+async fn poll_instances<P: Platform, E: Engine, M: PeerClient>(node: SharedNode<P, E, M>) {
     let mut ticks = ticker(INSTANCE_POLL_INTERVAL);
     loop {
         ticks.tick().await;
@@ -233,7 +235,7 @@
 
 /// Polls the load reports of all targets. A round starts only after the previous one is complete,
 /// so with many targets each report is read less often.
-async fn poll_load_reports<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
+async fn poll_load_reports<P: Platform, E: Engine, M: PeerClient>(node: SharedNode<P, E, M>) {
     let mut ticks = ticker(node.settings.report_poll.duration());
     loop {
         ticks.tick().await;
@@ -262,21 +264,21 @@
     }
 }
 
-fn announce_leaving<P: Platform, E: Engine, M: Mesh>(
+fn announce_leaving<P: Platform, E: Engine, M: PeerClient>(
     node: &SharedNode<P, E, M>,
     id: &crate::ids::TargetId,
 ) {
     for peer in node.live() {
-        let (node, ask) = (node.clone(), Ask::TargetLeaves(id.clone()));
+        let (node, ask) = (node.clone(), PeerRequest::TargetLeaves(id.clone()));
         tokio::spawn(async move {
-            let _ = node.mesh.ask(&peer, ask).await;
+            let _ = node.mesh.rpc(&peer, ask).await;
         });
     }
 }
 
 /// Sets each gate's capacity to this router's share of what the targets can run at once, plus some
 /// overcommitment.
-fn set_capacities<P: Platform, E: Engine, M: Mesh>(node: &SharedNode<P, E, M>) {
+fn set_capacities<P: Platform, E: Engine, M: PeerClient>(node: &SharedNode<P, E, M>) {
     let now = node.now();
     let routers = node.live().iter().filter(|e| !e.leaving).count().max(1) as u64;
     let services: Vec<_> = {
@@ -297,13 +299,13 @@
 
 /// Reads the other routers from the holder rows. This is how routers discover each other at
 /// startup, and how a router that lost contact with all others finds them again.
-async fn poll_holder_rows<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>) {
+async fn poll_holder_rows<P: Platform, E: Engine, M: PeerClient>(node: SharedNode<P, E, M>) {
     loop {
         if let Ok(rows) = read_holder_rows(&node.platform).await {
             let (live, ended): (Vec<_>, Vec<_>) =
                 rows.into_iter().partition(|(_, row)| row.state == HolderState::Live);
             let mut view = node.lock_view();
-            ended.iter().for_each(|(incarnation, _)| view.remove(incarnation));
+            ended.iter().for_each(|(incarnation, _)| view.mark_departed(incarnation));
             view.set_candidates(live.into_iter().map(|(i, row)| entry_from_row(i, row)).collect());
         }
         sleep(HOLDER_POLL_INTERVAL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
@@ -320,8 +322,8 @@
     rows.iter().map(|r| Ok((r.key[HOLDERS_PREFIX.len()..].parse()?, r.decode()?))).collect()
 }
 
-fn entry_from_row(incarnation: Incarnation, row: HolderRow) -> Entry {
-    Entry {
+fn entry_from_row(incarnation: Incarnation, row: HolderRow) -> RouterInfo {
+    RouterInfo {
         incarnation,
         zone: row.zone,
         api: row.api,
@@ -335,7 +337,10 @@
 
 /// Periodically expires old requests, checks the witness, reclaims the grants of dead holders and
 /// settles loans to dead routers.
-async fn maintain<P: Platform, E: Engine, M: Mesh>(node: SharedNode<P, E, M>, loans: Arc<Loans>) {
+async fn maintain<P: Platform, E: Engine, M: PeerClient>(
+    node: SharedNode<P, E, M>,
+    loans: Arc<Loans>,
+) {
     let mut ticks = ticker(MAINTENANCE_INTERVAL);
     let reclaimed = Reclaimed::default();
     loop {
@@ -354,18 +359,18 @@
     }
 }
 
-async fn maintain_witness<P: Platform, E: Engine, M: Mesh>(
+async fn maintain_witness<P: Platform, E: Engine, M: PeerClient>(
     node: &SharedNode<P, E, M>,
-    live: &[Entry],
+    live: &[RouterInfo],
 ) {
     let session = node.session();
     let WitnessAssignment::Stable(current) = session.assignment() else { return };
-    let me = node.lock_view().me().clone();
+    let me = node.lock_view().local_router().clone();
     let suspects = session.suspects();
-    let responsive = |e: &&Entry| !suspects.contains(&e.incarnation);
-    let responsive: Vec<Entry> = live.iter().filter(responsive).cloned().collect();
+    let responsive = |e: &&RouterInfo| !suspects.contains(&e.incarnation);
+    let responsive: Vec<RouterInfo> = live.iter().filter(responsive).cloned().collect();
     let usable =
-        |m: &Entry| responsive.iter().any(|e| e.incarnation == m.incarnation && !e.leaving);
+        |m: &RouterInfo| responsive.iter().any(|e| e.incarnation == m.incarnation && !e.leaving);
     let healthy = match &current {
         None => responsive.len() < 2,
         Some(pair) => pair.members().all(usable) && (pair.backup.is_some() || responsive.len() < 3),
@@ -373,8 +378,8 @@
     if healthy || node.is_draining() {
         return;
     }
-    let to = witness(&responsive, &me).map(|w| {
-        let backup = backup(&responsive, &me, w).cloned();
+    let to = select_witness(&responsive, &me).map(|w| {
+        let backup = select_backup(&responsive, &me, w).cloned();
         WitnessPair { witness: w.clone(), backup }
     });
     // No responsive router is left. The current witness, although suspected, is better than none.
@@ -393,7 +398,7 @@
 
 /// Starts reclaiming the grants of holders that died. Each gets its own task, because an
 /// unreachable backup of one holder must not delay the checks of this router's own witness.
-fn reclaim_dead_holders<P: Platform, E: Engine, M: Mesh>(
+fn reclaim_dead_holders<P: Platform, E: Engine, M: PeerClient>(
     node: &SharedNode<P, E, M>,
     reclaimed: &Reclaimed,
 ) {
@@ -402,7 +407,9 @@
     let dead: Vec<Incarnation> = {
         let view = node.lock_view();
         let mut started = reclaimed.lock().expect("the lock is never poisoned");
-        let dead = |w: &Incarnation| view.knows(w) && !view.alive(now, w) && !started.contains(w);
+        let dead = |w: &Incarnation| {
+            view.is_known(w) && !view.is_router_alive(now, w) && !started.contains(w)
+        };
         let dead: Vec<Incarnation> = watched.into_iter().filter(dead).collect();
         started.extend(dead.iter().cloned());
         dead
@@ -425,7 +432,7 @@
 /// Settles loans whose borrower died and so cannot report the outcome. The lender follows the run
 /// until it ends and does not cancel it, because a borrower that is only cut off from the lender
 /// still streams the answer to its caller.
-fn settle_dead_borrowers<P: Platform, E: Engine, M: Mesh>(
+fn settle_dead_borrowers<P: Platform, E: Engine, M: PeerClient>(
     node: &SharedNode<P, E, M>,
     loans: &Arc<Loans>,
 ) {
@@ -435,7 +442,7 @@
         let now = node.now();
         let dead = borrower.is_none_or(|b| {
             let view = node.lock_view();
-            view.knows(&b) && !view.alive(now, &b)
+            view.is_known(&b) && !view.is_router_alive(now, &b)
         });
         if !dead || !loans.start_settling(hold) {
             continue;
@@ -454,7 +461,7 @@
 
 /// Drops the copies of recorded bills at the witness, and starts a new session when the current one
 /// is fenced.
-async fn handle_session_events<P: Platform, E: Engine, M: Mesh>(
+async fn handle_session_events<P: Platform, E: Engine, M: PeerClient>(
     node: SharedNode<P, E, M>,
     loans: Arc<Loans>,
     mut events: mpsc::UnboundedReceiver<SessionEvent>,
@@ -477,12 +484,12 @@
 /// Starts a new session after the current incarnation was sealed, by a false suspicion or after a
 /// long pause. The witness settles what the old incarnation held, and the new one starts without
 /// grants. Running streams continue.
-async fn rejoin<P: Platform, E: Engine, M: Mesh>(
+async fn rejoin<P: Platform, E: Engine, M: PeerClient>(
     node: &SharedNode<P, E, M>,
 ) -> mpsc::UnboundedReceiver<SessionEvent> {
     loop {
         let incarnation = new_incarnation(&node.settings.instance);
-        let me = node.lock_view().me().clone();
+        let me = node.lock_view().local_router().clone();
         let parts = SessionParts {
             platform: node.platform.clone(),
             mesh: node.mesh.clone(),
@@ -503,7 +510,7 @@
         match Session::start(parts).await {
             Ok((session, events)) => {
                 node.set_session(session);
-                node.lock_view().update_me(|e| {
+                node.lock_view().update_local(|e| {
                     e.incarnation = incarnation.clone();
                     e.beat = 0;
                 });
--- a/src/standin/local.rs
+++ b/src/standin/local.rs
@@ -14,16 +14,19 @@
 
 use super::batch::{Batch, BatchSize};
 use crate::engine::{
-    Cancelled, Engine, LoadReport, Order, Part, Parts, Piece, ServiceAnswer, ServiceCall, StartRun,
+    CancelOutcome, Engine, LoadReport, Order, Piece, PieceStream, RunPiece, ServiceAnswer,
+    ServiceCall, StartRun,
 };
 use crate::error::{Error, Kind, Result};
 use crate::ids::{RequestKey, RunId, ZoneId};
-use crate::membership::link::Answerer;
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Mesh, Reply};
+use crate::membership::link::PeerHandler;
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::router::peers::NodePeerHandler;
-use crate::table::memory::Memory;
-use crate::table::{Instance, InstanceState, Instances, Objects, Outcome, Row, RowKey, Table, Txn};
+use crate::table::memory::MemoryPlatform;
+use crate::table::{
+    Instance, InstanceList, InstanceState, ObjectStore, Outcome, Row, RowKey, Table, Txn,
+};
 
 /// One way between routers, and to targets.
 const HOP: Duration = Duration::from_micros(500);
@@ -49,7 +52,7 @@
 pub type LocalNode = crate::router::node::Node<LocalPlatform, LocalEngine, LocalMesh>;
 /// Answers for a node over the fakes.
 pub type LocalAnswers = NodePeerHandler<LocalPlatform, LocalEngine, LocalMesh>;
-type Inbox = mpsc::UnboundedSender<(Ask, oneshot::Sender<Reply>)>;
+type Inbox = mpsc::UnboundedSender<(PeerRequest, oneshot::Sender<PeerReply>)>;
 
 struct Slot {
     peer: CompactString,
@@ -74,7 +77,7 @@
 /// Everything between the routers.
 pub struct Net {
     /// The platform's state.
-    pub memory: Memory,
+    pub memory: MemoryPlatform,
     slots: Mutex<Vec<Arc<Slot>>>,
     targets: Mutex<Vec<LocalTarget>>,
     cut_zones: Mutex<Vec<(ZoneId, ZoneId)>>,
@@ -87,7 +90,7 @@
     /// A net whose targets take `pace` for a token.
     pub fn new(pace: Duration, report_lag: Duration) -> Arc<Net> {
         Arc::new(Net {
-            memory: Memory::default(),
+            memory: MemoryPlatform::default(),
             slots: Mutex::default(),
             targets: Mutex::default(),
             cut_zones: Mutex::default(),
@@ -168,7 +171,7 @@
             while let Some((ask, tx)) = rx.recv().await {
                 let answers = answers.clone();
                 // Who asked may have stopped waiting.
-                tokio::spawn(async move { tx.send(answers.answer(ask).await) });
+                tokio::spawn(async move { tx.send(answers.handle_request(ask).await) });
             }
         });
     }
@@ -277,7 +280,7 @@
         self.net.slots.lock().expect("never poisoned").get(self.at).map(|s| s.zone.clone())
     }
 
-    async fn platform(&self) -> Result<&Memory> {
+    async fn platform(&self) -> Result<&MemoryPlatform> {
         self.alive().await;
         sleep(PLATFORM_CALL).await;
         let zone = self.zone();
@@ -311,7 +314,7 @@
     }
 }
 
-impl Objects for LocalPlatform {
+impl ObjectStore for LocalPlatform {
     async fn put(&self, name: RowKey, data: Vec<u8>) -> Result<()> {
         self.0.platform().await?.put(name, data).await
     }
@@ -321,7 +324,7 @@
     }
 }
 
-impl Instances for LocalPlatform {
+impl InstanceList for LocalPlatform {
     async fn list(&self) -> Result<Vec<Instance>> {
         self.0.platform().await?.list().await
     }
@@ -331,8 +334,8 @@
 #[derive(Clone)]
 pub struct LocalMesh(Handle);
 
-impl Mesh for LocalMesh {
-    async fn ask(&self, to: &Entry, ask: Ask) -> Result<Reply> {
+impl PeerClient for LocalMesh {
+    async fn rpc(&self, to: &RouterInfo, ask: PeerRequest) -> Result<PeerReply> {
         let me = &self.0;
         me.alive().await;
         sleep(HOP).await;
@@ -359,7 +362,7 @@
             tokio::time::timeout(NO_ANSWER, rx).await.map_err(|_| late())?.map_err(|_| late())?;
         sleep(HOP).await;
         me.alive().await;
-        reply.accepted()
+        reply.into_result()
     }
 }
 
@@ -419,15 +422,15 @@
     }
 }
 
-impl Parts for LocalParts {
-    async fn next(&mut self) -> Result<Option<Part>> {
+impl PieceStream for LocalParts {
+    async fn next(&mut self) -> Result<Option<RunPiece>> {
         loop {
             self.engine.0.alive().await;
             if self.over {
                 return Ok(None);
             }
             match self.look()? {
-                Some(Some(piece)) => return Ok(Some(Part { run: self.run.clone(), piece })),
+                Some(Some(piece)) => return Ok(Some(RunPiece { run: self.run.clone(), piece })),
                 Some(None) => sleep(self.engine.0.net.pace).await,
                 None => return Ok(None),
             }
@@ -436,7 +439,7 @@
 }
 
 impl Engine for LocalEngine {
-    type Parts = LocalParts;
+    type PieceStream = LocalParts;
 
     async fn start(&self, addr: &str, run: &StartRun) -> Result<LocalParts> {
         self.with(addr, |t| {
@@ -453,7 +456,7 @@
         Ok(self.parts(addr, run, from))
     }
 
-    async fn cancel(&self, addr: &str, run: &RunId) -> Result<Cancelled> {
+    async fn cancel(&self, addr: &str, run: &RunId) -> Result<CancelOutcome> {
         self.with(addr, |t| Ok(t.batch.cancel(run))).await
     }
 
--- a/src/table/committer.rs
+++ b/src/table/committer.rs
@@ -1,7 +1,7 @@
-//! Group commit: many independent mutations in few transactions.
+//! Group commit: writes many independent mutations in few transactions.
 //!
-//! The table takes some hundred writes a second for the whole fleet, so a router gathers the
-//! mutations of all its parts and writes them together, one transaction at a time.
+//! The table accepts a few hundred writes per second for the whole fleet. A router therefore
+//! collects the mutations of all its parts and writes them together, one transaction at a time.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -15,183 +15,194 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::Incarnation;
 
-/// Mutations in one transaction at most.
-const MAX_BATCH: usize = 256;
-/// Mutations waiting at most; past that new ones are refused.
-pub const MAX_QUEUE: usize = 20_000;
-/// First pause after a failed write; doubles up to [`MAX_BACKOFF`].
+/// The most mutations in one transaction.
+const MAX_BATCH_MUTATIONS: usize = 256;
+/// The most mutations in the queue; further ones are rejected.
+pub const MAX_QUEUED_MUTATIONS: usize = 20_000;
+/// First delay before a failed write is retried; doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest pause between attempts at the same transaction.
+/// Longest delay between attempts at the same transaction.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-struct Entry {
+struct QueuedMutation {
     mutation: Mutation,
     tx: oneshot::Sender<Option<Version>>,
 }
 
-/// A handle to the committer. The committer ends when the last handle is dropped.
+/// A handle to the committer task, which ends when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct Committer {
-    tx: mpsc::UnboundedSender<Entry>,
+    tx: mpsc::UnboundedSender<QueuedMutation>,
     queued: Arc<AtomicUsize>,
-    stuck: Arc<AtomicBool>,
+    write_failing: Arc<AtomicBool>,
 }
 
 impl Committer {
-    /// Starts a committer that writes at most once per `interval`.
+    /// Starts a committer that waits `interval` after each batch. `owner` is the prefix of its
+    /// transaction ids, so that they are unique over all routers.
     pub fn start<T: Table>(table: T, owner: &Incarnation, interval: Duration) -> Committer {
         let (tx, rx) = mpsc::unbounded_channel();
         let queued = Arc::new(AtomicUsize::new(0));
-        let stuck = Arc::new(AtomicBool::new(false));
+        let write_failing = Arc::new(AtomicBool::new(false));
         let writer = Writer {
             table,
-            prefix: CompactString::from(owner.as_str()),
-            next: 0,
+            txn_id_prefix: CompactString::from(owner.as_str()),
+            next_txn: 0,
             interval,
             rx,
             queued: queued.clone(),
-            stuck: stuck.clone(),
+            write_failing: write_failing.clone(),
         };
         tokio::spawn(writer.run());
-        Committer { tx, queued, stuck }
+        Committer { tx, queued, write_failing }
     }
 
-    /// Mutations that wait for their transaction.
+    /// Number of mutations whose outcome is not yet known.
     pub fn queued(&self) -> usize {
         self.queued.load(Ordering::Relaxed)
     }
 
-    /// Whether the last attempt to write had no answer. Who can do without a write should.
-    pub fn is_stuck(&self) -> bool {
-        self.stuck.load(Ordering::Relaxed)
+    /// Whether the last attempt to write failed. Callers should then skip writes that they can do
+    /// without.
+    pub fn is_write_failing(&self) -> bool {
+        self.write_failing.load(Ordering::Relaxed)
     }
 
-    /// Writes `mutation` with whatever else waits. The version of the rows written, or `None`
-    /// when a guard failed. An answer may take as long as the platform is away.
+    /// Writes `mutation` in one transaction with others in the queue. Returns the version of the
+    /// rows written, or `None` when a guard failed. Waits for as long as the platform is
+    /// unreachable.
     ///
     /// # Errors
-    /// `PlatformAway` when the queue is full: the mutation was not taken.
+    /// `PlatformAway` when the queue is full; the mutation is then not written.
     pub async fn write(&self, mutation: Mutation) -> Result<Option<Version>> {
-        let away = || Error::new(Kind::PlatformAway, "the queue of writes is full");
-        if self.queued() >= MAX_QUEUE {
-            return Err(away());
+        let platform_away = || Error::new(Kind::PlatformAway, "the write queue is full");
+        if self.queued() >= MAX_QUEUED_MUTATIONS {
+            return Err(platform_away());
         }
         let (tx, rx) = oneshot::channel();
         self.queued.fetch_add(1, Ordering::Relaxed);
-        self.tx.send(Entry { mutation, tx }).map_err(|_| away())?;
-        rx.await.map_err(|_| away())
+        self.tx.send(QueuedMutation { mutation, tx }).map_err(|_| platform_away())?;
+        rx.await.map_err(|_| platform_away())
     }
 }
 
 struct Writer<T> {
     table: T,
-    prefix: CompactString,
-    next: u64,
+    txn_id_prefix: CompactString,
+    next_txn: u64,
     interval: Duration,
-    rx: mpsc::UnboundedReceiver<Entry>,
+    rx: mpsc::UnboundedReceiver<QueuedMutation>,
     queued: Arc<AtomicUsize>,
-    stuck: Arc<AtomicBool>,
+    write_failing: Arc<AtomicBool>,
 }
 
 impl<T: Table> Writer<T> {
     async fn run(mut self) {
         let mut batch = Vec::new();
-        let mut due = Instant::now();
+        let mut next_write_at = Instant::now();
         loop {
-            if batch.is_empty() && self.rx.recv_many(&mut batch, MAX_BATCH).await == 0 {
+            if batch.is_empty() && self.rx.recv_many(&mut batch, MAX_BATCH_MUTATIONS).await == 0 {
                 return;
             }
-            sleep_until(due).await;
-            while batch.len() < MAX_BATCH
+            sleep_until(next_write_at).await;
+            while batch.len() < MAX_BATCH_MUTATIONS
                 && let Ok(e) = self.rx.try_recv()
             {
                 batch.push(e);
             }
             batch = self.commit(batch).await;
-            due = Instant::now() + self.interval;
+            next_write_at = Instant::now() + self.interval;
         }
     }
 
-    /// Writes a batch. Mutations that have to wait for a transaction of their own come back.
+    /// Writes a batch, and returns the mutations that need a later transaction because they
+    /// conflict with others in the batch.
     ///
-    /// A mutation that fails is answered, and the rest is written again at once, without new
-    /// ones: a writer that keeps failing must not hold up its neighbours.
-    async fn commit(&mut self, batch: Vec<Entry>) -> Vec<Entry> {
-        let (mut batch, later) = separate(batch);
+    /// When a guard fails, its mutation is answered with `None` and the rest of the batch is
+    /// written again at once, without new mutations, so that callers whose mutations keep failing
+    /// do not delay others.
+    async fn commit(&mut self, batch: Vec<QueuedMutation>) -> Vec<QueuedMutation> {
+        let (mut batch, deferred) = split_conflicting(batch);
         while !batch.is_empty() {
-            self.next += 1;
-            let id = CompactString::from(format!("{}/{}", self.prefix, self.next));
+            self.next_txn += 1;
+            let id = CompactString::from(format!("{}/{}", self.txn_id_prefix, self.next_txn));
             let mutations = batch.iter().map(|e| e.mutation.clone()).collect();
-            match self.write_until_known(Txn { id, mutations }).await {
+            match self.write_until_answered(Txn { id, mutations }).await {
                 Outcome::Committed(version) => {
-                    batch.drain(..).for_each(|e| self.answer(e, Some(version)));
+                    batch.drain(..).for_each(|e| self.send_version(e, Some(version)));
                 }
                 Outcome::Conflict(failed) => {
-                    let (lost, rest): (Vec<_>, Vec<_>) =
+                    let (failed_entries, rest): (Vec<_>, Vec<_>) =
                         batch.into_iter().enumerate().partition(|(i, _)| failed.contains(i));
-                    lost.into_iter().for_each(|(_, e)| self.answer(e, None));
+                    failed_entries.into_iter().for_each(|(_, e)| self.send_version(e, None));
                     batch = rest.into_iter().map(|(_, e)| e).collect();
                 }
             }
         }
-        later
+        deferred
     }
 
-    fn answer(&self, entry: Entry, version: Option<Version>) {
+    fn send_version(&self, entry: QueuedMutation, version: Option<Version>) {
         self.queued.fetch_sub(1, Ordering::Relaxed);
-        // A submitter that went away wants no answer.
+        // The caller may have been cancelled and dropped its receiver.
         let _ = entry.tx.send(version);
     }
 
-    /// Guards against a write whose answer is lost after it took effect: a new transaction would
-    /// fail on its own guards, or count twice. The same id is sent until the table tells the
-    /// first outcome. Pauses grow and carry jitter, so that a returning table is not overrun.
-    async fn write_until_known(&self, txn: Txn) -> Outcome {
-        let mut pause = MIN_BACKOFF;
+    /// Retries a transaction under the same id until the table returns its outcome. If a write took
+    /// effect and its response was lost, a retry under a new id would fail on the transaction's own
+    /// guards, or be counted twice. The backoff grows exponentially and carries jitter, so that a
+    /// table that comes back is not overloaded.
+    async fn write_until_answered(&self, txn: Txn) -> Outcome {
+        let mut backoff = MIN_BACKOFF;
         loop {
             match self.table.write(txn.clone()).await {
                 Ok(outcome) => {
-                    self.stuck.store(false, Ordering::Relaxed);
+                    self.write_failing.store(false, Ordering::Relaxed);
                     return outcome;
                 }
                 Err(e) => log::warn!("write=retry txn={} error={:?}", txn.id, e.message),
             }
-            self.stuck.store(true, Ordering::Relaxed);
-            sleep(pause.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
-            pause = (pause * 2).min(MAX_BACKOFF);
+            self.write_failing.store(true, Ordering::Relaxed);
+            sleep(backoff.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 }
 
-/// Takes apart the mutations that may share a transaction, and those that have to wait.
+/// Splits a batch into mutations that can share a transaction and mutations that must wait for a
+/// later one.
 ///
-/// Guards against a lost update inside one transaction: all its guards are checked before any of
-/// its writes, so two changes of one row that were made from the same version would both pass,
-/// and the second undo the first. It showed as a bill in the table that no grant had settled.
-fn separate(batch: Vec<Entry>) -> (Vec<Entry>, Vec<Entry>) {
+/// Guards against a lost update within one transaction: the table checks all guards before it
+/// applies any write, so two changes of one row that were both made from the same version would
+/// both pass, and the second would overwrite the first. The symptom was a bill in the table whose
+/// cost no grant had settled.
+fn split_conflicting(batch: Vec<QueuedMutation>) -> (Vec<QueuedMutation>, Vec<QueuedMutation>) {
     let (mut read, mut written): (Vec<RowKey>, Vec<RowKey>) = (Vec::new(), Vec::new());
-    let (mut now, mut later) = (Vec::new(), Vec::new());
+    let (mut ready, mut deferred) = (Vec::new(), Vec::new());
     for entry in batch {
         let m = &entry.mutation;
-        let clash = m.puts.iter().any(|p| has(&written, &p.key) || has(&read, &p.key))
-            || m.guards.iter().any(|g| has(&written, &g.key));
-        if clash {
-            later.push(entry);
+        let conflicts = m
+            .puts
+            .iter()
+            .any(|p| sorted_contains(&written, &p.key) || sorted_contains(&read, &p.key))
+            || m.guards.iter().any(|g| sorted_contains(&written, &g.key));
+        if conflicts {
+            deferred.push(entry);
             continue;
         }
-        m.guards.iter().for_each(|g| add(&mut read, &g.key));
-        m.puts.iter().for_each(|p| add(&mut written, &p.key));
-        now.push(entry);
+        m.guards.iter().for_each(|g| sorted_insert(&mut read, &g.key));
+        m.puts.iter().for_each(|p| sorted_insert(&mut written, &p.key));
+        ready.push(entry);
     }
-    (now, later)
+    (ready, deferred)
 }
 
-fn has(sorted: &[RowKey], key: &RowKey) -> bool {
+fn sorted_contains(sorted: &[RowKey], key: &RowKey) -> bool {
     sorted.binary_search(key).is_ok()
 }
 
-fn add(sorted: &mut Vec<RowKey>, key: &RowKey) {
-    if let Err(place) = sorted.binary_search(key) {
-        sorted.insert(place, key.clone());
+fn sorted_insert(sorted: &mut Vec<RowKey>, key: &RowKey) {
+    if let Err(index) = sorted.binary_search(key) {
+        sorted.insert(index, key.clone());
     }
 }
--- a/tests/test_budget_reclaim.rs
+++ b/tests/test_budget_reclaim.rs
@@ -14,15 +14,15 @@
 use kingcupwall::error::Kind;
 use kingcupwall::ids::{BudgetId, Incarnation, Tokens};
 use kingcupwall::table::committer::Committer;
-use kingcupwall::table::memory::{Faults, Memory};
+use kingcupwall::table::memory::{Faults, MemoryPlatform};
 use kingcupwall::table::{Mutation, Outcome, Table, Txn, Version, read_one};
 
 use crate::workdir::{FakeBackup, FakeEngine, SameAddress, bill, name};
 
 struct World {
-    memory: Memory,
+    memory: MemoryPlatform,
     engine: FakeEngine,
-    reclaimer: Reclaimer<Memory, FakeEngine, SameAddress, FakeBackup>,
+    reclaimer: Reclaimer<MemoryPlatform, FakeEngine, SameAddress, FakeBackup>,
     backup: FakeBackup,
     holder: Incarnation,
     budget: BudgetId,
@@ -41,7 +41,7 @@
 /// Creates a holder with a grant of 100 tokens, of which `solo` are solo, and with `w@1` as its
 /// witness.
 async fn world(solo: u64) -> World {
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let (holder, budget): (Incarnation, BudgetId) = (name("h@1"), name("acme/main"));
     let row = HolderRow {
         zone: name("a"),
