--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -175,7 +175,7 @@
                 "engine": {"slots": 64, "kv_capacity": 200_000, "stride": TOKENS_PER_EVENT}}],
             "tenants": prepaid.iter().enumerate().map(organisation).collect::<Vec<_>>(),
         });
-        self.store.put(names::CONFIG.0, names::CONFIG.1, config.to_string().as_bytes());
+        self.store.put(names::CONFIG_ROW.0, names::CONFIG_ROW.1, config.to_string().as_bytes());
     }
 
     pub(crate) async fn add_target(self: &Rc<World>, n: usize) -> Result<()> {
@@ -193,12 +193,12 @@
         let warm_up_ms = if is_cold { zones::WARM_UP_S * 1_000.0 } else { 0.0 };
         let row = json!({"service": "model", "address": link.addr, "zone": zone, "slots": 64,
             "version": "v1", "state": "ready", "warmup_left_ms": warm_up_ms, "sequence": 1});
-        self.store.put(names::TARGETS, &id, row.to_string().as_bytes());
+        self.store.put(names::TARGETS_TABLE, &id, row.to_string().as_bytes());
         spawn_local(self.clone().start_again_after_end(n, target.clone(), link.clone()));
         let mut targets = self.targets.borrow_mut();
         if n < targets.len() {
             let (old, _) = std::mem::replace(&mut targets[n], (target, link));
-            self.store.remove(names::TARGETS, &old.id);
+            self.store.remove(names::TARGETS_TABLE, &old.id);
             self.gone.borrow_mut().push(old);
         } else {
             targets.push((target, link));
--- a/soak/src/zones.rs
+++ b/soak/src/zones.rs
@@ -62,12 +62,12 @@
             return times;
         }
         sleep(pause).await;
-        let key = format!("{}{zone}", names::EMPTIED);
-        store.put(names::CONFIG.0, &key, b"{}");
+        let key = format!("{}{zone}", names::EVACUATE_KEY_PREFIX);
+        store.put(names::CONFIG_ROW.0, &key, b"{}");
         let from = Instant::now();
         sleep(lasts).await;
         targets().iter().filter(|t| t.zone == zone).for_each(warm_up);
-        store.remove(names::CONFIG.0, &key);
+        store.remove(names::CONFIG_ROW.0, &key);
         times.push(Emptied { zone, from, to: Instant::now() });
     }
 }
