--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use compact_str::CompactString;
-use kingcupwall::standin::gateway_target::{Seen, TOKENS_PER_EVENT};
+use kingcupwall::standin::gateway_target::{ReceivedRequest, TOKENS_PER_EVENT};
 
 use crate::callers::Exchange;
 
@@ -11,7 +11,7 @@
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
 /// Everything that did not hold, a line each.
-pub fn check(seen: &[Exchange], runs: &[Seen], prepaid: &[u64]) -> Vec<String> {
+pub fn check(seen: &[Exchange], runs: &[ReceivedRequest], prepaid: &[u64]) -> Vec<String> {
     let mut times: HashMap<&CompactString, u64> = HashMap::new();
     runs.iter().for_each(|r| *times.entry(&r.id).or_default() += 1);
     let mut found: Vec<String> = seen.iter().filter_map(check_answer).collect();
--- a/soak/src/fatal.rs
+++ b/soak/src/fatal.rs
@@ -7,7 +7,7 @@
 use compact_str::{CompactString, format_compact};
 use fastrand::Rng;
 use kingcupwall::gateway::quarantine::CRASHES_TO_QUARANTINE;
-use kingcupwall::standin::gateway_target::{FATAL_BODY, Seen};
+use kingcupwall::standin::gateway_target::{FATAL_BODY, ReceivedRequest};
 use kingcupwall_platform::names;
 use tokio::time::{Instant, sleep, timeout};
 
@@ -57,7 +57,7 @@
 }
 
 /// How often each fatal request ran, by path.
-fn runs_by_path(runs: &[Seen]) -> Vec<(CompactString, usize)> {
+fn runs_by_path(runs: &[ReceivedRequest]) -> Vec<(CompactString, usize)> {
     let mut paths: Vec<_> = runs.iter().filter(|r| r.body == FATAL_BODY).collect();
     paths.sort_by(|a, b| a.target.cmp(&b.target));
     let of_one = paths.chunk_by(|a, b| a.target == b.target);
@@ -66,7 +66,7 @@
 
 /// What is wrong with the runs of fatal requests, from all runs before it was calm and all by now:
 /// in the calm every router hears of every target's end.
-pub fn check(before: &[Seen], by_now: &[Seen]) -> Vec<String> {
+pub fn check(before: &[ReceivedRequest], by_now: &[ReceivedRequest]) -> Vec<String> {
     let earlier = runs_by_path(before);
     let wrong = |(path, runs): (CompactString, usize)| {
         let before = earlier.iter().find(|(p, _)| *p == path).map_or(0, |(_, n)| *n);
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -8,7 +8,7 @@
 use eyre::{Result, WrapErr};
 use kingcupwall::allowance::Ledger;
 use kingcupwall::rows::RowStore;
-use kingcupwall::standin::gateway_target::{Seen, StandinTarget};
+use kingcupwall::standin::gateway_target::{ReceivedRequest, StandinTarget};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
@@ -162,7 +162,7 @@
     }
 
     /// All runs at all targets so far.
-    fn runs(&self) -> Vec<Seen> {
+    fn runs(&self) -> Vec<ReceivedRequest> {
         self.all_targets().iter().flat_map(StandinTarget::runs).collect()
     }
 
--- a/soak/src/strikes.rs
+++ b/soak/src/strikes.rs
@@ -66,10 +66,10 @@
             }
             sleep(pause).await;
             let target = self.targets.borrow()[n].0.clone();
-            target.set_says_leaving(leaves);
-            target.set_rests(rng.choice(notices::RESTS).filter(|_| !leaves));
+            target.set_leaving(leaves);
+            target.set_reject_all(rng.choice(notices::RESTS).filter(|_| !leaves));
             sleep(lasts).await;
-            target.set_rests(None);
+            target.set_reject_all(None);
             // A fault may have put another one in its place.
             let is_there = self.targets.borrow()[n].0.id == target.id;
             if leaves && is_there {
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -208,7 +208,7 @@
 
     /// Once a target has ended, nobody listens in its place; another starts there after a while.
     async fn start_again_after_end(self: Rc<World>, n: usize, target: StandinTarget, link: Proxy) {
-        target.wait_end().await;
+        target.wait_for_crash().await;
         link.close();
         sleep(DOWN).await;
         let is_there = self.targets.borrow()[n].0.id == target.id;
--- a/soak/src/zones.rs
+++ b/soak/src/zones.rs
@@ -116,7 +116,7 @@
 
 fn check_target(target: &StandinTarget, emptied: &[Emptied]) -> Vec<String> {
     let mut found = Vec::new();
-    let most = target.most_while_cold();
+    let most = target.peak_while_cold();
     if most > MOST_WHILE_COLD {
         found.push(format!("{}: {most} requests in one second while cold", target.id));
     }
--- a/soak/tests/tests.rs
+++ b/soak/tests/tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kingcupwall::http1::Header;
-use kingcupwall::standin::gateway_target::{Arrival, Seen as Ran};
+use kingcupwall::standin::gateway_target::{Arrival, ReceivedRequest as Ran};
 use kingcupwall_soak::callers::{Asked, Exchange};
 use kingcupwall_soak::checks::check;
 use kingcupwall_soak::faults::{Parts, next};
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -78,7 +78,7 @@
         }
         let mut routers = Vec::new();
         for (i, zone) in zones.iter().enumerate() {
-            let settings = router_settings(platform.served.addr, &format!("router-{i}"), zone);
+            let settings = router_settings(platform.server.addr, &format!("router-{i}"), zone);
             routers.push(RouterHost::start(settings).await?);
         }
         let text = configuration();
--- a/src/cmd/gateway_demo.rs
+++ b/src/cmd/gateway_demo.rs
@@ -12,7 +12,7 @@
 use crate::error::{Error, Kind, Result};
 use crate::http1::Conn;
 use crate::rows::RowStore;
-use crate::standin::gateway::{LocalPlatform, parts};
+use crate::standin::gateway::{LocalPlatform, catalog_parts};
 use crate::standin::gateway_host::GatewayHost;
 use crate::standin::gateway_target::{StandinTarget, TOKENS_PER_EVENT, TargetFault};
 
@@ -92,7 +92,7 @@
 
 async fn play(requests: usize) -> Result<()> {
     let platform = LocalPlatform::new();
-    platform.configure(parts(1, PREPAID));
+    platform.configure(catalog_parts(1, PREPAID));
     let mut targets = Vec::new();
     for (n, zone) in ZONES.iter().chain(&ZONES).enumerate() {
         let target = StandinTarget::start(&format!("t{n}"), "model", zone).await?;
--- a/src/cmd/standin.rs
+++ b/src/cmd/standin.rs
@@ -9,8 +9,8 @@
 use super::{block_on, stopped};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Millis, ZoneId};
-use crate::standin::Served;
-use crate::standin::batch::BatchSize;
+use crate::standin::HttpServer;
+use crate::standin::batch::EngineSize;
 use crate::standin::platform::{PlatformLimits, platform_app};
 use crate::standin::target::{Target, TargetSetup};
 use crate::table::memory::Memory;
@@ -91,17 +91,17 @@
                     reads_per_s: reads,
                     ..PlatformLimits::default()
                 };
-                Served::start(listen, platform_app(Memory::default(), limits)).await?
+                HttpServer::start(listen, platform_app(Memory::default(), limits)).await?
             }
             Which::Target { listen, name, zone, platform, serves, slots, pace, lag } => {
                 let setup = TargetSetup {
                     serves,
-                    size: BatchSize { slots, ..TargetSetup::default().size },
-                    pace: pace.duration(),
+                    size: EngineSize { slots, ..TargetSetup::default().size },
+                    step_time: pace.duration(),
                     report_lag: lag.duration(),
                     ..TargetSetup::default()
                 };
-                let served = Served::start(listen, Target::start(setup).app()).await?;
+                let served = HttpServer::start(listen, Target::start(setup).app()).await?;
                 if let Some(platform) = platform {
                     let addr = served.addr.to_string().into();
                     list(&platform, Instance { name, addr, zone, state: InstanceState::Live })
--- a/src/experiment/budget.rs
+++ b/src/experiment/budget.rs
@@ -14,7 +14,7 @@
 use crate::budget::sizing::Sizing;
 use crate::error::{Kind, Result};
 use crate::ids::{BudgetId, Digest, OrganisationId, Tokens, ZoneId};
-use crate::standin::local_fleet::{LocalCaller, LocalFleet, LocalRequest, Setup};
+use crate::standin::local_fleet::{FleetSetup, LocalCaller, LocalFleet, LocalRequest};
 use crate::table::memory::Faults;
 use crate::table::{read_one, scan_all};
 
@@ -243,12 +243,12 @@
     }
 
     async fn run(&self) -> Result<Cell> {
-        let setup = Setup {
+        let setup = FleetSetup {
             sizing: self.policy.sizing(),
             lending: self.policy.lending(),
             config: self.config(),
             targets: 3,
-            ..Setup::default()
+            ..FleetSetup::default()
         };
         let mut fleet = LocalFleet::start(setup).await?;
         let oracle = self.oracle(&fleet);
@@ -257,7 +257,7 @@
         let firsts = self.load(&mut fleet, &oracle, began).await?;
         let stranded = self.stranded(&fleet).await?;
         let writes = fleet.net.memory.counts().txns - before.txns;
-        fleet.net.mend();
+        fleet.net.reconnect();
         fleet.net.memory.set_faults(Faults::default());
         sleep(SETTLE).await;
         let cell = self.cell(&fleet, &oracle, &firsts, stranded, writes).await?;
@@ -303,7 +303,8 @@
             let mut caller = caller.clone();
             // A third of the callers stands in the zone that is cut off, and cannot leave it.
             let inside = self.workload == Workload::ZoneCutInside && n.is_multiple_of(3);
-            caller.only = if inside && n > self.requests / 3 { Some("c".parse()?) } else { None };
+            caller.reachable_zone =
+                if inside && n > self.requests / 3 { Some("c".parse()?) } else { None };
             sent.spawn(send(caller, oracle.clone(), org, n));
         }
         let mut firsts = Vec::new();
@@ -349,7 +350,7 @@
                 fleet.net.cut(&zone("c")?, &zone("a")?);
                 fleet.net.cut(&zone("c")?, &zone("b")?);
             }
-            Workload::ZoneCut | Workload::ZoneCutInside if n == two_thirds => fleet.net.mend(),
+            Workload::ZoneCut | Workload::ZoneCutInside if n == two_thirds => fleet.net.reconnect(),
             _ => {}
         }
         Ok(())
@@ -358,7 +359,7 @@
     async fn replace_one(&self, fleet: &mut LocalFleet, rng: &mut fastrand::Rng) {
         let up = fleet.up();
         let victim = up[rng.usize(..up.len())];
-        let zone = fleet.places[victim].zone.clone();
+        let zone = fleet.members[victim].zone.clone();
         fleet.kill(victim);
         fleet.add_router(&zone).await;
     }
--- a/src/experiment/overhead.rs
+++ b/src/experiment/overhead.rs
@@ -46,12 +46,12 @@
 pub async fn run(requests: usize) -> Result<Overhead> {
     let platform = PlatformHost::start(PlatformLimits::default()).await?;
     let zones: [ZoneId; 2] = ["a".parse()?, "b".parse()?];
-    let pace = Duration::from_millis(2);
-    let setup = TargetSetup { serves: vec!["m".into()], pace, ..TargetSetup::default() };
+    let step_time = Duration::from_millis(2);
+    let setup = TargetSetup { serves: vec!["m".into()], step_time, ..TargetSetup::default() };
     let target: TargetHost = TargetHost::start(&platform.memory, "t0", &zones[0], setup).await?;
     let mut routers = Vec::new();
     for zone in &zones {
-        routers.push(RouterHost::start(router_settings(platform.served.addr, "r", zone)).await?);
+        routers.push(RouterHost::start(router_settings(platform.server.addr, "r", zone)).await?);
     }
     let key = Digest::of(b"key");
     let text = format!(
@@ -64,7 +64,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     let caller = Caller::new(vec![routers[0].api.to_string()], "key", None)?;
     let engine = HttpEngine::new()?;
-    let addr = target.served.addr.to_string();
+    let addr = target.server.addr.to_string();
     let mut direct: Histogram<u64> = Histogram::new(3).expect("three digits are in range");
     let mut routed = direct.clone();
     for n in 0..requests + WARM_UP {
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -16,7 +16,7 @@
 use crate::error::Result;
 use crate::membership::link::{LinkCounts, Links, Secrets, listen};
 use crate::route::picker::Policy;
-use crate::standin::Served;
+use crate::standin::HttpServer;
 use crate::table::http::HttpPlatform;
 
 /// Pause between looks at what still runs during a drain.
@@ -33,7 +33,7 @@
     pub api: SocketAddr,
     /// Its state.
     pub node: Arc<HttpNode>,
-    served: Served,
+    served: HttpServer,
     peer_task: JoinHandle<()>,
     tasks: JoinSet<()>,
     /// Secrets of its links, for rotation.
@@ -84,7 +84,7 @@
         .await;
         let Booted { node, answers, tasks } = booted;
         let peer_task = listen(peer_listener, secrets.clone(), link_counts.clone(), answers)?;
-        let served = Served::start_on(api_listener, api_app(node.clone()))?;
+        let served = HttpServer::start_on(api_listener, api_app(node.clone()))?;
         log::info!(
             "router=started incarnation={} api={api} peer={peer}",
             node.session().incarnation
--- a/src/standin/batch.rs
+++ b/src/standin/batch.rs
@@ -10,15 +10,15 @@
 /// Bytes of prompt per token in this engine.
 pub const BYTES_PER_TOKEN: usize = 4;
 /// Bytes of prompt in one block of the prefix cache.
-const BLOCK: usize = 256;
+const BLOCK_BYTES: usize = 256;
 /// Ended and cancelled runs that are remembered.
-const KEPT_RUNS: usize = 20_000;
+const MAX_KNOWN_RUNS: usize = 20_000;
 /// Prompt tokens that one step can read in.
-const PREFILL_PER_STEP: u64 = 512;
+const MAX_PREFILL_TOKENS_PER_STEP: u64 = 512;
 
 /// Size of an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct BatchSize {
+pub struct EngineSize {
     /// Runs that get a token in each step.
     pub slots: usize,
     /// Prompt blocks that the prefix cache holds.
@@ -54,7 +54,7 @@
     }
 
     /// Whether the answer is whole.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.state == RunState::Ended
     }
 
@@ -66,24 +66,24 @@
 
 /// The engine.
 #[derive(Debug)]
-pub struct Batch {
-    size: BatchSize,
+pub struct BatchEngine {
+    size: EngineSize,
     runs: Vec<Run>,
     /// Every known run, oldest first.
     order: VecDeque<RunId>,
     /// Queued and active runs, oldest first.
-    live: Vec<RunId>,
+    unfinished: Vec<RunId>,
     cache: VecDeque<Digest>,
     /// Prompt blocks found in the cache, and looked for.
-    pub hits: (u64, u64),
+    pub block_hits: (u64, u64),
     /// Runs started, a repeat of the same id not counted.
     pub started: u64,
 }
 
-/// The token that this engine answers at a place: a function of the prompt alone, so that any
+/// The token that this engine answers at a index: a function of the prompt alone, so that any
 /// caller can check that its answer is its own and whole.
-pub fn expected_token(prompt: &str, place: u64) -> CompactString {
-    token(Digest::of(prompt.as_bytes()).word(), place)
+pub fn expected_token(prompt: &str, index: u64) -> CompactString {
+    token(Digest::of(prompt.as_bytes()).word(), index)
 }
 
 /// How many tokens this engine answers when it is not limited.
@@ -92,22 +92,22 @@
     (1 + word % max_tokens.max(1)).min(max_tokens)
 }
 
-fn token(seed: u64, place: u64) -> CompactString {
+fn token(seed: u64, index: u64) -> CompactString {
     let mixed =
-        (seed ^ place.wrapping_mul(0x9E37_79B9_7F4A_7C15)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
+        (seed ^ index.wrapping_mul(0x9E37_79B9_7F4A_7C15)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
     format_compact!(" {:04x}", mixed >> 48)
 }
 
-impl Batch {
+impl BatchEngine {
     /// An idle engine.
-    pub fn new(size: BatchSize) -> Batch {
-        Batch {
+    pub fn new(size: EngineSize) -> BatchEngine {
+        BatchEngine {
             size,
             runs: Vec::new(),
             order: VecDeque::new(),
-            live: Vec::new(),
+            unfinished: Vec::new(),
             cache: VecDeque::new(),
-            hits: (0, 0),
+            block_hits: (0, 0),
             started: 0,
         }
     }
@@ -118,12 +118,12 @@
 
     /// The run of that id.
     pub fn run(&self, id: &RunId) -> Option<&Run> {
-        self.find(id).ok().map(|place| &self.runs[place])
+        self.find(id).ok().map(|index| &self.runs[index])
     }
 
     /// Runs in the batch and in the queue.
     pub fn load(&self) -> (u32, u32) {
-        let states = self.live.iter().filter_map(|id| self.run(id)).map(|r| r.state);
+        let states = self.unfinished.iter().filter_map(|id| self.run(id)).map(|r| r.state);
         states.fold((0, 0), |(active, queued), s| match s {
             RunState::Active => (active + 1, queued),
             RunState::Queued => (active, queued + 1),
@@ -133,10 +133,10 @@
 
     /// Starts a run, unless its id is known already.
     pub fn start(&mut self, req: &StartRun) {
-        let Err(place) = self.find(&req.run) else { return };
+        let Err(index) = self.find(&req.run) else { return };
         self.started += 1;
         let prompt_tokens = req.prompt.len().div_ceil(BYTES_PER_TOKEN) as u64;
-        let cached = self.read_prefix(&req.prompt);
+        let cached = self.cache_prefix(&req.prompt);
         let run = Run {
             id: req.run.clone(),
             seed: Digest::of(req.prompt.as_bytes()).word(),
@@ -147,49 +147,49 @@
             tokens: req.so_far.clone(),
             limit: natural_length(&req.prompt, req.max_tokens),
         };
-        self.runs.insert(place, run);
-        self.live.push(req.run.clone());
-        self.remember(req.run.clone());
+        self.runs.insert(index, run);
+        self.unfinished.push(req.run.clone());
+        self.track_run(req.run.clone());
     }
 
-    fn remember(&mut self, id: RunId) {
+    fn track_run(&mut self, id: RunId) {
         self.order.push_back(id);
-        if self.order.len() > KEPT_RUNS
+        if self.order.len() > MAX_KNOWN_RUNS
             && let Some(old) = self.order.pop_front()
-            && let Ok(place) = self.find(&old)
+            && let Ok(index) = self.find(&old)
         {
-            self.runs.remove(place);
+            self.runs.remove(index);
         }
     }
 
     /// Looks the prompt's leading blocks up and caches them all. Cached tokens.
-    fn read_prefix(&mut self, prompt: &str) -> u64 {
+    fn cache_prefix(&mut self, prompt: &str) -> u64 {
         let mut cached = 0;
         let mut leading = true;
-        for end in (BLOCK..=prompt.len()).step_by(BLOCK) {
+        for end in (BLOCK_BYTES..=prompt.len()).step_by(BLOCK_BYTES) {
             let block = Digest::of(&prompt.as_bytes()[..end]);
-            self.hits.1 += 1;
+            self.block_hits.1 += 1;
             let found = self.cache.iter().position(|d| *d == block);
             leading &= found.is_some();
             if leading {
-                self.hits.0 += 1;
-                cached += (BLOCK / BYTES_PER_TOKEN) as u64;
+                self.block_hits.0 += 1;
+                cached += (BLOCK_BYTES / BYTES_PER_TOKEN) as u64;
             }
-            if let Some(place) = found {
-                self.cache.remove(place);
+            if let Some(index) = found {
+                self.cache.remove(index);
             }
             self.cache.push_back(block);
         }
-        let surplus = self.cache.len().saturating_sub(self.size.cache_blocks);
-        self.cache.drain(..surplus);
+        let excess = self.cache.len().saturating_sub(self.size.cache_blocks);
+        self.cache.drain(..excess);
         cached
     }
 
     /// Stops a run. One that is not known is remembered as cancelled, and never starts.
     pub fn cancel(&mut self, id: &RunId) -> Cancelled {
         match self.find(id) {
-            Ok(place) => {
-                let run = &mut self.runs[place];
+            Ok(index) => {
+                let run = &mut self.runs[index];
                 let usage = run.usage();
                 match run.state {
                     RunState::Ended => Cancelled::Ended(usage),
@@ -200,7 +200,7 @@
                     }
                 }
             }
-            Err(place) => {
+            Err(index) => {
                 let run = Run {
                     id: id.clone(),
                     seed: 0,
@@ -211,51 +211,51 @@
                     tokens: Vec::new(),
                     limit: 0,
                 };
-                self.runs.insert(place, run);
-                self.remember(id.clone());
+                self.runs.insert(index, run);
+                self.track_run(id.clone());
                 Cancelled::NeverRan
             }
         }
     }
 
     /// One step of the engine: fills the batch by priority, then every run in it gets a token or
-    /// reads on in its prompt. Whether anything moved.
+    /// reads on in its prompt. Whether anything progressed.
     pub fn step(&mut self) -> bool {
-        self.fill();
-        let mut moved = false;
-        let mut prefill = PREFILL_PER_STEP;
-        let live = std::mem::take(&mut self.live);
-        for id in &live {
-            if let Ok(place) = self.find(id)
-                && self.runs[place].state == RunState::Active
+        self.fill_batch();
+        let mut progressed = false;
+        let mut prefill = MAX_PREFILL_TOKENS_PER_STEP;
+        let unfinished = std::mem::take(&mut self.unfinished);
+        for id in &unfinished {
+            if let Ok(index) = self.find(id)
+                && self.runs[index].state == RunState::Active
             {
-                moved = true;
-                prefill -= step_run(&mut self.runs[place], prefill);
+                progressed = true;
+                prefill -= step_run(&mut self.runs[index], prefill);
             }
         }
-        self.live = live;
-        self.live.retain(|id| {
+        self.unfinished = unfinished;
+        self.unfinished.retain(|id| {
             self.runs.binary_search_by(|r| r.id.cmp(id)).is_ok_and(|at| !self.runs[at].is_over())
         });
-        moved
+        progressed
     }
 
-    fn fill(&mut self) {
+    fn fill_batch(&mut self) {
         let (active, queued) = self.load();
         let free = self.size.slots.saturating_sub(active as usize);
         if free == 0 || queued == 0 {
             return;
         }
         let mut waiting: Vec<(u8, usize)> = Vec::new();
-        for (age, id) in self.live.iter().enumerate() {
+        for (age, id) in self.unfinished.iter().enumerate() {
             waiting.extend(
                 self.run(id).filter(|r| r.state == RunState::Queued).map(|r| (r.priority, age)),
             );
         }
         waiting.sort_by_key(|(priority, age)| (u8::MAX - priority, *age));
         for (_, age) in waiting.into_iter().take(free) {
-            if let Ok(place) = self.find(&self.live[age]) {
-                self.runs[place].state = RunState::Active;
+            if let Ok(index) = self.find(&self.unfinished[age]) {
+                self.runs[index].state = RunState::Active;
             }
         }
     }
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -8,7 +8,7 @@
 
 use compact_str::{CompactString, format_compact};
 
-use super::Served;
+use super::HttpServer;
 use super::platform::{PlatformLimits, platform_app};
 use super::target::{Target, TargetSetup};
 use crate::config::revision::Document;
@@ -34,7 +34,7 @@
     /// Its state, for looking at it from outside.
     pub memory: Memory,
     /// Its server.
-    pub served: Served,
+    pub server: HttpServer,
 }
 
 impl PlatformHost {
@@ -44,8 +44,8 @@
     /// `Io` when no port can be bound.
     pub async fn start(limits: PlatformLimits) -> Result<PlatformHost> {
         let memory = Memory::default();
-        let served = Served::start(loopback(), platform_app(memory.clone(), limits)).await?;
-        Ok(PlatformHost { memory, served })
+        let server = HttpServer::start(loopback(), platform_app(memory.clone(), limits)).await?;
+        Ok(PlatformHost { memory, server })
     }
 }
 
@@ -56,7 +56,7 @@
     /// Its state.
     pub target: Target,
     /// Its server.
-    pub served: Served,
+    pub server: HttpServer,
 }
 
 impl TargetHost {
@@ -71,16 +71,16 @@
         setup: TargetSetup,
     ) -> Result<TargetHost> {
         let target = Target::start(setup);
-        let served = Served::start(loopback(), target.app()).await?;
+        let server = HttpServer::start(loopback(), target.app()).await?;
         let name = CompactString::from(name);
-        let addr = format_compact!("{}", served.addr);
+        let addr = format_compact!("{}", server.addr);
         platform.put_instance(Instance {
             name: name.clone(),
             addr,
             zone: zone.clone(),
             state: InstanceState::Live,
         });
-        Ok(TargetHost { name, target, served })
+        Ok(TargetHost { name, target, server })
     }
 }
 
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -22,7 +22,7 @@
 use crate::rows::{ArrivingAnswers, Committed, MemoryRows, Page, RowStore, StoreResult, Tx, Ver};
 
 /// Keys of orders to empty a zone begin with this.
-const EMPTY: &str = "empty/";
+const EMPTY_ZONE_PREFIX: &str = "empty/";
 
 /// Names of headers at the stand-ins.
 pub const REQUEST_ID: &str = "Request-Id";
@@ -41,7 +41,7 @@
 /// See [`REQUEST_ID`].
 pub const LAST_EVENT: &str = "Last-Event-Id";
 
-pub(super) fn names() -> Names {
+pub(super) fn header_names() -> Names {
     Names {
         request_id: REQUEST_ID.into(),
         time_left: "Time-Left-Ms".into(),
@@ -76,7 +76,7 @@
 }
 
 /// The usual configuration: four kinds of routes, one organisation with `prepaid` tokens.
-pub fn parts(version: u64, prepaid: u64) -> CatalogParts {
+pub fn catalog_parts(version: u64, prepaid: u64) -> CatalogParts {
     CatalogParts {
         version,
         routes: vec![
@@ -126,11 +126,15 @@
 impl LocalPlatform {
     /// An empty platform.
     pub fn new() -> LocalPlatform {
-        LocalPlatform { rows: MemoryRows::new(), configs: Rc::default(), names: Rc::new(names()) }
+        LocalPlatform {
+            rows: MemoryRows::new(),
+            configs: Rc::default(),
+            names: Rc::new(header_names()),
+        }
     }
 
     /// The same platform for another router, with a fault of its own.
-    pub fn another(&self) -> LocalPlatform {
+    pub fn new_client(&self) -> LocalPlatform {
         LocalPlatform { rows: self.rows.new_client(), ..self.clone() }
     }
 
@@ -165,12 +169,12 @@
 
     /// Orders a zone to be emptied.
     pub fn empty_zone(&self, zone: &str) {
-        self.rows.put("operator", &format!("{EMPTY}{zone}"), b"");
+        self.rows.put("operator", &format!("{EMPTY_ZONE_PREFIX}{zone}"), b"");
     }
 
     /// Takes a zone back.
-    pub fn take_zone_back(&self, zone: &str) {
-        self.rows.remove("operator", &format!("{EMPTY}{zone}"));
+    pub fn restore_zone(&self, zone: &str) {
+        self.rows.remove("operator", &format!("{EMPTY_ZONE_PREFIX}{zone}"));
     }
 }
 
@@ -194,7 +198,7 @@
     }
 }
 
-fn bad_row(what: &str) -> Error {
+fn bad_format(what: &str) -> Error {
     Error::new(Kind::BadFormat, what)
 }
 
@@ -208,7 +212,7 @@
     }
 
     fn emptied_zone(&self, key: &str) -> Option<CompactString> {
-        key.strip_prefix(EMPTY).map(CompactString::from)
+        key.strip_prefix(EMPTY_ZONE_PREFIX).map(CompactString::from)
     }
 
     fn targets_table(&self) -> &'static str {
@@ -218,26 +222,26 @@
     fn catalog(&self, value: &[u8]) -> Result<Catalog> {
         let number = std::str::from_utf8(value).ok().and_then(|v| v.trim().parse::<usize>().ok());
         let configs = self.configs.borrow();
-        let parts = number.and_then(|n| configs.get(n)).ok_or_else(|| bad_row("config"))?;
+        let parts = number.and_then(|n| configs.get(n)).ok_or_else(|| bad_format("config"))?;
         Ok(Catalog::build(parts.clone()))
     }
 
     fn target(&self, id: &str, value: &[u8]) -> Result<TargetInfo> {
-        let text = std::str::from_utf8(value).map_err(|_| bad_row("target"))?;
+        let text = std::str::from_utf8(value).map_err(|_| bad_format("target"))?;
         let fields: Vec<&str> = text.split(' ').collect();
-        let [service, addr, zone, slots, state, ref more @ ..] = fields[..] else {
-            return Err(bad_row("target"));
+        let [service, addr, zone, slots, state, ref optional @ ..] = fields[..] else {
+            return Err(bad_format("target"));
         };
         let number = |i: usize| -> Result<Option<u64>> {
-            let parse = |v: &&str| v.parse().map_err(|_| bad_row("number"));
-            more.get(i).map(parse).transpose()
+            let parse = |v: &&str| v.parse().map_err(|_| bad_format("number"));
+            optional.get(i).map(parse).transpose()
         };
         Ok(TargetInfo {
             id: id.into(),
             service: service.into(),
-            addr: addr.parse().map_err(|_| bad_row("address"))?,
+            addr: addr.parse().map_err(|_| bad_format("address"))?,
             zone: zone.into(),
-            slots: slots.parse().map_err(|_| bad_row("slots"))?,
+            slots: slots.parse().map_err(|_| bad_format("slots"))?,
             state: if state == "ready" { TargetState::Ready } else { TargetState::Draining },
             warm_up: Duration::from_millis(number(1)?.unwrap_or(0)),
             born: number(0)?.map(StartedMs),
@@ -274,6 +278,6 @@
 }
 
 /// The name of a process at an instance.
-pub fn process(instance: &str, incarnation: u64) -> crate::allowance::ProcessId {
+pub fn process_id(instance: &str, incarnation: u64) -> crate::allowance::ProcessId {
     crate::allowance::ProcessId { endpoint: format_compact!("{instance}/127.0.0.1"), incarnation }
 }
--- a/src/standin/gateway_host.rs
+++ b/src/standin/gateway_host.rs
@@ -8,13 +8,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use super::gateway::{LocalPlatform, process, settings};
+use super::gateway::{LocalPlatform, process_id, settings};
 use crate::error::Result;
 use crate::gateway::{self, Gateway};
 use crate::oplog::Log;
 
 /// Pause between two looks whether a gateway serves by now.
-const LOOK: Duration = Duration::from_millis(5);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// One gateway.
 pub struct GatewayHost {
@@ -43,25 +43,25 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let front = listener.local_addr()?;
         let socket = UdpSocket::bind(front).await?;
-        let platform = platform.another();
+        let platform = platform.new_client();
         let log = Log::new();
-        let me = process(instance, incarnation);
+        let own_id = process_id(instance, incarnation);
         let settings = settings(instance, zone, front);
-        let gw = Gateway::new(platform.clone(), settings, me, log.clone());
+        let gw = Gateway::new(platform.clone(), settings, own_id, log.clone());
         let tasks = gateway::start(&gw, listener, socket);
         let host = GatewayHost { front, gw, platform, log, tasks };
-        while !host.serves() {
-            sleep(LOOK).await;
+        while !host.is_serving() {
+            sleep(READY_POLL_INTERVAL).await;
         }
         Ok(host)
     }
 
-    fn serves(&self) -> bool {
+    fn is_serving(&self) -> bool {
         self.gw.is_ready() && self.gw.targets.count().1 > 0
     }
 
     /// Stops its feed of the configuration, as a connection does that has gone silent.
-    pub fn stop_following(&self) {
+    pub fn stop_config_feed(&self) {
         self.tasks[0].abort();
     }
 
--- a/src/standin/gateway_target.rs
+++ b/src/standin/gateway_target.rs
@@ -13,19 +13,19 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use super::gateway::{SEAL, names};
+use super::gateway::{SEAL, header_names};
 use crate::error::Result;
 use crate::gateway::Names;
 use crate::http1::{Conn, Header, RequestHead, header};
 
 /// How long a stand-in's bytes may stay unacknowledged.
-const SILENCE: Duration = Duration::from_secs(5);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest request a stand-in takes, in bytes.
-const MAX_REQUEST: u64 = 1024 * 1024;
+const MAX_BODY_LEN: u64 = 1024 * 1024;
 /// The body of a request that ends any target which runs it.
 pub const FATAL_BODY: &[u8] = b"fatal";
 /// How long after it announced the end of a connection a stand-in closes it.
-const CLOSES_AFTER: Duration = Duration::from_millis(400);
+const CLOSE_DELAY: Duration = Duration::from_millis(400);
 /// Tokens in one event of a stand-in's stream.
 pub const TOKENS_PER_EVENT: u64 = 2;
 
@@ -35,7 +35,7 @@
     /// Says that it is full; does not run it.
     Full,
     /// The same, with this `Retry-After`.
-    FullUntil(&'static str),
+    FullRetryAfter(&'static str),
     /// The same as `Full`, and announces the end of the connection, which it closes a moment later.
     FullAndCloses,
     /// Says that another target has the address; does not run it.
@@ -58,7 +58,7 @@
 
 /// A request as a target saw it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// The caller's id.
     pub id: CompactString,
     /// Path and query.
@@ -84,38 +84,38 @@
 
 /// What a cold target bears.
 #[derive(Debug, Default)]
-struct Cold {
+struct ColdLimit {
     /// Requests within any second; one more ends it. None while it is warm.
-    most: Option<usize>,
+    max_per_s: Option<usize>,
     /// When requests arrived within the last second.
     arrivals: VecDeque<Instant>,
     /// The most that arrived within one second while it was cold.
-    seen: usize,
+    peak_per_s: usize,
 }
 
-impl Cold {
+impl ColdLimit {
     /// A request arrives. Returns whether the target bears it.
-    fn bears(&mut self, now: Instant) -> bool {
+    fn admits(&mut self, now: Instant) -> bool {
         while self.arrivals.front().is_some_and(|t| *t + Duration::from_secs(1) <= now) {
             self.arrivals.pop_front();
         }
         self.arrivals.push_back(now);
-        let Some(most) = self.most else { return true };
-        self.seen = self.seen.max(self.arrivals.len());
-        self.arrivals.len() <= most
+        let Some(max_per_s) = self.max_per_s else { return true };
+        self.peak_per_s = self.peak_per_s.max(self.arrivals.len());
+        self.arrivals.len() <= max_per_s
     }
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    cold: Cold,
+    cold: ColdLimit,
     faults: VecDeque<TargetFault>,
-    runs: Vec<Seen>,
+    runs: Vec<ReceivedRequest>,
     closed_early: u64,
     event_gap: Duration,
-    ended: watch::Sender<bool>,
-    says_leaving: bool,
-    rests: Option<&'static str>,
+    crashed: watch::Sender<bool>,
+    announces_leaving: bool,
+    reject_all: Option<&'static str>,
     arrivals: Vec<Arrival>,
 }
 
@@ -149,7 +149,7 @@
     /// # Errors
     /// Those of listening.
     pub async fn start(id: &str, service: &str, zone: &str) -> Result<StandinTarget> {
-        let names = TargetNames { headers: names(), seal: SEAL.into() };
+        let names = TargetNames { headers: header_names(), seal: SEAL.into() };
         StandinTarget::start_named(id, service, zone, names).await
     }
 
@@ -172,14 +172,14 @@
             names: Rc::new(names),
             shared: Rc::default(),
         };
-        let serving = target.clone();
+        let server = target.clone();
         spawn_local(async move {
             let accept = async {
                 while let Ok((io, _)) = listener.accept().await {
-                    spawn_local(serving.clone().serve(io));
+                    spawn_local(server.clone().serve(io));
                 }
             };
-            serving.until_ended(accept).await;
+            server.run_until_crash(accept).await;
         });
         Ok(target)
     }
@@ -196,23 +196,23 @@
 
     /// It is cold from now on and ends when more than `most` requests arrive within a second; warm
     /// if absent.
-    pub fn set_cold(&self, most: Option<usize>) {
-        self.shared.borrow_mut().cold.most = most;
+    pub fn set_cold(&self, max_per_s: Option<usize>) {
+        self.shared.borrow_mut().cold.max_per_s = max_per_s;
     }
 
     /// The most requests that arrived within one second while it was cold.
-    pub fn most_while_cold(&self) -> usize {
-        self.shared.borrow().cold.seen
+    pub fn peak_while_cold(&self) -> usize {
+        self.shared.borrow().cold.peak_per_s
     }
 
     /// All its answers say that it leaves, or not any more.
-    pub fn set_says_leaving(&self, leaving: bool) {
-        self.shared.borrow_mut().says_leaving = leaving;
+    pub fn set_leaving(&self, leaving: bool) {
+        self.shared.borrow_mut().announces_leaving = leaving;
     }
 
     /// It turns every request away with this `Retry-After`; none if absent.
-    pub fn set_rests(&self, retry_after: Option<&'static str>) {
-        self.shared.borrow_mut().rests = retry_after;
+    pub fn set_reject_all(&self, retry_after: Option<&'static str>) {
+        self.shared.borrow_mut().reject_all = retry_after;
     }
 
     /// The requests that arrived, but for those meant for another target.
@@ -221,42 +221,42 @@
     }
 
     /// The requests that it ran.
-    pub fn runs(&self) -> Vec<Seen> {
+    pub fn runs(&self) -> Vec<ReceivedRequest> {
         self.shared.borrow().runs.clone()
     }
 
     /// Ends as a process does that crashes: nobody listens any more, all connections break.
-    pub fn end(&self) {
-        self.shared.borrow().ended.send_replace(true);
+    pub fn crash(&self) {
+        self.shared.borrow().crashed.send_replace(true);
     }
 
     /// Ends after the pause between two events, also if the connection is closed meanwhile.
-    fn end_later(&self) {
+    fn crash_after_event_gap(&self) {
         let target = self.clone();
         spawn_local(async move {
             let gap = target.shared.borrow().event_gap;
             tokio::time::sleep(gap).await;
-            target.end();
+            target.crash();
         });
     }
 
-    /// Whether it has ended.
-    pub fn has_ended(&self) -> bool {
-        *self.shared.borrow().ended.borrow()
+    /// Whether it has crashed.
+    pub fn has_crashed(&self) -> bool {
+        *self.shared.borrow().crashed.borrow()
     }
 
-    /// Waits until it has ended.
-    pub async fn wait_end(&self) {
-        self.until_ended(std::future::pending()).await;
+    /// Waits until it has crashed.
+    pub async fn wait_for_crash(&self) {
+        self.run_until_crash(std::future::pending()).await;
     }
 
     /// Does `work` until this target ends.
-    async fn until_ended(&self, work: impl Future<Output = ()>) {
-        let mut ended = self.shared.borrow().ended.subscribe();
+    async fn run_until_crash(&self, work: impl Future<Output = ()>) {
+        let mut crashed = self.shared.borrow().crashed.subscribe();
         tokio::select! {
             biased;
             // The sender lives as long as this target: the channel cannot be closed.
-            _ = ended.wait_for(|ended| *ended) => (),
+            _ = crashed.wait_for(|crashed| *crashed) => (),
             () = work => (),
         }
     }
@@ -267,16 +267,16 @@
     }
 
     async fn serve(self, io: TcpStream) {
-        let Ok(mut conn) = Conn::new(io, SILENCE) else { return };
+        let Ok(mut conn) = Conn::new(io, UNACKED_TIMEOUT) else { return };
         let answer_all = async {
             while let Ok(head) = conn.read_request(64 * 1024).await {
-                let Ok(Some(body)) = conn.read_body(head.body, MAX_REQUEST).await else { return };
+                let Ok(Some(body)) = conn.read_body(head.body, MAX_BODY_LEN).await else { return };
                 if !self.answer(&mut conn, &head, body).await {
                     return;
                 }
             }
         };
-        self.until_ended(answer_all).await;
+        self.run_until_crash(answer_all).await;
     }
 
     /// Answers one request. Returns whether the connection goes on.
@@ -286,47 +286,49 @@
         let expected = header(&head.headers, &names.expect_target);
         let fault = self.next_fault();
         if fault == Some(TargetFault::OtherTarget) || expected != Some(self.id.as_str()) {
-            return write(conn, &self.short(421, &id, "", "")).await;
+            return write(conn, &self.response(421, &id, "", "")).await;
         }
         let retry_after = match fault {
-            Some(TargetFault::FullUntil(after)) => Some(after),
+            Some(TargetFault::FullRetryAfter(after)) => Some(after),
             _ => None,
         };
         let arrival = Arrival { id: id.clone(), at: Instant::now(), retry_after };
         self.shared.borrow_mut().arrivals.push(arrival);
         match fault {
-            Some(TargetFault::Full) => return self.turn_away(conn, &id, "").await,
-            Some(TargetFault::FullUntil(after)) => {
-                return self.turn_away(conn, &id, &format!("Retry-After: {after}\r\n")).await;
+            Some(TargetFault::Full) => return self.reject(conn, &id, "").await,
+            Some(TargetFault::FullRetryAfter(after)) => {
+                return self.reject(conn, &id, &format!("Retry-After: {after}\r\n")).await;
             }
             Some(TargetFault::FullAndCloses) => {
-                self.turn_away(conn, &id, "Connection: close\r\n").await;
-                tokio::time::sleep(CLOSES_AFTER).await;
+                self.reject(conn, &id, "Connection: close\r\n").await;
+                tokio::time::sleep(CLOSE_DELAY).await;
                 return false;
             }
             _ => (),
         }
-        if !self.shared.borrow_mut().cold.bears(Instant::now()) {
-            self.end();
+        if !self.shared.borrow_mut().cold.admits(Instant::now()) {
+            self.crash();
             return false;
         }
-        let seen = Seen {
+        let request = ReceivedRequest {
             id: id.clone(),
             target: head.target.clone(),
             headers: head.headers.clone(),
             body,
             at: Instant::now(),
         };
-        let is_fatal = seen.body == FATAL_BODY;
-        self.shared.borrow_mut().runs.push(seen);
+        let is_fatal = request.body == FATAL_BODY;
+        self.shared.borrow_mut().runs.push(request);
         if is_fatal {
-            self.end_later();
+            self.crash_after_event_gap();
             return std::future::pending().await;
         }
         let seal = format!("{}: {}.{id}\r\n", self.names.seal, self.id);
         let text = format!("answer of {} to {id}", self.id);
         match fault {
-            Some(TargetFault::Fails) => write(conn, &self.short(500, &id, &seal, "failed")).await,
+            Some(TargetFault::Fails) => {
+                write(conn, &self.response(500, &id, &seal, "failed")).await
+            }
             Some(TargetFault::LosesAnswer) => false,
             Some(TargetFault::Hangs) => {
                 conn.closed().await;
@@ -338,19 +340,19 @@
                 false
             }
             Some(TargetFault::CutsBody) => {
-                let whole = self.short(200, &id, &seal, &text);
+                let whole = self.response(200, &id, &seal, &text);
                 write(conn, &whole[..whole.len() - 3]).await;
                 false
             }
             Some(TargetFault::AnswersTwice) => {
-                let mut both = self.short(200, &id, &seal, &text);
-                both.extend(self.short(200, "someone-else", &seal, "not for you"));
-                write(conn, &both).await
+                let mut responses = self.response(200, &id, &seal, &text);
+                responses.extend(self.response(200, "someone-else", &seal, "not for you"));
+                write(conn, &responses).await
             }
             _ if head.target.starts_with("/stream/") || head.target.starts_with("/resumable/") => {
                 self.stream(conn, head, &id, &seal, fault).await
             }
-            _ => write(conn, &self.short(200, &id, &seal, &text)).await,
+            _ => write(conn, &self.response(200, &id, &seal, &text)).await,
         }
     }
 
@@ -365,13 +367,13 @@
         let names = &self.names.headers;
         let counts = header(&head.headers, &names.token_counts).and_then(|v| v.split_once(','));
         let output: u64 = counts.and_then(|(_, o)| o.trim().parse().ok()).unwrap_or(10);
-        let last = header(&head.headers, &names.last_event_id);
-        let from: u64 = last.and_then(|v| v.parse().ok()).unwrap_or(0);
+        let resume_after = header(&head.headers, &names.last_event_id);
+        let from: u64 = resume_after.and_then(|v| v.parse().ok()).unwrap_or(0);
         let start = format!(
             "HTTP/1.1 200 OK\r\n{}: {id}\r\n{seal}{}Content-Type: text/event-stream\r\n\
              Transfer-Encoding: chunked\r\n\r\n",
             names.request_id,
-            self.leaving()
+            self.leaving_header()
         );
         if !write(conn, start.as_bytes()).await {
             return false;
@@ -384,12 +386,12 @@
                 return false;
             }
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
-            let left = tokio::select! {
+            let disconnected = tokio::select! {
                 () = conn.closed(), if !gap.is_zero() => true,
                 () = tokio::time::sleep(gap), if !gap.is_zero() => false,
                 else => false,
             };
-            if left || !write(conn, chunk.as_bytes()).await {
+            if disconnected || !write(conn, chunk.as_bytes()).await {
                 self.shared.borrow_mut().closed_early += 1;
                 return false;
             }
@@ -399,23 +401,24 @@
 
     fn next_fault(&self) -> Option<TargetFault> {
         let mut shared = self.shared.borrow_mut();
-        shared.rests.map(TargetFault::FullUntil).or_else(|| shared.faults.pop_front())
+        shared.reject_all.map(TargetFault::FullRetryAfter).or_else(|| shared.faults.pop_front())
     }
 
     /// Answers that it did not run the request, with more headers.
-    async fn turn_away(&self, conn: &mut Conn, id: &str, headers: &str) -> bool {
+    async fn reject(&self, conn: &mut Conn, id: &str, headers: &str) -> bool {
         let headers = format!("{}: 1\r\n{headers}", self.names.headers.not_run);
-        write(conn, &self.short(503, id, &headers, "")).await
+        write(conn, &self.response(503, id, &headers, "")).await
     }
 
     /// The header that says that it leaves, if it does.
-    fn leaving(&self) -> String {
-        let leaving = self.shared.borrow().says_leaving;
+    fn leaving_header(&self) -> String {
+        let leaving = self.shared.borrow().announces_leaving;
         if leaving { format!("{}: 1\r\n", self.names.headers.leaving) } else { String::new() }
     }
 
-    fn short(&self, status: u16, id: &str, headers: &str, body: &str) -> Vec<u8> {
-        let (name, len, leaving) = (&self.names.headers.request_id, body.len(), self.leaving());
+    fn response(&self, status: u16, id: &str, headers: &str, body: &str) -> Vec<u8> {
+        let (name, len, leaving) =
+            (&self.names.headers.request_id, body.len(), self.leaving_header());
         format!(
             "HTTP/1.1 {status} Stated\r\n{name}: {id}\r\n{headers}{leaving}Content-Length: {len}\r\n\r\n{body}"
         )
--- a/src/standin/local.rs
+++ b/src/standin/local.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep};
 
-use super::batch::{Batch, BatchSize};
+use super::batch::{BatchEngine, EngineSize};
 use crate::engine::{
     Cancelled, Engine, LoadReport, Order, Part, Parts, Piece, ServiceAnswer, ServiceCall, StartRun,
 };
@@ -26,17 +26,17 @@
 use crate::table::{Instance, InstanceState, Instances, Objects, Outcome, Row, RowKey, Table, Txn};
 
 /// One way between routers, and to targets.
-const HOP: Duration = Duration::from_micros(500);
+const HOP_LATENCY: Duration = Duration::from_micros(500);
 /// A call of the platform.
-const PLATFORM_CALL: Duration = Duration::from_millis(5);
+const PLATFORM_CALL_LATENCY: Duration = Duration::from_millis(5);
 /// Time until an unanswered call counts as failed.
-const NO_ANSWER: Duration = Duration::from_millis(800);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause between looks of a paused router's calls.
-const PAUSED: Duration = Duration::from_millis(10);
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// State of a router's process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Process {
+pub enum ProcessState {
     /// It runs.
     Up,
     /// It is stopped and may go on later.
@@ -51,10 +51,10 @@
 pub type LocalAnswers = PeerAnswers<LocalPlatform, LocalEngine, LocalMesh>;
 type Inbox = mpsc::UnboundedSender<(Ask, oneshot::Sender<Reply>)>;
 
-struct Slot {
+struct RouterSlot {
     peer: CompactString,
     zone: ZoneId,
-    process: Mutex<Process>,
+    process: Mutex<ProcessState>,
     inbox: OnceLock<Inbox>,
 }
 
@@ -63,7 +63,7 @@
     instance: Instance,
     serves: Vec<CompactString>,
     slots: u32,
-    batch: Batch,
+    batch: BatchEngine,
     dead: bool,
     silent: bool,
     lose_call_answers: bool,
@@ -72,27 +72,27 @@
 }
 
 /// Everything between the routers.
-pub struct Net {
+pub struct LocalNetwork {
     /// The platform's state.
     pub memory: Memory,
-    slots: Mutex<Vec<Arc<Slot>>>,
+    slots: Mutex<Vec<Arc<RouterSlot>>>,
     targets: Mutex<Vec<LocalTarget>>,
     cut_zones: Mutex<Vec<(ZoneId, ZoneId)>>,
     cut_from_platform: Mutex<Vec<ZoneId>>,
-    pace: Duration,
+    step_time: Duration,
     report_lag: Mutex<Duration>,
 }
 
-impl Net {
-    /// A net whose targets take `pace` for a token.
-    pub fn new(pace: Duration, report_lag: Duration) -> Arc<Net> {
-        Arc::new(Net {
+impl LocalNetwork {
+    /// A net whose targets take `step_time` for a token.
+    pub fn new(step_time: Duration, report_lag: Duration) -> Arc<LocalNetwork> {
+        Arc::new(LocalNetwork {
             memory: Memory::default(),
             slots: Mutex::default(),
             targets: Mutex::default(),
             cut_zones: Mutex::default(),
             cut_from_platform: Mutex::default(),
-            pace,
+            step_time,
             report_lag: Mutex::new(report_lag),
         })
     }
@@ -102,7 +102,7 @@
     }
 
     /// Adds a target.
-    pub fn add_target(&self, name: &str, zone: &ZoneId, serves: &[&str], size: BatchSize) {
+    pub fn add_target(&self, name: &str, zone: &ZoneId, serves: &[&str], size: EngineSize) {
         let addr = format_compact!("target:{name}");
         let instance = Instance {
             name: CompactString::from(name),
@@ -115,7 +115,7 @@
             instance,
             serves: serves.iter().map(|s| CompactString::from(*s)).collect(),
             slots: size.slots as u32,
-            batch: Batch::new(size),
+            batch: BatchEngine::new(size),
             dead: false,
             silent: false,
             lose_call_answers: false,
@@ -127,10 +127,10 @@
     /// Starts the targets' engines.
     pub fn start_engines(self: &Arc<Self>) {
         let net = Arc::downgrade(self);
-        let pace = self.pace;
+        let step_time = self.step_time;
         tokio::spawn(async move {
             loop {
-                sleep(pace).await;
+                sleep(step_time).await;
                 let Some(net) = net.upgrade() else { return };
                 for t in net.lock_targets().iter_mut().filter(|t| !t.dead) {
                     t.batch.step();
@@ -149,14 +149,14 @@
     ) -> (usize, LocalPlatform, LocalEngine, LocalMesh) {
         let mut slots = self.slots.lock().expect("never poisoned");
         let at = slots.len();
-        slots.push(Arc::new(Slot {
+        slots.push(Arc::new(RouterSlot {
             peer: CompactString::from(peer),
             zone: zone.clone(),
-            process: Mutex::new(Process::Up),
+            process: Mutex::new(ProcessState::Up),
             inbox: OnceLock::new(),
         }));
-        let me = Handle { net: self.clone(), at };
-        (at, LocalPlatform(me.clone()), LocalEngine(me.clone()), LocalMesh(me))
+        let handle = RouterHandle { net: self.clone(), at };
+        (at, LocalPlatform(handle.clone()), LocalEngine(handle.clone()), LocalMesh(handle))
     }
 
     /// The router at a place answers from now on.
@@ -173,17 +173,17 @@
         });
     }
 
-    fn slot(&self, at: usize) -> Arc<Slot> {
+    fn slot(&self, at: usize) -> Arc<RouterSlot> {
         self.slots.lock().expect("never poisoned")[at].clone()
     }
 
     /// Kills, pauses or wakes a router.
-    pub fn set_process(&self, at: usize, process: Process) {
+    pub fn set_process(&self, at: usize, process: ProcessState) {
         *self.slot(at).process.lock().expect("never poisoned") = process;
     }
 
     /// State of a router.
-    pub fn process(&self, at: usize) -> Process {
+    pub fn process(&self, at: usize) -> ProcessState {
         *self.slot(at).process.lock().expect("never poisoned")
     }
 
@@ -198,18 +198,18 @@
     }
 
     /// Mends all cuts.
-    pub fn mend(&self) {
+    pub fn reconnect(&self) {
         self.cut_zones.lock().expect("never poisoned").clear();
         self.cut_from_platform.lock().expect("never poisoned").clear();
     }
 
-    /// Changes a target's fate.
-    pub fn set_target(&self, name: &str, fate: TargetFate) {
+    /// Changes a target's condition.
+    pub fn set_target(&self, name: &str, condition: TargetCondition) {
         let mut targets = self.lock_targets();
         for t in targets.iter_mut().filter(|t| t.instance.name == name) {
-            t.dead = fate == TargetFate::Dead;
-            t.silent = fate == TargetFate::Silent;
-            t.lose_call_answers = fate == TargetFate::LosesCallAnswers;
+            t.dead = condition == TargetCondition::Dead;
+            t.silent = condition == TargetCondition::Silent;
+            t.lose_call_answers = condition == TargetCondition::LosesCallAnswers;
         }
     }
 
@@ -217,7 +217,7 @@
     pub fn target_counts(&self) -> (u64, u64, u64) {
         let targets = self.lock_targets();
         targets.iter().fold((0, 0, 0), |(s, f, l), t| {
-            (s + t.batch.started, f + t.batch.hits.0, l + t.batch.hits.1)
+            (s + t.batch.started, f + t.batch.block_hits.0, l + t.batch.block_hits.1)
         })
     }
 
@@ -239,9 +239,9 @@
 
 /// What can become of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TargetFate {
+pub enum TargetCondition {
     /// It works.
-    Well,
+    Healthy,
     /// Connections are refused.
     Dead,
     /// Runs are taken, and nothing more is said.
@@ -251,24 +251,24 @@
 }
 
 #[derive(Clone)]
-struct Handle {
-    net: Arc<Net>,
+struct RouterHandle {
+    net: Arc<LocalNetwork>,
     at: usize,
 }
 
-impl Handle {
+impl RouterHandle {
     /// A dead process never goes on; a paused one goes on when it is woken.
-    async fn alive(&self) {
+    async fn wait_until_running(&self) {
         loop {
             match self.process() {
-                Some(Process::Up) => return,
-                Some(Process::Paused) => sleep(PAUSED).await,
-                Some(Process::Dead) | None => std::future::pending().await,
+                Some(ProcessState::Up) => return,
+                Some(ProcessState::Paused) => sleep(PAUSE_POLL_INTERVAL).await,
+                Some(ProcessState::Dead) | None => std::future::pending().await,
             }
         }
     }
 
-    fn process(&self) -> Option<Process> {
+    fn process(&self) -> Option<ProcessState> {
         let slots = self.net.slots.lock().expect("never poisoned");
         slots.get(self.at).map(|s| *s.process.lock().expect("never poisoned"))
     }
@@ -278,12 +278,12 @@
     }
 
     async fn platform(&self) -> Result<&Memory> {
-        self.alive().await;
-        sleep(PLATFORM_CALL).await;
+        self.wait_until_running().await;
+        sleep(PLATFORM_CALL_LATENCY).await;
         let zone = self.zone();
         let cut = self.net.cut_from_platform.lock().expect("never poisoned").clone();
         if cut.iter().any(|z| Some(z) == zone.as_ref()) {
-            sleep(NO_ANSWER).await;
+            sleep(CALL_TIMEOUT).await;
             return Err(Error::new(Kind::PlatformAway, "cut off from the platform"));
         }
         Ok(&self.net.memory)
@@ -292,7 +292,7 @@
 
 /// A router's way to the platform.
 #[derive(Clone)]
-pub struct LocalPlatform(Handle);
+pub struct LocalPlatform(RouterHandle);
 
 impl Table for LocalPlatform {
     async fn read(&self, keys: Vec<RowKey>) -> Result<Vec<Row>> {
@@ -306,7 +306,7 @@
     async fn write(&self, txn: Txn) -> Result<Outcome> {
         let outcome = self.0.platform().await?.write(txn).await;
         // A process that was stopped meanwhile does not see the answer.
-        self.0.alive().await;
+        self.0.wait_until_running().await;
         outcome
     }
 }
@@ -329,56 +329,58 @@
 
 /// A router's way to other routers.
 #[derive(Clone)]
-pub struct LocalMesh(Handle);
+pub struct LocalMesh(RouterHandle);
 
 impl Mesh for LocalMesh {
     async fn ask(&self, to: &Entry, ask: Ask) -> Result<Reply> {
-        let me = &self.0;
-        me.alive().await;
-        sleep(HOP).await;
-        let slots = me.net.slots.lock().expect("never poisoned").clone();
+        let handle = &self.0;
+        handle.wait_until_running().await;
+        sleep(HOP_LATENCY).await;
+        let slots = handle.net.slots.lock().expect("never poisoned").clone();
         let refused = || Error::new(Kind::Io, format!("{} refuses the link", to.incarnation));
-        let late = || Error::new(Kind::Timeout, format!("no reply from {}", to.incarnation));
+        let timed_out = || Error::new(Kind::Timeout, format!("no reply from {}", to.incarnation));
         let slot = slots.iter().find(|s| s.peer == to.peer).ok_or_else(refused)?;
         let process = *slot.process.lock().expect("never poisoned");
-        let zone = me.zone();
-        let cut = me.net.cut_zones.lock().expect("never poisoned").iter().any(|(a, b)| {
+        let zone = handle.zone();
+        let cut = handle.net.cut_zones.lock().expect("never poisoned").iter().any(|(a, b)| {
             let pair = (zone.as_ref(), Some(&slot.zone));
             pair == (Some(a), Some(b)) || pair == (Some(b), Some(a))
         });
-        if cut || process == Process::Paused {
-            sleep(NO_ANSWER).await;
-            return Err(late());
+        if cut || process == ProcessState::Paused {
+            sleep(CALL_TIMEOUT).await;
+            return Err(timed_out());
         }
-        if process == Process::Dead {
+        if process == ProcessState::Dead {
             return Err(refused());
         }
         let (tx, rx) = oneshot::channel();
         slot.inbox.get().ok_or_else(refused)?.send((ask, tx)).map_err(|_| refused())?;
-        let reply =
-            tokio::time::timeout(NO_ANSWER, rx).await.map_err(|_| late())?.map_err(|_| late())?;
-        sleep(HOP).await;
-        me.alive().await;
+        let reply = tokio::time::timeout(CALL_TIMEOUT, rx)
+            .await
+            .map_err(|_| timed_out())?
+            .map_err(|_| timed_out())?;
+        sleep(HOP_LATENCY).await;
+        handle.wait_until_running().await;
         reply.accepted()
     }
 }
 
 /// A router's way to targets.
 #[derive(Clone)]
-pub struct LocalEngine(Handle);
+pub struct LocalEngine(RouterHandle);
 
 impl LocalEngine {
-    async fn with<T>(
+    async fn with_target<T>(
         &self,
         addr: &str,
         f: impl FnOnce(&mut LocalTarget) -> Result<T>,
     ) -> Result<T> {
-        self.0.alive().await;
-        sleep(HOP).await;
+        self.0.wait_until_running().await;
+        sleep(HOP_LATENCY).await;
         let mut targets = self.0.net.lock_targets();
         let found = targets.iter_mut().find(|t| t.instance.addr == addr && !t.dead);
-        let gone = || Error::new(Kind::NoTarget, "the target refuses connections");
-        f(found.ok_or_else(gone)?)
+        let unreachable = || Error::new(Kind::NoTarget, "the target refuses connections");
+        f(found.ok_or_else(unreachable)?)
     }
 
     fn parts(&self, addr: &str, run: &RunId, at: u64) -> LocalParts {
@@ -397,11 +399,11 @@
 
 impl LocalParts {
     /// The next piece that is there; `None` inside: not yet.
-    fn look(&mut self) -> Result<Option<Option<Piece>>> {
+    fn poll(&mut self) -> Result<Option<Option<Piece>>> {
         let targets = self.engine.0.net.lock_targets();
         let found = targets.iter().find(|t| t.instance.addr == self.addr && !t.dead);
-        let gone = || Error::new(Kind::TargetFailed, "the target went away");
-        let target = found.ok_or_else(gone)?;
+        let unreachable = || Error::new(Kind::TargetFailed, "the target went away");
+        let target = found.ok_or_else(unreachable)?;
         if target.silent {
             return Ok(Some(None));
         }
@@ -411,7 +413,7 @@
             return Ok(Some(Some(Piece::Token { offset: self.at - 1, text: text.clone() })));
         }
         self.over = run.is_over();
-        match (run.is_whole(), run.is_over()) {
+        match (run.is_complete(), run.is_over()) {
             (true, _) => Ok(Some(Some(Piece::End(run.usage())))),
             (false, true) => Ok(None),
             (false, false) => Ok(Some(None)),
@@ -422,13 +424,13 @@
 impl Parts for LocalParts {
     async fn next(&mut self) -> Result<Option<Part>> {
         loop {
-            self.engine.0.alive().await;
+            self.engine.0.wait_until_running().await;
             if self.over {
                 return Ok(None);
             }
-            match self.look()? {
+            match self.poll()? {
                 Some(Some(piece)) => return Ok(Some(Part { run: self.run.clone(), piece })),
-                Some(None) => sleep(self.engine.0.net.pace).await,
+                Some(None) => sleep(self.engine.0.net.step_time).await,
                 None => return Ok(None),
             }
         }
@@ -439,7 +441,7 @@
     type Parts = LocalParts;
 
     async fn start(&self, addr: &str, run: &StartRun) -> Result<LocalParts> {
-        self.with(addr, |t| {
+        self.with_target(addr, |t| {
             t.batch.start(run);
             Ok(())
         })
@@ -449,17 +451,17 @@
 
     async fn resume(&self, addr: &str, run: &RunId, from: u64) -> Result<LocalParts> {
         let lost = || Error::new(Kind::RunLost, "the target does not know the run");
-        self.with(addr, |t| t.batch.run(run).map(drop).ok_or_else(lost)).await?;
+        self.with_target(addr, |t| t.batch.run(run).map(drop).ok_or_else(lost)).await?;
         Ok(self.parts(addr, run, from))
     }
 
     async fn cancel(&self, addr: &str, run: &RunId) -> Result<Cancelled> {
-        self.with(addr, |t| Ok(t.batch.cancel(run))).await
+        self.with_target(addr, |t| Ok(t.batch.cancel(run))).await
     }
 
     async fn report(&self, addr: &str) -> Result<LoadReport> {
         let lag = *self.0.net.report_lag.lock().expect("never poisoned");
-        self.with(addr, |t| {
+        self.with_target(addr, |t| {
             while t.reports.len() > 1 && t.reports[1].0.elapsed() >= lag {
                 t.reports.pop_front();
             }
@@ -480,7 +482,7 @@
     }
 
     async fn order(&self, addr: &str, order: &Order) -> Result<()> {
-        self.with(addr, |t| {
+        self.with_target(addr, |t| {
             t.serves = order.load.clone();
             Ok(())
         })
@@ -489,7 +491,7 @@
 
     async fn call(&self, addr: &str, call: &ServiceCall) -> Result<ServiceAnswer> {
         let lost = self
-            .with(addr, |t| {
+            .with_target(addr, |t| {
                 match t.calls.iter_mut().find(|(k, _)| *k == call.key) {
                     Some((_, n)) => *n += 1,
                     None => t.calls.push((call.key.clone(), 1)),
--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -8,9 +8,9 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::batch::BatchSize;
+use super::batch::EngineSize;
 use super::fleet::{loopback, router_settings};
-use super::local::{LocalNode, Net, Process};
+use super::local::{LocalNetwork, LocalNode, ProcessState};
 use crate::api::DEFAULT_PRIORITY;
 use crate::api::chat::{choose_budget, visitor};
 use crate::budget::sizing::Sizing;
@@ -31,7 +31,7 @@
 
 /// What a fleet is made of.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct FleetSetup {
     /// Zones; each gets a target and a router count.
     pub zones: Vec<ZoneId>,
     /// Routers in each zone.
@@ -41,7 +41,7 @@
     /// Places in a target's batch.
     pub slots: usize,
     /// Time of one token.
-    pub pace: Duration,
+    pub step_time: Duration,
     /// Age of load reports.
     pub report_lag: Duration,
     /// What targets serve.
@@ -56,15 +56,15 @@
     pub config: String,
 }
 
-impl Default for Setup {
-    fn default() -> Setup {
+impl Default for FleetSetup {
+    fn default() -> FleetSetup {
         let zones = ["a", "b", "c"].iter().map(|z| z.parse().expect("valid zones"));
-        Setup {
+        FleetSetup {
             zones: zones.collect(),
             routers: 2,
             targets: 2,
             slots: 64,
-            pace: Duration::from_millis(20),
+            step_time: Duration::from_millis(20),
             report_lag: Duration::from_millis(200),
             serves: vec!["m".into()],
             sizing: None,
@@ -76,7 +76,7 @@
 }
 
 /// A router's place in the fleet.
-pub struct Place {
+pub struct FleetMember {
     /// Its place in the net.
     pub at: usize,
     /// Its state.
@@ -89,29 +89,29 @@
 /// Routers, targets and a platform.
 pub struct LocalFleet {
     /// Everything between them.
-    pub net: Arc<Net>,
+    pub net: Arc<LocalNetwork>,
     /// The routers, dead ones too.
-    pub places: Vec<Place>,
+    pub members: Vec<FleetMember>,
     /// Time.
     pub clock: Clock,
-    setup: Setup,
+    setup: FleetSetup,
     operator: Arc<tokio::sync::Mutex<Follower>>,
-    operator_cfg: Arc<RwLock<Config>>,
+    operator_config: Arc<RwLock<Config>>,
 }
 
 /// Time for a caller's attempt at one router.
-const ATTEMPT: Duration = Duration::from_secs(120);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(120);
 /// Silence of a dead router after which a caller goes to the next.
-const CALLER_NOTICES: Duration = Duration::from_millis(200);
+const DEAD_ROUTER_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl LocalFleet {
     /// Starts a fleet and waits until it can serve.
     ///
     /// # Errors
     /// `BadConfig` for the configuration.
-    pub async fn start(setup: Setup) -> Result<LocalFleet> {
-        let net = Net::new(setup.pace, setup.report_lag);
-        let size = BatchSize { slots: setup.slots, cache_blocks: 2_048 };
+    pub async fn start(setup: FleetSetup) -> Result<LocalFleet> {
+        let net = LocalNetwork::new(setup.step_time, setup.report_lag);
+        let size = EngineSize { slots: setup.slots, cache_blocks: 2_048 };
         let serves: Vec<&str> = setup.serves.iter().map(String::as_str).collect();
         for zone in &setup.zones {
             for i in 0..setup.targets {
@@ -121,11 +121,11 @@
         net.start_engines();
         let mut fleet = LocalFleet {
             net,
-            places: Vec::new(),
+            members: Vec::new(),
             clock: Clock::start(),
             setup,
             operator: Arc::default(),
-            operator_cfg: Arc::default(),
+            operator_config: Arc::default(),
         };
         let text = fleet.setup.config.clone();
         let edits = Document::default().diff(&Document::parse(&text));
@@ -135,13 +135,13 @@
                 fleet.add_router(&zone).await;
             }
         }
-        fleet.settle().await;
+        fleet.wait_until_settled().await;
         Ok(fleet)
     }
 
     /// Waits until every living router is ready, sees all others and has a witness.
-    pub async fn settle(&self) {
-        let up = || self.places.iter().filter(|p| self.net.process(p.at) == Process::Up);
+    pub async fn wait_until_settled(&self) {
+        let up = || self.members.iter().filter(|p| self.net.process(p.at) == ProcessState::Up);
         let n = up().count();
         while !up().all(|p| p.node.is_ready() && p.node.live().len() >= n) {
             sleep(Duration::from_millis(50)).await;
@@ -151,7 +151,7 @@
 
     /// Adds a router in a zone.
     pub async fn add_router(&mut self, zone: &ZoneId) -> usize {
-        let n = self.places.len();
+        let n = self.members.len();
         let peer = format_compact!("peer-{n}");
         let (at, platform, engine, mesh) = self.net.add_router(&peer, zone);
         let mut settings = router_settings(loopback(), &format!("r{n}"), zone);
@@ -172,26 +172,26 @@
         .await;
         let Booted { node, answers, tasks } = booted;
         self.net.set_answers(at, answers);
-        self.places.push(Place { at, node, zone: zone.clone(), tasks });
+        self.members.push(FleetMember { at, node, zone: zone.clone(), tasks });
         n
     }
 
     /// Kills a router: its handles never come back to it.
     pub fn kill(&mut self, n: usize) {
-        self.net.set_process(self.places[n].at, Process::Dead);
-        self.places[n].tasks.abort_all();
+        self.net.set_process(self.members[n].at, ProcessState::Dead);
+        self.members[n].tasks.abort_all();
     }
 
     /// Routers that are up.
     pub fn up(&self) -> Vec<usize> {
-        (0..self.places.len())
-            .filter(|n| self.net.process(self.places[*n].at) == Process::Up)
+        (0..self.members.len())
+            .filter(|n| self.net.process(self.members[*n].at) == ProcessState::Up)
             .collect()
     }
 
     /// The configuration as its operator knows it.
     pub fn config(&self) -> Config {
-        self.operator_cfg.read().expect("never poisoned").clone()
+        self.operator_config.read().expect("never poisoned").clone()
     }
 
     /// Hands in edits as an operator.
@@ -203,7 +203,7 @@
         let base = follower.head().revision;
         let id = CompactString::from(format!("operator-{}", base.0));
         let submission = Submission { id, base, edits, merge: false };
-        submit(&self.net.memory, &mut follower, &self.operator_cfg, &submission).await
+        submit(&self.net.memory, &mut follower, &self.operator_config, &submission).await
     }
 
     /// Hands in the text of edited sections.
@@ -216,13 +216,13 @@
 
     /// A caller that does not depend on the fleet staying as it is.
     pub fn caller(&self) -> LocalCaller {
-        let routers = self.places.iter().map(|p| (p.at, p.node.clone())).collect();
-        LocalCaller { net: self.net.clone(), routers, only: None, spread: true }
+        let routers = self.members.iter().map(|p| (p.at, p.node.clone())).collect();
+        LocalCaller { net: self.net.clone(), routers, reachable_zone: None, random_start: true }
     }
 
     /// Ends everything.
     pub fn close(&mut self) {
-        (0..self.places.len()).for_each(|n| self.kill(n));
+        (0..self.members.len()).for_each(|n| self.kill(n));
         self.net.close();
     }
 }
@@ -230,12 +230,12 @@
 /// Sends requests to the routers of a fleet, as callers do.
 #[derive(Clone)]
 pub struct LocalCaller {
-    net: Arc<Net>,
+    net: Arc<LocalNetwork>,
     routers: Vec<(usize, Arc<LocalNode>)>,
     /// The caller can reach only this zone's routers.
-    pub only: Option<ZoneId>,
+    pub reachable_zone: Option<ZoneId>,
     /// The caller starts at any of the routers named to it.
-    pub spread: bool,
+    pub random_start: bool,
 }
 
 /// A model request.
@@ -268,18 +268,18 @@
 
 impl LocalCaller {
     /// Routers to try, best first, as an entry answer would give them; and all others after.
-    pub fn route(&self, organisation: &OrganisationId) -> Vec<usize> {
+    pub fn routers_to_try(&self, organisation: &OrganisationId) -> Vec<usize> {
         let mut out = Vec::new();
         for (at, node) in &self.routers {
-            if self.net.process(*at) != Process::Up {
+            if self.net.process(*at) != ProcessState::Up {
                 continue;
             }
             let width = node.cfg.read().expect("never poisoned").fleet.entry_width as usize;
-            let named = answer(&node.live(), organisation, width, None);
-            let place =
+            let entry_routers = answer(&node.live(), organisation, width, None);
+            let position_of =
                 |peer: &str| self.routers.iter().position(|(_, n)| n.lock_view().me().peer == peer);
-            out = named.iter().filter_map(|e| place(&e.peer)).collect();
-            if self.spread && !out.is_empty() {
+            out = entry_routers.iter().filter_map(|e| position_of(&e.peer)).collect();
+            if self.random_start && !out.is_empty() {
                 let n = fastrand::usize(..out.len());
                 out.rotate_left(n);
             }
@@ -288,7 +288,7 @@
         let rest: Vec<usize> = (0..self.routers.len()).filter(|i| !out.contains(i)).collect();
         out.extend(rest);
         let zone = |i: &usize| self.routers[*i].1.settings.zone.clone();
-        out.retain(|i| self.only.as_ref().is_none_or(|z| *z == zone(i)));
+        out.retain(|i| self.reachable_zone.as_ref().is_none_or(|z| *z == zone(i)));
         out
     }
 
@@ -303,11 +303,11 @@
         req: &LocalRequest,
     ) -> Result<(Job, crate::ids::BudgetId)> {
         let cfg = node.cfg.read().expect("never poisoned");
-        let none = || Error::new(Kind::NotFound, "no such service or organisation");
-        let service = cfg.service(&service.parse::<ServiceId>()?).ok_or_else(none)?;
-        let org = cfg.organisation(&req.organisation).ok_or_else(none)?;
+        let not_found = || Error::new(Kind::NotFound, "no such service or organisation");
+        let service = cfg.service(&service.parse::<ServiceId>()?).ok_or_else(not_found)?;
+        let org = cfg.organisation(&req.organisation).ok_or_else(not_found)?;
         let ServiceKind::Model { model, bytes_per_token, .. } = &service.kind else {
-            return Err(none());
+            return Err(not_found());
         };
         let prompt_tokens = (req.prompt.len() as u64).div_ceil(*bytes_per_token);
         let job = Job {
@@ -334,18 +334,18 @@
     ) -> Result<LocalAnswer> {
         let (at, node) = &self.routers[i];
         self.reachable(*at)?;
-        let began = Instant::now();
+        let started = Instant::now();
         let (job, budget) = self.job(node, service, req)?;
         let content = Digest::of(req.prompt.as_bytes());
         let new = Run::new(req.organisation.clone(), req.key.clone(), content, budget);
         let run = open_run(node, new, job)?;
         let mut first = None;
         let end = self.wait(*at, &run, || {
-            first.get_or_insert_with(|| began.elapsed());
+            first.get_or_insert_with(|| started.elapsed());
         });
         match end.await? {
             RunEnd::Complete(usage, _) => {
-                let total = began.elapsed();
+                let total = started.elapsed();
                 if let Some((id, target)) = run.execution() {
                     log::info!(
                         "caller=answered key={} run={id} target={target} tokens={}",
@@ -363,14 +363,14 @@
 
     fn reachable(&self, at: usize) -> Result<()> {
         match self.net.process(at) {
-            Process::Up => Ok(()),
+            ProcessState::Up => Ok(()),
             _ => Err(Error::new(Kind::Io, "the router does not answer")),
         }
     }
 
     async fn wait(&self, at: usize, run: &Run, mut progress: impl FnMut()) -> Result<RunEnd> {
         let mut rx = run.follow();
-        let until = Instant::now() + ATTEMPT;
+        let until = Instant::now() + ATTEMPT_TIMEOUT;
         while Instant::now() < until {
             rx.borrow_and_update();
             if !run.is_empty() {
@@ -381,7 +381,7 @@
             }
             self.reachable(at)?;
             // A change, or a look whether the router still lives.
-            let _ = timeout(CALLER_NOTICES, rx.changed()).await;
+            let _ = timeout(DEAD_ROUTER_TIMEOUT, rx.changed()).await;
         }
         Err(Error::new(Kind::Timeout, "no end in time"))
     }
@@ -394,13 +394,13 @@
         &self,
         service: &str,
         req: &LocalRequest,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<LocalAnswer> {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut last = Error::new(Kind::Io, "no router is up");
         let mut attempts = 0;
-        while began.elapsed() < patience {
-            for i in self.route(&req.organisation) {
+        while started.elapsed() < max_wait {
+            for i in self.routers_to_try(&req.organisation) {
                 attempts += 1;
                 match self.send_to(i, service, req).await {
                     Ok(a) => return Ok(LocalAnswer { attempts, ..a }),
@@ -408,11 +408,11 @@
                     Err(e) if e.kind != Kind::Io && !e.kind.answer().retryable => return Err(e),
                     Err(e) => last = e,
                 }
-                if attempts >= MAX_TRIES {
+                if attempts >= MAX_ATTEMPTS {
                     return Err(last);
                 }
             }
-            sleep(CALLER_NOTICES).await;
+            sleep(DEAD_ROUTER_TIMEOUT).await;
         }
         Err(last)
     }
@@ -433,10 +433,10 @@
         self.reachable(*at)?;
         let (job, budget) = {
             let cfg = node.cfg.read().expect("never poisoned");
-            let none = || Error::new(Kind::NotFound, "no such service or organisation");
-            let service = cfg.service(&service.parse::<ServiceId>()?).ok_or_else(none)?;
-            let org = cfg.organisation(organisation).ok_or_else(none)?;
-            let ServiceKind::Plain { cost, .. } = &service.kind else { return Err(none()) };
+            let not_found = || Error::new(Kind::NotFound, "no such service or organisation");
+            let service = cfg.service(&service.parse::<ServiceId>()?).ok_or_else(not_found)?;
+            let org = cfg.organisation(organisation).ok_or_else(not_found)?;
+            let ServiceKind::Plain { cost, .. } = &service.kind else { return Err(not_found()) };
             let job = CallJob {
                 visitor: visitor(org, service, DEFAULT_PRIORITY),
                 path: "file".into(),
@@ -460,4 +460,4 @@
 }
 
 /// Routers that one caller tries for one request.
-const MAX_TRIES: usize = 6;
+const MAX_ATTEMPTS: usize = 6;
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -22,32 +22,32 @@
 
 /// A running server. Dropping the handle does not stop it.
 #[derive(Debug)]
-pub struct Served {
+pub struct HttpServer {
     /// Where it listens.
     pub addr: SocketAddr,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
-impl Served {
+impl HttpServer {
     /// Serves `app` on `addr`; port 0 takes any.
     ///
     /// # Errors
     /// `Io` when the address cannot be bound.
-    pub async fn start(addr: SocketAddr, app: axum::Router) -> Result<Served> {
-        Served::start_on(std::net::TcpListener::bind(addr)?, app)
+    pub async fn start(addr: SocketAddr, app: axum::Router) -> Result<HttpServer> {
+        HttpServer::start_on(std::net::TcpListener::bind(addr)?, app)
     }
 
     /// Serves `app` on a listener.
     ///
     /// # Errors
     /// `Io` when the listener cannot be used.
-    pub fn start_on(listener: std::net::TcpListener, app: axum::Router) -> Result<Served> {
+    pub fn start_on(listener: std::net::TcpListener, app: axum::Router) -> Result<HttpServer> {
         listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(listener)?;
         let addr = listener.local_addr()?;
         let (stop, mut stopped) = watch::channel(false);
-        let graceful = async move {
+        let stop_signal = async move {
             // A dropped sender means that nobody will ever stop the server this way.
             if stopped.wait_for(|s| *s).await.is_err() {
                 std::future::pending::<()>().await;
@@ -60,12 +60,12 @@
             }
         });
         let task = tokio::spawn(async move {
-            let served = axum::serve(listener, app).with_graceful_shutdown(graceful);
+            let served = axum::serve(listener, app).with_graceful_shutdown(stop_signal);
             if let Err(e) = served.await {
                 log::error!("server=failed addr={addr} error={e:?}");
             }
         });
-        Ok(Served { addr, stop, task })
+        Ok(HttpServer { addr, stop, task })
     }
 
     /// Stops at once, as a crash does.
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -50,24 +50,25 @@
 
 /// Lets calls through at a steady rate; the rest wait their turn.
 #[derive(Debug)]
-struct Pacer {
+struct RateLimiter {
     gap: Duration,
     next: Mutex<Instant>,
 }
 
 /// Calls that may pass at once after an idle time.
-const BURST: u32 = 50;
+const BURST_CALLS: u32 = 50;
 
-impl Pacer {
-    fn new(per_s: u32) -> Pacer {
-        Pacer { gap: Duration::from_secs(1) / per_s.max(1), next: Mutex::new(Instant::now()) }
+impl RateLimiter {
+    fn new(per_s: u32) -> RateLimiter {
+        RateLimiter { gap: Duration::from_secs(1) / per_s.max(1), next: Mutex::new(Instant::now()) }
     }
 
-    async fn pass(&self) {
+    async fn acquire(&self) {
         let at = {
             let mut next = self.next.lock().expect("no code panics while it holds the pacer");
-            let floor = Instant::now().checked_sub(self.gap * BURST).unwrap_or_else(Instant::now);
-            *next = (*next).max(floor) + self.gap;
+            let earliest =
+                Instant::now().checked_sub(self.gap * BURST_CALLS).unwrap_or_else(Instant::now);
+            *next = (*next).max(earliest) + self.gap;
             *next
         };
         tokio::time::sleep_until(at).await;
@@ -75,27 +76,27 @@
 }
 
 #[derive(Debug)]
-struct Inner {
+struct PlatformState {
     memory: Memory,
     slow: Mutex<Duration>,
-    writes: Pacer,
-    reads: Pacer,
-    lag: Duration,
-    list: Mutex<Vec<(Instant, Vec<Instance>)>>,
+    writes: RateLimiter,
+    reads: RateLimiter,
+    list_delay: Duration,
+    list_history: Mutex<Vec<(Instant, Vec<Instance>)>>,
 }
 
-type App = State<Arc<Inner>>;
-type Answer = std::result::Result<Response, Failure>;
+type App = State<Arc<PlatformState>>;
+type ApiResult = std::result::Result<Response, ErrorResponse>;
 
-struct Failure(Error);
+struct ErrorResponse(Error);
 
-impl From<Error> for Failure {
-    fn from(e: Error) -> Failure {
-        Failure(e)
+impl From<Error> for ErrorResponse {
+    fn from(e: Error) -> ErrorResponse {
+        ErrorResponse(e)
     }
 }
 
-impl IntoResponse for Failure {
+impl IntoResponse for ErrorResponse {
     fn into_response(self) -> Response {
         let status = match self.0.kind {
             Kind::NotFound => StatusCode::NOT_FOUND,
@@ -107,13 +108,13 @@
 
 /// The stand-in's HTTP service over `memory`.
 pub fn platform_app(memory: Memory, limits: PlatformLimits) -> axum::Router {
-    let inner = Inner {
+    let state = PlatformState {
         memory,
         slow: Mutex::new(Duration::ZERO),
-        writes: Pacer::new(limits.writes_per_s),
-        reads: Pacer::new(limits.reads_per_s),
-        lag: limits.list_lag,
-        list: Mutex::new(Vec::new()),
+        writes: RateLimiter::new(limits.writes_per_s),
+        reads: RateLimiter::new(limits.reads_per_s),
+        list_delay: limits.list_lag,
+        list_history: Mutex::new(Vec::new()),
     };
     axum::Router::new()
         .route("/table/read", post(read))
@@ -125,10 +126,10 @@
         .route("/admin/faults", post(set_faults))
         .route("/admin/counts", get(counts))
         .layer(axum::extract::DefaultBodyLimit::max(256 << 20))
-        .with_state(Arc::new(inner))
+        .with_state(Arc::new(state))
 }
 
-impl Inner {
+impl PlatformState {
     async fn delay(&self) {
         let slow = *self.slow.lock().expect("no code panics while it holds this lock");
         if !slow.is_zero() {
@@ -137,8 +138,8 @@
     }
 }
 
-async fn read(State(app): App, Json(keys): Json<Vec<RowKey>>) -> Answer {
-    app.reads.pass().await;
+async fn read(State(app): App, Json(keys): Json<Vec<RowKey>>) -> ApiResult {
+    app.reads.acquire().await;
     app.delay().await;
     Ok(Json(app.memory.read(keys).await?).into_response())
 }
@@ -146,49 +147,50 @@
 async fn scan(
     State(app): App,
     Json((prefix, after, limit)): Json<(RowKey, RowKey, usize)>,
-) -> Answer {
-    app.reads.pass().await;
+) -> ApiResult {
+    app.reads.acquire().await;
     app.delay().await;
     Ok(Json(app.memory.scan(prefix, after, limit).await?).into_response())
 }
 
-async fn write(State(app): App, Json(txn): Json<Txn>) -> Answer {
-    app.writes.pass().await;
+async fn write(State(app): App, Json(txn): Json<Txn>) -> ApiResult {
+    app.writes.acquire().await;
     app.delay().await;
     Ok(Json(app.memory.write(txn).await?).into_response())
 }
 
-async fn get_object(State(app): App, Path(name): Path<String>) -> Answer {
+async fn get_object(State(app): App, Path(name): Path<String>) -> ApiResult {
     app.delay().await;
     Ok(app.memory.get(name.into()).await?.into_response())
 }
 
-async fn put_object(State(app): App, Path(name): Path<String>, body: Bytes) -> Answer {
+async fn put_object(State(app): App, Path(name): Path<String>, body: Bytes) -> ApiResult {
     app.delay().await;
     app.memory.put(name.into(), body.to_vec()).await?;
     Ok(StatusCode::OK.into_response())
 }
 
 /// The list as it was `lag` ago.
-async fn list(State(app): App) -> Answer {
+async fn list(State(app): App) -> ApiResult {
     app.delay().await;
     let newest = app.memory.list().await?;
-    let mut kept = app.list.lock().expect("no code panics while it holds this lock");
+    let mut history = app.list_history.lock().expect("no code panics while it holds this lock");
     let now = Instant::now();
-    if kept.last().is_none_or(|(_, l)| *l != newest) {
-        kept.push((now, newest));
+    if history.last().is_none_or(|(_, l)| *l != newest) {
+        history.push((now, newest));
     }
-    let old_enough = kept.iter().rposition(|(at, _)| now.duration_since(*at) >= app.lag);
-    kept.drain(..old_enough.unwrap_or(0));
-    Ok(Json(kept[0].1.clone()).into_response())
+    let first_needed =
+        history.iter().rposition(|(at, _)| now.duration_since(*at) >= app.list_delay);
+    history.drain(..first_needed.unwrap_or(0));
+    Ok(Json(history[0].1.clone()).into_response())
 }
 
-async fn put_instance(State(app): App, Json(instance): Json<Instance>) -> Answer {
+async fn put_instance(State(app): App, Json(instance): Json<Instance>) -> ApiResult {
     app.memory.put_instance(instance);
     Ok(Json(()).into_response())
 }
 
-async fn set_faults(State(app): App, Json(f): Json<PlatformFaults>) -> Answer {
+async fn set_faults(State(app): App, Json(f): Json<PlatformFaults>) -> ApiResult {
     *app.slow.lock().expect("no code panics while it holds this lock") =
         Duration::from_millis(f.slow_ms);
     app.memory.set_faults(Faults {
@@ -199,7 +201,7 @@
     Ok(Json(()).into_response())
 }
 
-async fn counts(State(app): App) -> Answer {
+async fn counts(State(app): App) -> ApiResult {
     let c = app.memory.counts();
     Ok(Json(serde_json::json!({ "txns": c.txns, "rows": c.rows, "reads": c.reads }))
         .into_response())
--- a/src/standin/target.rs
+++ b/src/standin/target.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::batch::{Batch, BatchSize};
+use super::batch::{BatchEngine, EngineSize};
 use crate::engine::{LoadReport, Order, Part, Piece, ServiceAnswer, ServiceCall, StartRun};
 use crate::ids::{RequestKey, RunId};
 
@@ -54,9 +54,9 @@
     /// Models and plain services at the start.
     pub serves: Vec<CompactString>,
     /// Engine size.
-    pub size: BatchSize,
+    pub size: EngineSize,
     /// Time of one step, which gives each run in the batch a token.
-    pub pace: Duration,
+    pub step_time: Duration,
     /// Age of load reports.
     pub report_lag: Duration,
     /// Time to load a model.
@@ -67,8 +67,8 @@
     fn default() -> TargetSetup {
         TargetSetup {
             serves: Vec::new(),
-            size: BatchSize { slots: 16, cache_blocks: 4_096 },
-            pace: Duration::from_millis(5),
+            size: EngineSize { slots: 16, cache_blocks: 4_096 },
+            step_time: Duration::from_millis(5),
             report_lag: Duration::from_millis(200),
             load_time: Duration::from_millis(500),
         }
@@ -76,8 +76,8 @@
 }
 
 #[derive(Debug)]
-struct Inside {
-    batch: Batch,
+struct EngineState {
+    batch: BatchEngine,
     faults: TargetFaults,
     serves: Vec<CompactString>,
     fence: u64,
@@ -85,22 +85,22 @@
     calls: Vec<(RequestKey, u64)>,
     run_starts: Vec<RunId>,
     late_starts: u64,
-    left_at: Option<Instant>,
+    leaving_since: Option<Instant>,
 }
 
 /// A running stand-in, for those who start it in their own process.
 #[derive(Clone, Debug)]
 pub struct Target {
     setup: Arc<TargetSetup>,
-    inside: Arc<Mutex<Inside>>,
+    state: Arc<Mutex<EngineState>>,
     steps: watch::Sender<u64>,
 }
 
 impl Target {
     /// A target with its engine stepping.
     pub fn start(setup: TargetSetup) -> Target {
-        let inside = Inside {
-            batch: Batch::new(setup.size),
+        let state = EngineState {
+            batch: BatchEngine::new(setup.size),
             faults: TargetFaults::default(),
             serves: setup.serves.clone(),
             fence: 0,
@@ -108,25 +108,25 @@
             calls: Vec::new(),
             run_starts: Vec::new(),
             late_starts: 0,
-            left_at: None,
+            leaving_since: None,
         };
         let (steps, _) = watch::channel(0);
-        let target = Target { setup: Arc::new(setup), inside: Arc::new(Mutex::new(inside)), steps };
-        tokio::spawn(target.clone().run());
+        let target = Target { setup: Arc::new(setup), state: Arc::new(Mutex::new(state)), steps };
+        tokio::spawn(target.clone().run_engine());
         target
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inside> {
-        self.inside.lock().expect("no code panics while it holds the target")
+    fn lock(&self) -> MutexGuard<'_, EngineState> {
+        self.state.lock().expect("no code panics while it holds the target")
     }
 
     /// Changes how it misbehaves.
     pub fn set_faults(&self, faults: TargetFaults) {
-        let mut inside = self.lock();
-        if faults.leaving && !inside.faults.leaving {
-            inside.left_at = Some(Instant::now());
+        let mut state = self.lock();
+        if faults.leaving && !state.faults.leaving {
+            state.leaving_since = Some(Instant::now());
         }
-        inside.faults = faults;
+        state.faults = faults;
     }
 
     /// How often each plain call ran, by the caller's key.
@@ -141,42 +141,42 @@
 
     /// Prompt blocks found in the prefix cache, and looked for.
     pub fn cache_hits(&self) -> (u64, u64) {
-        self.lock().batch.hits
+        self.lock().batch.block_hits
     }
 
-    async fn run(self) {
+    async fn run_engine(self) {
         loop {
             let slow = Duration::from_millis(self.lock().faults.slow_ms);
-            tokio::time::sleep(self.setup.pace + slow).await;
+            tokio::time::sleep(self.setup.step_time + slow).await;
             self.lock().batch.step();
             self.steps.send_modify(|n| *n += 1);
         }
     }
 
-    fn report_now(&self, inside: &Inside) -> LoadReport {
-        let (active, queued) = inside.batch.load();
+    fn report_now(&self, state: &EngineState) -> LoadReport {
+        let (active, queued) = state.batch.load();
         LoadReport {
             active,
             queued,
             slots: self.setup.size.slots as u32,
             age_ms: 0,
-            serves: inside.serves.clone(),
-            leaving: inside.faults.leaving,
-            fence: inside.fence,
+            serves: state.serves.clone(),
+            leaving: state.faults.leaving,
+            fence: state.fence,
         }
     }
 
     /// The load as it was some time ago; its own leaving is told at once.
     fn report(&self) -> LoadReport {
-        let mut inside = self.lock();
+        let mut state = self.lock();
         let now = Instant::now();
-        let newest = self.report_now(&inside);
-        inside.reports.push_back((now, newest.clone()));
+        let newest = self.report_now(&state);
+        state.reports.push_back((now, newest.clone()));
         let lag = self.setup.report_lag;
-        while inside.reports.len() > 1 && now.duration_since(inside.reports[1].0) >= lag {
-            inside.reports.pop_front();
+        while state.reports.len() > 1 && now.duration_since(state.reports[1].0) >= lag {
+            state.reports.pop_front();
         }
-        let (at, old) = &inside.reports[0];
+        let (at, old) = &state.reports[0];
         let age_ms = now.duration_since(*at).as_millis() as u64;
         LoadReport { active: old.active, queued: old.queued, age_ms, ..newest }
     }
@@ -216,31 +216,31 @@
         Body::from_stream(lines)
     }
 
-    /// New lines from `at` on, the next place, and whether the run is over. `None` outside: the
-    /// stream is cut. `None` inside: nothing new yet.
+    /// New lines from `at` on, the next index, and whether the run is over. `None` outside: the
+    /// stream is cut. `None` state: nothing new yet.
     #[allow(clippy::type_complexity)]
     fn next_lines(&self, run: &RunId, at: u64) -> Option<Option<(String, u64, bool)>> {
-        let inside = self.lock();
-        if inside.faults.silent {
+        let state = self.lock();
+        if state.faults.silent {
             return Some(None);
         }
-        let r = inside.batch.run(run)?;
+        let r = state.batch.run(run)?;
         let mut out = String::new();
         let mut next = at;
         for text in r.tokens.iter().skip(at as usize) {
-            if inside.faults.cut_after.is_some_and(|n| next >= n) {
+            if state.faults.cut_after.is_some_and(|n| next >= n) {
                 return (!out.is_empty()).then_some(Some((out, next, true)));
             }
-            if inside.faults.cross_runs && next.is_multiple_of(3) {
+            if state.faults.cross_runs && next.is_multiple_of(3) {
                 out += &line("other".parse().expect("a valid name"), next, text);
             }
             out += &line(run.clone(), next, text);
-            if inside.faults.repeat_tokens {
+            if state.faults.repeat_tokens {
                 out += &line(run.clone(), next, text);
             }
             next += 1;
         }
-        if r.is_whole() {
+        if r.is_complete() {
             let end = Part { run: run.clone(), piece: Piece::End(r.usage()) };
             out += &serde_json::to_string(&end).expect("pieces serialize");
             out.push('\n');
@@ -259,18 +259,18 @@
 
 async fn start_run(State(target): State<Target>, Json(req): Json<StartRun>) -> Response {
     {
-        let mut inside = target.lock();
-        if inside.faults.refuse {
+        let mut state = target.lock();
+        if state.faults.refuse {
             return StatusCode::SERVICE_UNAVAILABLE.into_response();
         }
-        if !inside.serves.contains(&req.model) {
+        if !state.serves.contains(&req.model) {
             return (StatusCode::SERVICE_UNAVAILABLE, "model is not loaded").into_response();
         }
-        if inside.left_at.is_some_and(|at| at.elapsed() > LEAVING_GRACE) {
-            inside.late_starts += 1;
+        if state.leaving_since.is_some_and(|at| at.elapsed() > LEAVING_GRACE) {
+            state.late_starts += 1;
         }
-        inside.run_starts.push(req.run.clone());
-        inside.batch.start(&req);
+        state.run_starts.push(req.run.clone());
+        state.batch.start(&req);
     }
     target.lines(req.run, req.so_far.len() as u64).into_response()
 }
@@ -280,7 +280,7 @@
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-struct From {
+struct ResumeQuery {
     #[serde(default)]
     from: u64,
 }
@@ -288,15 +288,15 @@
 async fn resume_run(
     State(target): State<Target>,
     Path(run): Path<String>,
-    Query(at): Query<From>,
+    Query(at): Query<ResumeQuery>,
 ) -> Response {
     let Ok(run) = run.parse::<RunId>() else { return StatusCode::BAD_REQUEST.into_response() };
     let skip = {
-        let inside = target.lock();
-        if inside.batch.run(&run).is_none() {
+        let state = target.lock();
+        if state.batch.run(&run).is_none() {
             return StatusCode::NOT_FOUND.into_response();
         }
-        u64::from(inside.faults.skip_on_resume)
+        u64::from(state.faults.skip_on_resume)
     };
     target.lines(run, at.from + skip).into_response()
 }
@@ -311,18 +311,18 @@
 
 async fn take_order(State(target): State<Target>, Json(order): Json<Order>) -> Response {
     {
-        let mut inside = target.lock();
-        if order.fence < inside.fence && !inside.faults.ignore_fence {
+        let mut state = target.lock();
+        if order.fence < state.fence && !state.faults.ignore_fence {
             return StatusCode::CONFLICT.into_response();
         }
-        inside.fence = order.fence;
-        inside.serves.retain(|s| order.load.contains(s));
+        state.fence = order.fence;
+        state.serves.retain(|s| order.load.contains(s));
     }
     tokio::spawn(async move {
         tokio::time::sleep(target.setup.load_time).await;
-        let mut inside = target.lock();
-        if inside.fence == order.fence {
-            inside.serves = order.load;
+        let mut state = target.lock();
+        if state.fence == order.fence {
+            state.serves = order.load;
         }
     });
     Json(()).into_response()
@@ -330,17 +330,17 @@
 
 async fn call(State(target): State<Target>, Json(call): Json<ServiceCall>) -> Response {
     let (lost, nth) = {
-        let mut inside = target.lock();
-        if inside.faults.refuse || !inside.serves.contains(&call.service) {
+        let mut state = target.lock();
+        if state.faults.refuse || !state.serves.contains(&call.service) {
             return StatusCode::SERVICE_UNAVAILABLE.into_response();
         }
-        let place =
-            inside.calls.binary_search_by(|(k, _)| k.cmp(&call.key)).unwrap_or_else(|place| {
-                inside.calls.insert(place, (call.key.clone(), 0));
-                place
+        let index =
+            state.calls.binary_search_by(|(k, _)| k.cmp(&call.key)).unwrap_or_else(|index| {
+                state.calls.insert(index, (call.key.clone(), 0));
+                index
             });
-        inside.calls[place].1 += 1;
-        (inside.faults.lose_call_answers, inside.calls[place].1)
+        state.calls[index].1 += 1;
+        (state.faults.lose_call_answers, state.calls[index].1)
     };
     if lost {
         return StatusCode::INTERNAL_SERVER_ERROR.into_response();
@@ -355,15 +355,15 @@
 }
 
 async fn counts(State(target): State<Target>) -> Response {
-    let inside = target.lock();
-    let calls: Vec<(&str, u64)> = inside.calls.iter().map(|(k, n)| (k.as_str(), *n)).collect();
+    let state = target.lock();
+    let calls: Vec<(&str, u64)> = state.calls.iter().map(|(k, n)| (k.as_str(), *n)).collect();
     let body = serde_json::json!({
-        "started": inside.batch.started,
-        "late_starts": inside.late_starts,
-        "cache_hits": inside.batch.hits.0,
-        "cache_lookups": inside.batch.hits.1,
+        "started": state.batch.started,
+        "late_starts": state.late_starts,
+        "cache_hits": state.batch.block_hits.0,
+        "cache_lookups": state.batch.block_hits.1,
         "calls": calls,
-        "runs": inside.run_starts,
+        "runs": state.run_starts,
     });
     Json(body).into_response()
 }
--- a/tests/gatedir.rs
+++ b/tests/gatedir.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kingcupwall::http1::{Conn, ResponseHead, header};
-use kingcupwall::standin::gateway::{LocalPlatform, parts};
+use kingcupwall::standin::gateway::{LocalPlatform, catalog_parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::StandinTarget;
 use tokio::task::LocalSet;
@@ -29,7 +29,7 @@
     /// Starts a fleet with `targets` targets and `prepaid` tokens.
     pub async fn start(targets: usize, prepaid: u64) -> Fleet {
         let platform = LocalPlatform::new();
-        platform.configure(parts(1, prepaid));
+        platform.configure(catalog_parts(1, prepaid));
         let mut started = Vec::new();
         for n in 1..=targets {
             let target = StandinTarget::start(&format!("t{n}"), "model", "zone-1").await.unwrap();
--- a/tests/test_api.rs
+++ b/tests/test_api.rs
@@ -26,9 +26,10 @@
     let platform = PlatformHost::start(PlatformLimits::default()).await.unwrap();
     let zone: ZoneId = name("a");
     let serves = vec!["m".into(), "filing".into()];
-    let setup = TargetSetup { serves, pace: Duration::from_millis(2), ..TargetSetup::default() };
+    let setup =
+        TargetSetup { serves, step_time: Duration::from_millis(2), ..TargetSetup::default() };
     let target = TargetHost::start(&platform.memory, "t0", &zone, setup).await.unwrap();
-    let settings = router_settings(platform.served.addr, "r0", &zone);
+    let settings = router_settings(platform.server.addr, "r0", &zone);
     let router = RouterHost::start(settings).await.unwrap();
     let text = format!(
         "[fleet]\nentry_lifetime = 1s\n[service chat]\nmodel = m\nbytes_per_token = 4\nmax_tokens = 500\n\
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -11,8 +11,8 @@
 use kingcupwall::membership::wire::{Ask, Mesh};
 use kingcupwall::request::stage::Repeatable;
 use kingcupwall::standin::batch::{expected_token, natural_length};
-use kingcupwall::standin::local::{Process, TargetFate};
-use kingcupwall::standin::local_fleet::{LocalFleet, LocalRequest, Setup};
+use kingcupwall::standin::local::{ProcessState, TargetCondition};
+use kingcupwall::standin::local_fleet::{FleetSetup, LocalFleet, LocalRequest};
 use kingcupwall::table::memory::Faults;
 use kingcupwall::table::{Mutation, Table, Txn, scan_all};
 use rstest::rstest;
@@ -32,11 +32,11 @@
 }
 
 async fn fleet(prepaid: u64) -> LocalFleet {
-    let setup = Setup {
+    let setup = FleetSetup {
         config: config(prepaid),
         routers: 1,
         serves: vec!["m".into(), "filing".into()],
-        ..Setup::default()
+        ..FleetSetup::default()
     };
     LocalFleet::start(setup).await.unwrap()
 }
@@ -81,7 +81,7 @@
     let mut f = fleet(100_000).await;
     let req = long_request("k1");
     let caller = f.caller();
-    let first = caller.route(&org())[0];
+    let first = caller.routers_to_try(&org())[0];
     let sent = tokio::spawn({
         let (caller, req) = (caller.clone(), req.clone());
         async move { caller.send_to(first, "chat", &req).await }
@@ -122,10 +122,10 @@
 }
 
 #[rstest]
-#[case::dead(TargetFate::Dead)]
-#[case::silent(TargetFate::Silent)]
+#[case::dead(TargetCondition::Dead)]
+#[case::silent(TargetCondition::Silent)]
 #[tokio::test(start_paused = true)]
-async fn target_fails_mid_stream(#[case] fate: TargetFate) {
+async fn target_fails_mid_stream(#[case] fate: TargetCondition) {
     // A caller's answer stops in the middle because its target dies, or says nothing more.
     // Another target goes on where it stopped.
     let f = fleet(100_000).await;
@@ -155,7 +155,7 @@
     // It was dispatched once, its end is not known, and nobody dispatches it again.
     let f = fleet(100_000).await;
     for t in ["t-a-0", "t-a-1", "t-b-0", "t-b-1", "t-c-0", "t-c-1"] {
-        f.net.set_target(t, TargetFate::LosesCallAnswers);
+        f.net.set_target(t, TargetCondition::LosesCallAnswers);
     }
     let (caller, key): (_, RequestKey) = (f.caller(), name("claim-1"));
     for router in [0, 0, 1, 2] {
@@ -195,7 +195,7 @@
     bill.content = Digest::of(b"body");
     let copy =
         HoldCopy { hold: HoldId(1), amount: Tokens(5), bill, target: name("t-a-0"), ended: false };
-    f.places[0].node.witness.lock().unwrap().keep(&owner, copy).unwrap();
+    f.members[0].node.witness.lock().unwrap().keep(&owner, copy).unwrap();
     let began = tokio::time::Instant::now();
     let e = f
         .caller()
@@ -214,7 +214,7 @@
     // for the dead one's seal and copies, and the new one answers that there are none.
     // The question names the incarnation, and only that process may answer it.
     let f = fleet(100_000).await;
-    let (asked, asker) = (&f.places[0].node, &f.places[1].node);
+    let (asked, asker) = (&f.members[0].node, &f.members[1].node);
     let to = asked.lock_view().me().clone();
     let seal = |keeper| Ask::Seal { keeper, holder: name("h@1") };
     assert!(asker.mesh.ask(&to, seal(to.incarnation.clone())).await.is_ok());
@@ -251,15 +251,15 @@
         async move { caller.send_to(0, "chat", &req).await }
     });
     sleep(Duration::from_millis(600)).await;
-    let before = f.places[0].node.session().incarnation.clone();
-    f.net.set_process(f.places[0].at, Process::Paused);
+    let before = f.members[0].node.session().incarnation.clone();
+    f.net.set_process(f.members[0].at, ProcessState::Paused);
     sleep(Duration::from_secs(30)).await;
     assert!(sent.await.unwrap().is_err());
-    f.net.set_process(f.places[0].at, Process::Up);
+    f.net.set_process(f.members[0].at, ProcessState::Up);
     for n in 0..40 {
         let _ = caller.send_to(n % 3, "chat", &long_request(&format!("after-{n}"))).await;
     }
-    assert_ne!(f.places[0].node.session().incarnation, before);
+    assert_ne!(f.members[0].node.session().incarnation, before);
     settled(&f).await;
     let spent: u64 = bills(&f).await.iter().map(|b| b.cost.0).sum();
     assert!(spent <= 3_000, "{spent}");
--- a/tests/test_gateway.rs
+++ b/tests/test_gateway.rs
@@ -7,7 +7,7 @@
 use kingcupwall::http1::{Conn, header};
 use kingcupwall::ids::Tokens;
 use kingcupwall::rows::{Fault, RowStore};
-use kingcupwall::standin::gateway::{LocalPlatform, parts};
+use kingcupwall::standin::gateway::{LocalPlatform, catalog_parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::TargetFault;
 
@@ -64,7 +64,7 @@
     // The configuration was acknowledged, and the router's feed has not brought it yet.
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
-        let mut next = parts(2, 1_000);
+        let mut next = catalog_parts(2, 1_000);
         next.organisations.as_mut().unwrap()[0].keys.push("key-new".into());
         fleet.platform.configure(next);
         let got = Call::get("/safe/a").key("key-new").send(fleet.router.front).await;
--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -8,7 +8,7 @@
     pick_owner,
 };
 use kingcupwall::gateway::place::{Candidate, Placement, PlacementGoal, PlacementWeights, place};
-use kingcupwall::standin::gateway::{LocalPlatform, parts};
+use kingcupwall::standin::gateway::{LocalPlatform, catalog_parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::StandinTarget;
 use proptest::prelude::*;
@@ -141,7 +141,7 @@
 const COLD_REQUESTS_PER_S: f64 = 4.0;
 
 fn warm_up_parts() -> CatalogParts {
-    let mut p = parts(1, 1_000_000);
+    let mut p = catalog_parts(1, 1_000_000);
     p.services[0].warm_up = Some(warm_up(COLD_REQUESTS_PER_S));
     p
 }
@@ -215,7 +215,7 @@
         let fleet = Fleet::start(5, 1, 0).await;
         let answered = fleet.burst(12).await;
         let cold = &fleet.targets[0];
-        assert!(!cold.has_ended(), "{} requests within a second", cold.most_while_cold());
+        assert!(!cold.has_crashed(), "{} requests within a second", cold.peak_while_cold());
         assert!(answered >= COLD_REQUESTS_PER_S as usize, "{answered} answered");
     });
 }
@@ -226,7 +226,7 @@
     local(async {
         let fleet = Fleet::start(3, 1, 2).await;
         assert_eq!(fleet.burst(10).await, 30);
-        assert!(!fleet.targets[0].has_ended());
+        assert!(!fleet.targets[0].has_crashed());
         assert!(!fleet.targets[0].runs().is_empty());
     });
 }
@@ -260,12 +260,12 @@
             eventually("emptying the zone", || r.gw.zones.is_emptied("zone-1")).await;
         }
         fleet.targets[0].set_cold(Some(COLD_CAPACITY));
-        fleet.platform.take_zone_back("zone-1");
+        fleet.platform.restore_zone("zone-1");
         for r in &fleet.routers {
             eventually("restoring the zone", || !r.gw.zones.is_emptied("zone-1")).await;
         }
         fleet.burst(20).await;
-        assert!(!fleet.targets[0].has_ended());
+        assert!(!fleet.targets[0].has_crashed());
     });
 }
 
@@ -278,7 +278,7 @@
         fleet.platform.empty_zone("zone-1");
         let gw = fleet.routers[0].gw.clone();
         eventually("emptying the zone", || gw.zones.is_emptied("zone-1")).await;
-        fleet.platform.take_zone_back("zone-1");
+        fleet.platform.restore_zone("zone-1");
         eventually("restoring the zone", || !gw.zones.is_emptied("zone-1")).await;
         let target = StandinTarget::start("t2", "model", "zone-1").await.unwrap();
         target.set_cold(Some(COLD_CAPACITY));
@@ -287,7 +287,7 @@
         fleet.targets.push(target);
         fleet.burst(30).await;
         let target = &fleet.targets[1];
-        assert!(!target.has_ended(), "{} requests within a second", target.most_while_cold());
+        assert!(!target.has_crashed(), "{} requests within a second", target.peak_while_cold());
     });
 }
 
@@ -301,7 +301,7 @@
         backend.life.connect_failed(&std::io::ErrorKind::ConnectionRefused.into());
         fleet.targets[0].set_cold(Some(COLD_CAPACITY));
         fleet.burst(30).await;
-        assert!(!fleet.targets[0].has_ended());
+        assert!(!fleet.targets[0].has_crashed());
         assert!(backend.is_cold(Instant::now()));
     });
 }
--- a/tests/test_gateway_config.rs
+++ b/tests/test_gateway_config.rs
@@ -4,7 +4,7 @@
 
 use futures_util::future::join_all;
 use kingcupwall::rows::Fault;
-use kingcupwall::standin::gateway::{parts, route};
+use kingcupwall::standin::gateway::{catalog_parts, route};
 use rstest::rstest;
 use tokio::time::sleep;
 
@@ -27,7 +27,7 @@
 fn refusal_unchanged_configuration(#[case] path: &str, #[case] key: &str, #[case] status: u16) {
     local(async move {
         let fleet = Fleet::start(1, 1_000_000).await;
-        fleet.platform.configure_large(parts(2, 1_000_000), LARGE);
+        fleet.platform.configure_large(catalog_parts(2, 1_000_000), LARGE);
         eventually("version 2", || fleet.version() == 2).await;
         let before = fleet.router.platform.rows.bytes_sent();
         for n in 0..6 {
@@ -52,7 +52,7 @@
         let rows = &fleet.router.platform.rows;
         let before = rows.bytes_sent();
         rows.set_bytes_per_s(LARGE as u64);
-        fleet.platform.configure_large(parts(2, 1_000_000), LARGE);
+        fleet.platform.configure_large(catalog_parts(2, 1_000_000), LARGE);
         eventually("transfer", || rows.bytes_sent() > before).await;
         for n in 0..6 {
             let id = format!("q{n}");
@@ -72,8 +72,8 @@
 fn refusal_confirmed_against_change() {
     local(async {
         let fleet = Fleet::start(1, 1_000_000).await;
-        fleet.router.stop_following();
-        let mut next = parts(2, 1_000_000);
+        fleet.router.stop_config_feed();
+        let mut next = catalog_parts(2, 1_000_000);
         next.routes.push(route("/added/", kingcupwall::gateway::RouteKind::Idempotent, 1));
         fleet.platform.configure(next);
         let got = Call::get("/added/a").send(fleet.router.front).await;
@@ -90,7 +90,7 @@
 fn refusal_shares_outcome() {
     local(async {
         let fleet = Fleet::start(1, 1_000_000).await;
-        fleet.router.stop_following();
+        fleet.router.stop_config_feed();
         let rows = &fleet.router.platform.rows;
         rows.set_fault(Fault::Silent);
         let before = rows.feed_requests();
--- a/tests/test_gateway_decisions.rs
+++ b/tests/test_gateway_decisions.rs
@@ -12,7 +12,7 @@
 use kingcupwall::gateway::sse::Splitter;
 use kingcupwall::gateway::zone_filter::ZoneRegions;
 use kingcupwall::rows::StoreMs;
-use kingcupwall::standin::gateway::{parts, route};
+use kingcupwall::standin::gateway::{catalog_parts, route};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -79,7 +79,7 @@
 
 #[test]
 fn route_longest_prefix() {
-    let mut p = parts(1, 10);
+    let mut p = catalog_parts(1, 10);
     p.routes.push(route("/safe/deep/", RouteKind::Stream, 1));
     let catalog = Catalog::build(p);
     let name = |path| catalog.route("SHOP.example", path).map(|r| r.name.to_string());
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -6,7 +6,7 @@
 use kingcupwall::gateway::quarantine::CRASHES_TO_QUARANTINE;
 use kingcupwall::http1::Conn;
 use kingcupwall::rows::Fault;
-use kingcupwall::standin::gateway::{LocalPlatform, parts};
+use kingcupwall::standin::gateway::{LocalPlatform, catalog_parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::{FATAL_BODY, StandinTarget, TargetFault};
 use rstest::rstest;
@@ -27,7 +27,7 @@
 impl Fleet {
     async fn start() -> Fleet {
         let platform = LocalPlatform::new();
-        platform.configure(parts(1, 1_000_000));
+        platform.configure(catalog_parts(1, 1_000_000));
         let mut targets = Vec::new();
         for n in 0..2 * MAX_ENDED_TARGETS {
             let target = StandinTarget::start(&format!("t{n}"), "model", "zone-1").await.unwrap();
@@ -52,7 +52,7 @@
     }
 
     fn ended(&self) -> usize {
-        self.targets.iter().filter(|t| t.has_ended()).count()
+        self.targets.iter().filter(|t| t.has_crashed()).count()
     }
 
     /// Fills the first router's retry budget.
@@ -237,7 +237,7 @@
             let got = tokio::task::spawn_local(async move { call.send(front).await });
             let has_it = |t: &&StandinTarget| t.runs().iter().any(|r| r.id == format!("s{n}"));
             eventually("the start of the run", || fleet.targets.iter().any(|t| has_it(&t))).await;
-            fleet.targets.iter().find(has_it).unwrap().end();
+            fleet.targets.iter().find(has_it).unwrap().crash();
             let got = got.await.unwrap();
             assert_eq!((got.status(), got.whole), (200, true));
         }
@@ -285,7 +285,7 @@
                 eventually("the state change to leaving", || gw.targets.count().1 < ready).await;
             }
         }
-        target.end();
+        target.crash();
         let got = got.await.unwrap();
         assert!(got.status() == 502 || !got.whole);
         // Connections are refused by now, so the probe ends at once.
@@ -328,7 +328,7 @@
         conn.write(&call.bytes()).await.unwrap();
         // The answer has begun, and its first events have arrived.
         assert!(conn.has_more().await.unwrap());
-        fleet.targets.iter().find(|t| !t.runs().is_empty()).unwrap().end();
+        fleet.targets.iter().find(|t| !t.runs().is_empty()).unwrap().crash();
         assert!(!Got::read(&mut conn).await.whole);
         let stats = &fleet.routers[0].gw.stats;
         eventually("recording the end of the target", || stats.targets_ended.get() == 1).await;
--- a/tests/test_gateway_homes.rs
+++ b/tests/test_gateway_homes.rs
@@ -3,7 +3,7 @@
 use kingcupwall::gateway::CatalogParts;
 use kingcupwall::gateway::entry::{EntryView, RouterEntry};
 use kingcupwall::gateway::zone_filter::ZoneRegions;
-use kingcupwall::standin::gateway::{LocalPlatform, parts};
+use kingcupwall::standin::gateway::{LocalPlatform, catalog_parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::StandinTarget;
 use rstest::rstest;
@@ -13,7 +13,7 @@
 /// The default configuration, with the first route and the organisation restricted to regions.
 fn bound(route: &[&str], org: &[&str]) -> CatalogParts {
     let own = |names: &[&str]| names.iter().map(|n| (*n).into()).collect();
-    let mut p = parts(1, 1_000_000);
+    let mut p = catalog_parts(1, 1_000_000);
     p.routes[0].homes = own(route);
     p.organisations.as_mut().unwrap()[0].homes = own(org);
     p
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -9,7 +9,7 @@
 use kingcupwall::gateway::notice::{Notice, RetryAfter};
 use kingcupwall::gateway::warmup::AdmissionMessage;
 use kingcupwall::http1::ResponseHead;
-use kingcupwall::standin::gateway::{LEAVING, LocalPlatform, parts};
+use kingcupwall::standin::gateway::{LEAVING, LocalPlatform, catalog_parts};
 use kingcupwall::standin::gateway_target::{StandinTarget, TargetFault};
 use rstest::rstest;
 use tokio::net::UdpSocket;
@@ -87,10 +87,10 @@
 fn log_has_notices() {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
-        fleet.targets[0].fail(&[TargetFault::FullUntil("0.1")]);
+        fleet.targets[0].fail(&[TargetFault::FullRetryAfter("0.1")]);
         Call::get("/once/a").send(fleet.router.front).await;
         sleep(REFUSAL_BACKOFF).await;
-        fleet.targets[0].set_says_leaving(true);
+        fleet.targets[0].set_leaving(true);
         Call::get("/once/a").id("q2").send(fleet.router.front).await;
         let log = fleet.router.log.take();
         let expected =
@@ -115,7 +115,7 @@
 async fn start_after_notice(call: Call, faults: &[TargetFault], says_leaving: bool) -> Fleet {
     let mut fleet = Fleet::start(1, 1_000_000).await;
     fleet.earn_retries().await;
-    fleet.targets[0].set_says_leaving(says_leaving);
+    fleet.targets[0].set_leaving(says_leaving);
     fleet.targets[0].fail(faults);
     call.send(fleet.router.front).await;
     let other = StandinTarget::start("t2", "model", "zone-1").await.unwrap();
@@ -179,7 +179,7 @@
 fn refused_at_once_when_all_targets_leave() {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
-        fleet.targets[0].set_says_leaving(true);
+        fleet.targets[0].set_leaving(true);
         Call::get("/once/a").send(fleet.router.front).await;
         let got = Call::get("/once/a").id("q2").send(fleet.router.front).await;
         assert_eq!((got.status(), fleet.targets[0].arrivals().len()), (503, 1));
@@ -197,7 +197,7 @@
     #[case] backoff_s: f64,
 ) {
     local(async {
-        let faults: Vec<_> = after.iter().map(|s| TargetFault::FullUntil(s)).collect();
+        let faults: Vec<_> = after.iter().map(|s| TargetFault::FullRetryAfter(s)).collect();
         let fleet = Fleet::start(2, 1_000_000).await;
         fleet.earn_retries().await;
         let before = fleet.targets[0].arrivals().len();
@@ -230,7 +230,7 @@
 fn refusal_has_retry_after_of_target() {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
-        fleet.targets[0].fail(&[TargetFault::FullUntil("3")]);
+        fleet.targets[0].fail(&[TargetFault::FullRetryAfter("3")]);
         for n in 0..3 {
             let got = Call::get("/once/a").id(&format!("r{n}")).send(fleet.router.front).await;
             let after: f64 = got.header("Retry-After").unwrap().parse().unwrap();
@@ -260,7 +260,7 @@
 fn log_has_leaving_notice_once() {
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
-        fleet.targets[0].set_says_leaving(true);
+        fleet.targets[0].set_leaving(true);
         let calls = ["a", "b", "c"].map(|id| Call::get("/once/a").id(id));
         join_all(calls.iter().map(|c| c.send(fleet.router.front))).await;
         assert_eq!(fleet.router.log.take().matches("event=notice").count(), 1);
@@ -275,11 +275,11 @@
         let fleet = Fleet::start(1, 1_000).await;
         let target = &fleet.targets[0];
         target.set_event_gap(Duration::from_millis(20));
-        target.set_says_leaving(true);
+        target.set_leaving(true);
         let call = Call::get("/stream/a").tokens(10, 20);
         let ends = async {
             sleep(Duration::from_millis(60)).await;
-            target.end();
+            target.crash();
         };
         let (got, ()) = tokio::join!(call.send(fleet.router.front), ends);
         assert!(!got.whole);
@@ -297,7 +297,7 @@
     local(async {
         let fleet = Fleet::start(1, 1_000).await;
         let (gw, target) = (&fleet.router.gw, &fleet.targets[0]);
-        let mut warming = parts(2, 1_000);
+        let mut warming = catalog_parts(2, 1_000);
         let warm_up = WarmUp { cold_duration: Duration::from_secs(60), requests_per_s: 4.0 };
         warming.services[0].warm_up = Some(warm_up);
         fleet.platform.configure(warming);
--- a/tests/test_gateway_orders.rs
+++ b/tests/test_gateway_orders.rs
@@ -8,7 +8,7 @@
 use kingcupwall::gateway::zone_filter::{ExclusionReason, ZoneFilter, ZoneRegions};
 use kingcupwall::gateway::zone_orders::{ZoneOrder, ZoneOrders};
 use kingcupwall::rows::{Fault, Ver};
-use kingcupwall::standin::gateway::{LocalPlatform, parts};
+use kingcupwall::standin::gateway::{LocalPlatform, catalog_parts};
 use kingcupwall::standin::gateway_host::GatewayHost;
 use kingcupwall::standin::gateway_target::{StandinTarget, TargetFault};
 use rstest::rstest;
@@ -94,7 +94,7 @@
 impl Fleet {
     async fn start(routers: usize) -> Fleet {
         let platform = LocalPlatform::new();
-        platform.configure(parts(1, 1_000_000));
+        platform.configure(catalog_parts(1, 1_000_000));
         let mut targets = Vec::new();
         for n in 1..=2 {
             let zone = format!("zone-{n}");
@@ -147,7 +147,7 @@
         fleet.platform.empty_zone("zone-1");
         fleet.wait_for_emptied(0, &["zone-1"]).await;
         assert_eq!(fleet.send(0, "emptied").await, (0, 8));
-        fleet.platform.take_zone_back("zone-1");
+        fleet.platform.restore_zone("zone-1");
         fleet.wait_for_emptied(0, &[]).await;
         assert!(fleet.send(0, "back").await.0 > 0);
     });
@@ -230,7 +230,7 @@
         fleet.platform.empty_zone("zone-1");
         fleet.wait_for_emptied(1, &["zone-1"]).await;
         assert_eq!(fleet.send(1, "told").await, (0, 8));
-        fleet.platform.take_zone_back("zone-1");
+        fleet.platform.restore_zone("zone-1");
         fleet.wait_for_emptied(1, &[]).await;
     });
 }
@@ -247,7 +247,7 @@
             sleep(Duration::from_millis(100)).await;
             match emptied {
                 true => fleet.platform.empty_zone("zone-1"),
-                false => fleet.platform.take_zone_back("zone-1"),
+                false => fleet.platform.restore_zone("zone-1"),
             }
             fleet.platform.rows.compact();
             rows.set_fault(Fault::None);
