--- a/src/standin/batch.rs
+++ b/src/standin/batch.rs
@@ -1,4 +1,5 @@
-//! A model engine's continuous batching, prefix cache and priorities, as a pure state machine.
+//! A simulated model engine with continuous batching, a prefix cache and priorities, as a state
+//! machine without I/O.
 
 use std::collections::VecDeque;
 
@@ -7,21 +8,22 @@
 use crate::engine::{Cancelled, RunUsage, StartRun};
 use crate::ids::{Digest, RunId};
 
-/// Bytes of prompt per token in this engine.
+/// Bytes of prompt per token.
 pub const BYTES_PER_TOKEN: usize = 4;
 /// Bytes of prompt in one block of the prefix cache.
 const BLOCK_BYTES: usize = 256;
-/// Ended and cancelled runs that are remembered.
+/// Maximum number of runs that are remembered, including ended and cancelled ones. The oldest are
+/// dropped first.
 const MAX_KNOWN_RUNS: usize = 20_000;
-/// Prompt tokens that one step can read in.
+/// Maximum number of prompt tokens that one step processes.
 const MAX_PREFILL_TOKENS_PER_STEP: u64 = 512;
 
-/// Size of an engine.
+/// Capacity of an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EngineSize {
-    /// Runs that get a token in each step.
+    /// Maximum number of runs in the batch. Each gets one token per step.
     pub slots: usize,
-    /// Prompt blocks that the prefix cache holds.
+    /// Maximum number of prompt blocks in the prefix cache.
     pub cache_blocks: usize,
 }
 
@@ -33,7 +35,7 @@
     Cancelled,
 }
 
-/// One run.
+/// A run and its answer so far.
 #[derive(Clone, Debug)]
 pub struct Run {
     id: RunId,
@@ -42,51 +44,51 @@
     state: RunState,
     prefill_left: u64,
     prompt_tokens: u64,
-    /// Tokens so far.
+    /// Tokens of the answer so far.
     pub tokens: Vec<CompactString>,
     limit: u64,
 }
 
 impl Run {
-    /// Whether nothing more will come.
+    /// Whether the run ended or was cancelled.
     pub fn is_over(&self) -> bool {
         matches!(self.state, RunState::Ended | RunState::Cancelled)
     }
 
-    /// Whether the answer is whole.
+    /// Whether the run ended with a complete answer.
     pub fn is_complete(&self) -> bool {
         self.state == RunState::Ended
     }
 
-    /// What it cost so far.
+    /// Tokens that the run has used so far.
     pub fn usage(&self) -> RunUsage {
         RunUsage { prompt_tokens: self.prompt_tokens, tokens: self.tokens.len() as u64 }
     }
 }
 
-/// The engine.
+/// A simulated engine: its runs, its batch and its prefix cache.
 #[derive(Debug)]
 pub struct BatchEngine {
     size: EngineSize,
     runs: Vec<Run>,
-    /// Every known run, oldest first.
+    /// Ids of all known runs, oldest first.
     order: VecDeque<RunId>,
-    /// Queued and active runs, oldest first.
+    /// Ids of queued and active runs, oldest first.
     unfinished: Vec<RunId>,
     cache: VecDeque<Digest>,
-    /// Prompt blocks found in the cache, and looked for.
+    /// Number of prompt blocks found in the cache, and number of lookups.
     pub block_hits: (u64, u64),
-    /// Runs started, a repeat of the same id not counted.
+    /// Number of runs started. Repeated starts of the same id are not counted.
     pub started: u64,
 }
 
-/// The token that this engine answers at a index: a function of the prompt alone, so that any
-/// caller can check that its answer is its own and whole.
+/// The token that this engine generates at an index of the answer. It depends on the prompt alone,
+/// so any caller can check that an answer belongs to its prompt and is complete.
 pub fn expected_token(prompt: &str, index: u64) -> CompactString {
     token(Digest::of(prompt.as_bytes()).word(), index)
 }
 
-/// How many tokens this engine answers when it is not limited.
+/// Number of tokens that this engine generates for a prompt, between 1 and `max_tokens`.
 pub fn natural_length(prompt: &str, max_tokens: u64) -> u64 {
     let word = Digest::of(prompt.as_bytes()).word();
     (1 + word % max_tokens.max(1)).min(max_tokens)
@@ -99,7 +101,7 @@
 }
 
 impl BatchEngine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(size: EngineSize) -> BatchEngine {
         BatchEngine {
             size,
@@ -116,12 +118,12 @@
         self.runs.binary_search_by(|r| r.id.cmp(id))
     }
 
-    /// The run of that id.
+    /// The run with this id, if it is known.
     pub fn run(&self, id: &RunId) -> Option<&Run> {
         self.find(id).ok().map(|index| &self.runs[index])
     }
 
-    /// Runs in the batch and in the queue.
+    /// Number of active and of queued runs.
     pub fn load(&self) -> (u32, u32) {
         let states = self.unfinished.iter().filter_map(|id| self.run(id)).map(|r| r.state);
         states.fold((0, 0), |(active, queued), s| match s {
@@ -131,7 +133,7 @@
         })
     }
 
-    /// Starts a run, unless its id is known already.
+    /// Queues a run. Does nothing if its id is already known.
     pub fn start(&mut self, req: &StartRun) {
         let Err(index) = self.find(&req.run) else { return };
         self.started += 1;
@@ -162,7 +164,8 @@
         }
     }
 
-    /// Looks the prompt's leading blocks up and caches them all. Cached tokens.
+    /// Looks up the blocks of the prompt and adds them all to the cache. Returns the number of
+    /// tokens in the leading blocks that were found.
     fn cache_prefix(&mut self, prompt: &str) -> u64 {
         let mut cached = 0;
         let mut leading = true;
@@ -185,7 +188,8 @@
         cached
     }
 
-    /// Stops a run. One that is not known is remembered as cancelled, and never starts.
+    /// Cancels a run. An unknown id is recorded as cancelled, so that a later start of it does
+    /// nothing.
     pub fn cancel(&mut self, id: &RunId) -> Cancelled {
         match self.find(id) {
             Ok(index) => {
@@ -218,8 +222,8 @@
         }
     }
 
-    /// One step of the engine: fills the batch by priority, then every run in it gets a token or
-    /// reads on in its prompt. Whether anything progressed.
+    /// Runs one step: fills the batch by priority, then advances each active run by one token or by
+    /// a part of its prompt. Returns whether any run was active.
     pub fn step(&mut self) -> bool {
         self.fill_batch();
         let mut progressed = false;
@@ -261,7 +265,8 @@
     }
 }
 
-/// One step of an active run. Prompt tokens read, out of `prefill`.
+/// Runs one step of an active run. Returns the number of prompt tokens processed, at most
+/// `prefill`.
 fn step_run(run: &mut Run, prefill: u64) -> u64 {
     let read = run.prefill_left.min(prefill);
     run.prefill_left -= read;
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -1,7 +1,7 @@
-//! A whole small fleet in one process: platform, targets and routers on loopback.
+//! A small fleet in one process: platform, targets and routers on loopback.
 //!
-//! Each router has a runtime of its own, so that it can die as a process does: everything it runs
-//! stops where it is.
+//! Each router has its own runtime, so that killing it stops all its tasks at once, like the death
+//! of a process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,19 +21,19 @@
 use crate::table::memory::Memory;
 use crate::table::{Instance, InstanceState};
 
-/// The operator key of fleets in one process.
+/// Operator key of fleets in one process.
 pub const OPERATOR_KEY: &str = "operator";
 
-/// Any free port on loopback.
+/// Loopback address with a port that the system chooses.
 pub fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A platform in this process.
+/// A platform stand-in in this process.
 pub struct PlatformHost {
-    /// Its state, for looking at it from outside.
+    /// State of the platform, for inspection by tests.
     pub memory: Memory,
-    /// Its server.
+    /// HTTP server of the platform.
     pub server: HttpServer,
 }
 
@@ -49,18 +49,18 @@
     }
 }
 
-/// A target in this process.
+/// A target stand-in in this process.
 pub struct TargetHost {
-    /// Its name.
+    /// Name of the target's instance.
     pub name: CompactString,
-    /// Its state.
+    /// State of the target.
     pub target: Target,
-    /// Its server.
+    /// HTTP server of the target.
     pub server: HttpServer,
 }
 
 impl TargetHost {
-    /// Starts a target and lists it.
+    /// Starts a target and adds it to the platform's instance list.
     ///
     /// # Errors
     /// `Io` when no port can be bound.
@@ -84,9 +84,9 @@
     }
 }
 
-/// A router on a runtime of its own.
+/// A router with its own runtime.
 pub struct RouterHost {
-    /// Where callers connect.
+    /// Address to which callers connect.
     pub api: SocketAddr,
     runtime: tokio::runtime::Runtime,
     router: RunningRouter,
@@ -112,7 +112,7 @@
 }
 
 impl RouterHost {
-    /// Starts a router. Blocks its own threads only.
+    /// Starts a router on its own threads.
     ///
     /// # Errors
     /// `Io` when no port can be bound.
@@ -131,30 +131,31 @@
         &self.router
     }
 
-    /// Waits until it can serve.
+    /// Waits until the router can serve requests.
     pub async fn ready(&self) {
         while !self.router.node.is_ready() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Dies like a killed process: nothing is flushed, nobody is told.
+    /// Stops the router like a killed process: buffered data is lost, and other processes get no
+    /// notice.
     pub fn kill(self) {
         let RouterHost { runtime, router, .. } = self;
         runtime.shutdown_background();
         drop(router);
     }
 
-    /// Drains and stops.
+    /// Drains and stops the router.
     pub async fn stop(self) {
         let RouterHost { runtime, router, .. } = self;
-        // A panic in the drain shows in its log; the runtime goes either way.
+        // A panic during the drain is logged; the runtime is shut down in either case.
         let _ = runtime.spawn(router.stop()).await;
         runtime.shutdown_background();
     }
 }
 
-/// Hands in a first configuration through a router.
+/// Submits a first configuration through a router.
 ///
 /// # Errors
 /// `BadConfig`, `Conflict` or `Io`.
--- a/src/standin/gateway.rs
+++ b/src/standin/gateway.rs
@@ -1,4 +1,4 @@
-//! A platform around the gateway, over the row store in memory.
+//! A platform for gateways on top of the in-memory row store.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,24 +21,24 @@
 use crate::ids::Tokens;
 use crate::rows::{ArrivingAnswers, Committed, MemoryRows, Page, RowStore, StoreResult, Tx, Ver};
 
-/// Keys of orders to empty a zone begin with this.
+/// Prefix of the keys of orders to empty a zone. The rest of the key is the zone.
 const EMPTY_ZONE_PREFIX: &str = "empty/";
 
-/// Names of headers at the stand-ins.
+/// Name of the stand-ins' header with the request's id, see [`Names::request_id`].
 pub const REQUEST_ID: &str = "Request-Id";
-/// See [`REQUEST_ID`].
+/// Name of the header with which a target marks its answer: its own id and the request's id.
 pub const SEAL: &str = "Seal";
-/// See [`REQUEST_ID`].
+/// Name of the header with the organisation, see [`Names::organisation`].
 pub const ORGANISATION: &str = "Organisation";
-/// See [`REQUEST_ID`].
+/// Name of the header with the intended target's id, see [`Names::expect_target`].
 pub const EXPECT_TARGET: &str = "Expect-Target";
-/// See [`REQUEST_ID`].
+/// Name of the header of a request that was not run, see [`Names::not_run`].
 pub const NOT_RUN: &str = "Not-Run";
-/// See [`REQUEST_ID`].
+/// Name of the header of a target that is about to stop, see [`Names::leaving`].
 pub const LEAVING: &str = "Leaving";
-/// See [`REQUEST_ID`].
+/// Name of the header with the token counts, see [`Names::token_counts`].
 pub const TOKEN_COUNTS: &str = "Tokens";
-/// See [`REQUEST_ID`].
+/// Name of the header with the last event received, see [`Names::last_event_id`].
 pub const LAST_EVENT: &str = "Last-Event-Id";
 
 pub(super) fn header_names() -> Names {
@@ -57,7 +57,7 @@
     }
 }
 
-/// A route of the only host.
+/// A route of `shop.example`, the only host, to the service `model`.
 pub fn route(prefix: &str, kind: RouteKind, max_attempts: u32) -> Route {
     Route {
         name: prefix.trim_matches('/').into(),
@@ -75,7 +75,8 @@
     }
 }
 
-/// The usual configuration: four kinds of routes, one organisation with `prepaid` tokens.
+/// The default configuration: one route of each kind, one service, and one organisation with
+/// `prepaid` tokens.
 pub fn catalog_parts(version: u64, prepaid: u64) -> CatalogParts {
     CatalogParts {
         version,
@@ -106,12 +107,14 @@
     }
 }
 
-/// A platform over the row store in memory. Configurations are kept beside the store, and
-/// their row holds a number; a target's row is `service address zone slots state`, and after it
-/// when the target started and for how many ms it stays cold, as far as that is known.
+/// A platform on top of the in-memory row store.
+///
+/// Configurations are kept outside the store, and the configuration row holds an index into them. A
+/// target's row is `service address zone slots state`, optionally followed by the target's start
+/// time in Unix ms and by the remaining time for which it stays cold, in ms.
 #[derive(Clone)]
 pub struct LocalPlatform {
-    /// The store; its fault is this handle's own.
+    /// Client of the store. An injected fault affects this client only.
     pub rows: MemoryRows,
     configs: Rc<RefCell<Vec<CatalogParts>>>,
     names: Rc<Names>,
@@ -124,7 +127,7 @@
 }
 
 impl LocalPlatform {
-    /// An empty platform.
+    /// Creates a platform with an empty store.
     pub fn new() -> LocalPlatform {
         LocalPlatform {
             rows: MemoryRows::new(),
@@ -133,17 +136,17 @@
         }
     }
 
-    /// The same platform for another router, with a fault of its own.
+    /// The same platform for another router, with separately injected faults.
     pub fn new_client(&self) -> LocalPlatform {
         LocalPlatform { rows: self.rows.new_client(), ..self.clone() }
     }
 
-    /// Acknowledges a configuration.
+    /// Publishes a configuration.
     pub fn configure(&self, parts: CatalogParts) {
         self.configure_large(parts, 0);
     }
 
-    /// Acknowledges a configuration whose row has at least `bytes` bytes.
+    /// Publishes a configuration whose row is padded to at least `bytes` bytes.
     pub fn configure_large(&self, parts: CatalogParts, bytes: usize) {
         let mut configs = self.configs.borrow_mut();
         configs.push(parts);
@@ -152,12 +155,12 @@
         self.rows.put("operator", "config", &row);
     }
 
-    /// Writes a target's entry.
+    /// Writes the entry of a warm target; `state` is `ready` or `draining`.
     pub fn register(&self, target: &StandinTarget, state: &str) {
         self.register_cold(target, state, Duration::ZERO);
     }
 
-    /// Writes the entry of a target that stays cold for so long.
+    /// Writes the entry of a target that stays cold for the time `warm_up`.
     pub fn register_cold(&self, target: &StandinTarget, state: &str, warm_up: Duration) {
         let StandinTarget { service, addr, zone, .. } = target;
         let mut row = format!("{service} {addr} {zone} 8 {state}");
@@ -172,7 +175,7 @@
         self.rows.put("operator", &format!("{EMPTY_ZONE_PREFIX}{zone}"), b"");
     }
 
-    /// Takes a zone back.
+    /// Revokes the order to empty a zone.
     pub fn restore_zone(&self, zone: &str) {
         self.rows.remove("operator", &format!("{EMPTY_ZONE_PREFIX}{zone}"));
     }
@@ -222,26 +225,28 @@
     fn catalog(&self, value: &[u8]) -> Result<Catalog> {
         let number = std::str::from_utf8(value).ok().and_then(|v| v.trim().parse::<usize>().ok());
         let configs = self.configs.borrow();
-        let parts = number.and_then(|n| configs.get(n)).ok_or_else(|| bad_format("config"))?;
+        let parts = number
+            .and_then(|n| configs.get(n))
+            .ok_or_else(|| bad_format("configuration row: no known number"))?;
         Ok(Catalog::build(parts.clone()))
     }
 
     fn target(&self, id: &str, value: &[u8]) -> Result<TargetInfo> {
-        let text = std::str::from_utf8(value).map_err(|_| bad_format("target"))?;
+        let text = std::str::from_utf8(value).map_err(|_| bad_format("target row: not UTF-8"))?;
         let fields: Vec<&str> = text.split(' ').collect();
         let [service, addr, zone, slots, state, ref optional @ ..] = fields[..] else {
-            return Err(bad_format("target"));
+            return Err(bad_format("target row: fewer than five fields"));
         };
         let number = |i: usize| -> Result<Option<u64>> {
-            let parse = |v: &&str| v.parse().map_err(|_| bad_format("number"));
+            let parse = |v: &&str| v.parse().map_err(|_| bad_format("target row: invalid number"));
             optional.get(i).map(parse).transpose()
         };
         Ok(TargetInfo {
             id: id.into(),
             service: service.into(),
-            addr: addr.parse().map_err(|_| bad_format("address"))?,
+            addr: addr.parse().map_err(|_| bad_format("target row: invalid address"))?,
             zone: zone.into(),
-            slots: slots.parse().map_err(|_| bad_format("slots"))?,
+            slots: slots.parse().map_err(|_| bad_format("target row: invalid slots"))?,
             state: if state == "ready" { TargetState::Ready } else { TargetState::Draining },
             warm_up: Duration::from_millis(number(1)?.unwrap_or(0)),
             born: number(0)?.map(StartedMs),
@@ -249,7 +254,7 @@
     }
 }
 
-/// Settings of a gateway for the stand-ins: everything on loopback, a short stop.
+/// Settings of a gateway for the stand-ins: all addresses on loopback, a short grace period.
 pub fn settings(instance: &str, zone: &str, front: SocketAddr) -> crate::gateway::Settings {
     crate::gateway::Settings {
         instance: instance.to_compact_string(),
@@ -277,7 +282,7 @@
     }
 }
 
-/// The name of a process at an instance.
+/// Id of a process on an instance.
 pub fn process_id(instance: &str, incarnation: u64) -> crate::allowance::ProcessId {
     crate::allowance::ProcessId { endpoint: format_compact!("{instance}/127.0.0.1"), incarnation }
 }
--- a/src/standin/gateway_host.rs
+++ b/src/standin/gateway_host.rs
@@ -1,4 +1,4 @@
-//! A gateway in this process, its tasks and all, on stand-ins.
+//! A gateway that runs in this process with all its tasks, on top of the stand-ins.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,27 +13,28 @@
 use crate::gateway::{self, Gateway};
 use crate::oplog::Log;
 
-/// Pause between two looks whether a gateway serves by now.
+/// Interval between checks whether a starting gateway is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One gateway.
+/// A running gateway.
 pub struct GatewayHost {
-    /// Where callers connect.
+    /// Address to which callers connect.
     pub front: SocketAddr,
-    /// Its state.
+    /// State of the gateway.
     pub gw: Rc<Gateway<LocalPlatform>>,
-    /// Its handle of the platform, to inject faults.
+    /// The gateway's client of the platform, for injecting faults.
     pub platform: LocalPlatform,
-    /// Its log.
+    /// Log of the gateway.
     pub log: Log,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl GatewayHost {
-    /// Starts a gateway as the process `incarnation` of `instance`, and waits until it serves.
+    /// Starts a gateway as process `incarnation` of `instance` and waits until it is ready and has
+    /// at least one target.
     ///
     /// # Errors
-    /// Those of listening.
+    /// `Io` when no port can be bound.
     pub async fn start(
         platform: &LocalPlatform,
         instance: &str,
@@ -60,12 +61,14 @@
         self.gw.is_ready() && self.gw.targets.count().1 > 0
     }
 
-    /// Stops its feed of the configuration, as a connection does that has gone silent.
+    /// Stops the gateway's feed of the configuration, like a connection on which nothing arrives
+    /// any more.
     pub fn stop_config_feed(&self) {
         self.tasks[0].abort();
     }
 
-    /// Ends it as a kill would: it admits and writes nothing any more, and no caller hears of it.
+    /// Stops the gateway like a killed process: it admits and writes nothing more, and callers get
+    /// no notice.
     pub fn kill(self) {
         self.gw.keeper.halt();
         self.tasks.iter().for_each(JoinHandle::abort);
--- a/src/standin/gateway_target.rs
+++ b/src/standin/gateway_target.rs
@@ -1,4 +1,4 @@
-//! Targets that speak the request protocol and fail as they are told.
+//! Target stand-ins that speak the request protocol and inject faults.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -18,83 +18,85 @@
 use crate::gateway::Names;
 use crate::http1::{Conn, Header, RequestHead, header};
 
-/// How long a stand-in's bytes may stay unacknowledged.
+/// Maximum time for which sent bytes may remain unacknowledged.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest request a stand-in takes, in bytes.
+/// Maximum length of a request body, in bytes.
 const MAX_BODY_LEN: u64 = 1024 * 1024;
-/// The body of a request that ends any target which runs it.
+/// Body of a request that crashes any target that runs it.
 pub const FATAL_BODY: &[u8] = b"fatal";
-/// How long after it announced the end of a connection a stand-in closes it.
+/// Delay between an answer with `Connection: close` and the close of the connection.
 const CLOSE_DELAY: Duration = Duration::from_millis(400);
-/// Tokens in one event of a stand-in's stream.
+/// Tokens in one event of a stream.
 pub const TOKENS_PER_EVENT: u64 = 2;
 
 /// What a target does with one request instead of answering it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TargetFault {
-    /// Says that it is full; does not run it.
+    /// Rejects the request because the target is full; does not run it.
     Full,
-    /// The same, with this `Retry-After`.
+    /// Like `Full`, with this `Retry-After`.
     FullRetryAfter(&'static str),
-    /// The same as `Full`, and announces the end of the connection, which it closes a moment later.
+    /// Like `Full`, and announces that the connection will be closed, which happens after a short
+    /// delay.
     FullAndCloses,
-    /// Says that another target has the address; does not run it.
+    /// Rejects the request because the address now belongs to another target; does not run it.
     OtherTarget,
-    /// Runs it and answers with a failure.
+    /// Runs the request and answers with status 500.
     Fails,
-    /// Runs it and closes the connection without an answer.
+    /// Runs the request and closes the connection without an answer.
     LosesAnswer,
-    /// Takes it and never answers.
+    /// Runs the request and never answers.
     Hangs,
-    /// Sends bytes that are no response.
+    /// Runs the request and sends bytes that are not an HTTP response.
     Garbage,
-    /// Breaks off within the body.
+    /// Runs the request and closes the connection in the middle of the body.
     CutsBody,
-    /// Answers, and then once more with another request's id.
+    /// Answers, and then sends a second response with the id of another request.
     AnswersTwice,
-    /// Breaks off within the event after so many whole ones.
+    /// Closes the connection in the middle of an event, after this many complete events.
     CutsStream(u64),
 }
 
-/// A request as a target saw it.
+/// A request that a target ran.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// The caller's id.
+    /// The caller's id of the request.
     pub id: CompactString,
     /// Path and query.
     pub target: CompactString,
-    /// All its headers.
+    /// All headers.
     pub headers: Vec<Header>,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// When it arrived.
+    /// Time of arrival.
     pub at: Instant,
 }
 
-/// A request that arrived at a target, whether it ran it or not.
+/// A request that arrived at a target, whether or not the target ran it.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The caller's id.
+    /// The caller's id of the request.
     pub id: CompactString,
-    /// When it arrived.
+    /// Time of arrival.
     pub at: Instant,
-    /// Set if it was turned away with a `Retry-After`: the seconds stated.
+    /// The `Retry-After` value in seconds, if the request was rejected with one.
     pub retry_after: Option<&'static str>,
 }
 
-/// What a cold target bears.
+/// Limits the request rate of a cold target.
 #[derive(Debug, Default)]
 struct ColdLimit {
-    /// Requests within any second; one more ends it. None while it is warm.
+    /// Maximum number of requests within any second; a further one crashes the target. `None` while
+    /// the target is warm.
     max_per_s: Option<usize>,
-    /// When requests arrived within the last second.
+    /// Arrival times of the requests of the last second.
     arrivals: VecDeque<Instant>,
-    /// The most that arrived within one second while it was cold.
+    /// Highest number of arrivals within one second while the target was cold.
     peak_per_s: usize,
 }
 
 impl ColdLimit {
-    /// A request arrives. Returns whether the target bears it.
+    /// Records the arrival of a request. Returns whether the target can handle it.
     fn admits(&mut self, now: Instant) -> bool {
         while self.arrivals.front().is_some_and(|t| *t + Duration::from_secs(1) <= now) {
             self.arrivals.pop_front();
@@ -119,27 +121,27 @@
     arrivals: Vec<Arrival>,
 }
 
-/// A target on a port of its own.
+/// A target with its own port. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct StandinTarget {
-    /// Its id.
+    /// Id of the target.
     pub id: CompactString,
-    /// Its service.
+    /// Service of the target.
     pub service: CompactString,
-    /// Its availability zone.
+    /// Availability zone of the target.
     pub zone: CompactString,
-    /// Its address.
+    /// Address of the target.
     pub addr: SocketAddr,
     names: Rc<TargetNames>,
     shared: Rc<RefCell<Shared>>,
 }
 
-/// Names of headers that a target reads and writes.
+/// Names of the headers that a target reads and writes.
 #[derive(Clone, Debug)]
 pub struct TargetNames {
-    /// Those it shares with routers.
+    /// Headers that routers use as well.
     pub headers: Names,
-    /// The header that proves whose answer it is.
+    /// Header that proves which target answered which request.
     pub seal: CompactString,
 }
 
@@ -147,16 +149,16 @@
     /// Starts a target.
     ///
     /// # Errors
-    /// Those of listening.
+    /// `Io` when no port can be bound.
     pub async fn start(id: &str, service: &str, zone: &str) -> Result<StandinTarget> {
         let names = TargetNames { headers: header_names(), seal: SEAL.into() };
         StandinTarget::start_named(id, service, zone, names).await
     }
 
-    /// Starts a target that uses other names of headers.
+    /// Starts a target with other header names.
     ///
     /// # Errors
-    /// Those of listening.
+    /// `Io` when no port can be bound.
     pub async fn start_named(
         id: &str,
         service: &str,
@@ -184,53 +186,54 @@
         Ok(target)
     }
 
-    /// The next requests meet these faults, one each.
+    /// Queues faults. Each of the next requests meets one of them.
     pub fn fail(&self, faults: &[TargetFault]) {
         self.shared.borrow_mut().faults.extend(faults);
     }
 
-    /// Pause between two events of a stream, and before a fatal request ends this target.
+    /// Sets the pause between two events of a stream. A fatal request also crashes this target
+    /// after this time.
     pub fn set_event_gap(&self, gap: Duration) {
         self.shared.borrow_mut().event_gap = gap;
     }
 
-    /// It is cold from now on and ends when more than `most` requests arrive within a second; warm
-    /// if absent.
+    /// Makes the target cold with a limit, or warm with `None`. A cold target crashes when more
+    /// than `max_per_s` requests arrive within one second.
     pub fn set_cold(&self, max_per_s: Option<usize>) {
         self.shared.borrow_mut().cold.max_per_s = max_per_s;
     }
 
-    /// The most requests that arrived within one second while it was cold.
+    /// The highest number of requests that arrived within one second while the target was cold.
     pub fn peak_while_cold(&self) -> usize {
         self.shared.borrow().cold.peak_per_s
     }
 
-    /// All its answers say that it leaves, or not any more.
+    /// Sets whether all answers announce that the target is about to stop.
     pub fn set_leaving(&self, leaving: bool) {
         self.shared.borrow_mut().announces_leaving = leaving;
     }
 
-    /// It turns every request away with this `Retry-After`; none if absent.
+    /// Rejects every request with this `Retry-After`; accepts requests again with `None`.
     pub fn set_reject_all(&self, retry_after: Option<&'static str>) {
         self.shared.borrow_mut().reject_all = retry_after;
     }
 
-    /// The requests that arrived, but for those meant for another target.
+    /// The requests that arrived, except those intended for another target.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.shared.borrow().arrivals.clone()
     }
 
-    /// The requests that it ran.
+    /// The requests that the target ran.
     pub fn runs(&self) -> Vec<ReceivedRequest> {
         self.shared.borrow().runs.clone()
     }
 
-    /// Ends as a process does that crashes: nobody listens any more, all connections break.
+    /// Stops like a crashed process: closes the port and breaks all connections.
     pub fn crash(&self) {
         self.shared.borrow().crashed.send_replace(true);
     }
 
-    /// Ends after the pause between two events, also if the connection is closed meanwhile.
+    /// Crashes after the pause between two events, even if the connection is closed before.
     fn crash_after_event_gap(&self) {
         let target = self.clone();
         spawn_local(async move {
@@ -240,28 +243,28 @@
         });
     }
 
-    /// Whether it has crashed.
+    /// Whether the target has crashed.
     pub fn has_crashed(&self) -> bool {
         *self.shared.borrow().crashed.borrow()
     }
 
-    /// Waits until it has crashed.
+    /// Waits until the target has crashed.
     pub async fn wait_for_crash(&self) {
         self.run_until_crash(std::future::pending()).await;
     }
 
-    /// Does `work` until this target ends.
+    /// Runs `work` until it completes or the target crashes.
     async fn run_until_crash(&self, work: impl Future<Output = ()>) {
         let mut crashed = self.shared.borrow().crashed.subscribe();
         tokio::select! {
             biased;
-            // The sender lives as long as this target: the channel cannot be closed.
+            // The sender lives as long as this target, so the channel cannot be closed.
             _ = crashed.wait_for(|crashed| *crashed) => (),
             () = work => (),
         }
     }
 
-    /// Requests whose connection was closed before their answer was whole.
+    /// Number of requests whose connection was closed before their answer was complete.
     pub fn closed_early(&self) -> u64 {
         self.shared.borrow().closed_early
     }
@@ -279,7 +282,7 @@
         self.run_until_crash(answer_all).await;
     }
 
-    /// Answers one request. Returns whether the connection goes on.
+    /// Answers one request. Returns whether the connection stays open.
     async fn answer(&self, conn: &mut Conn, head: &RequestHead, body: Bytes) -> bool {
         let names = &self.names.headers;
         let id: CompactString = header(&head.headers, &names.request_id).unwrap_or_default().into();
@@ -404,13 +407,14 @@
         shared.reject_all.map(TargetFault::FullRetryAfter).or_else(|| shared.faults.pop_front())
     }
 
-    /// Answers that it did not run the request, with more headers.
+    /// Answers with status 503 and the proof that the request was not run, with additional header
+    /// lines.
     async fn reject(&self, conn: &mut Conn, id: &str, headers: &str) -> bool {
         let headers = format!("{}: 1\r\n{headers}", self.names.headers.not_run);
         write(conn, &self.response(503, id, &headers, "")).await
     }
 
-    /// The header that says that it leaves, if it does.
+    /// The header line announcing that the target is about to stop, or nothing.
     fn leaving_header(&self) -> String {
         let leaving = self.shared.borrow().announces_leaving;
         if leaving { format!("{}: 1\r\n", self.names.headers.leaving) } else { String::new() }
--- a/src/standin/local.rs
+++ b/src/standin/local.rs
@@ -1,8 +1,9 @@
-//! Fakes at the interfaces of routers, without sockets: a platform, targets and links in memory,
-//! on tokio's clock. Experiments and failure tests run whole routers over them in virtual time.
+//! In-memory fakes without sockets for everything a router connects to: platform, targets and other
+//! routers. They run on tokio's clock, so that experiments and failure tests can run whole routers
+//! in virtual time.
 //!
-//! Each router has its own handles, so that one can be cut off, paused or killed: whatever it
-//! does through them fails, waits, or never comes back.
+//! Each router has its own handles. A test can partition, pause or kill a single router: the calls
+//! through its handles then fail, wait, or never return.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
@@ -25,29 +26,29 @@
 use crate::table::memory::Memory;
 use crate::table::{Instance, InstanceState, Instances, Objects, Outcome, Row, RowKey, Table, Txn};
 
-/// One way between routers, and to targets.
+/// One-way latency between routers, and from routers to targets.
 const HOP_LATENCY: Duration = Duration::from_micros(500);
-/// A call of the platform.
+/// Duration of a call of the platform.
 const PLATFORM_CALL_LATENCY: Duration = Duration::from_millis(5);
-/// Time until an unanswered call counts as failed.
+/// Time after which an unanswered call fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause between looks of a paused router's calls.
+/// Interval at which the calls of a paused router check whether it runs again.
 const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// State of a router's process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProcessState {
-    /// It runs.
+    /// Running.
     Up,
-    /// It is stopped and may go on later.
+    /// Stopped; can be resumed.
     Paused,
-    /// It is gone.
+    /// Ended for good.
     Dead,
 }
 
-/// A node over the fakes.
+/// A router's node that uses the fakes.
 pub type LocalNode = crate::router::node::Node<LocalPlatform, LocalEngine, LocalMesh>;
-/// Answers for a node over the fakes.
+/// The part of such a node that answers other routers.
 pub type LocalAnswers = PeerAnswers<LocalPlatform, LocalEngine, LocalMesh>;
 type Inbox = mpsc::UnboundedSender<(Ask, oneshot::Sender<Reply>)>;
 
@@ -71,9 +72,9 @@
     calls: Vec<(RequestKey, u64)>,
 }
 
-/// Everything between the routers.
+/// The platform, the targets and the connections between routers.
 pub struct LocalNetwork {
-    /// The platform's state.
+    /// State of the platform.
     pub memory: Memory,
     slots: Mutex<Vec<Arc<RouterSlot>>>,
     targets: Mutex<Vec<LocalTarget>>,
@@ -84,7 +85,8 @@
 }
 
 impl LocalNetwork {
-    /// A net whose targets take `step_time` for a token.
+    /// Creates a network whose targets generate one token per `step_time` and whose load reports
+    /// are `report_lag` old.
     pub fn new(step_time: Duration, report_lag: Duration) -> Arc<LocalNetwork> {
         Arc::new(LocalNetwork {
             memory: Memory::default(),
@@ -124,7 +126,7 @@
         });
     }
 
-    /// Starts the targets' engines.
+    /// Starts the engines of all targets.
     pub fn start_engines(self: &Arc<Self>) {
         let net = Arc::downgrade(self);
         let step_time = self.step_time;
@@ -141,7 +143,7 @@
         });
     }
 
-    /// Adds a router's place, and gives its handles.
+    /// Adds a router. Returns its index and its handles.
     pub fn add_router(
         self: &Arc<Self>,
         peer: &str,
@@ -159,15 +161,15 @@
         (at, LocalPlatform(handle.clone()), LocalEngine(handle.clone()), LocalMesh(handle))
     }
 
-    /// The router at a place answers from now on.
+    /// Starts answering other routers' requests to the router at an index.
     pub fn set_answers(&self, at: usize, answers: LocalAnswers) {
         let (tx, mut rx) = mpsc::unbounded_channel();
-        // A place is given to one router only.
+        // Fails only if the slot already has an inbox, but each slot belongs to one router only.
         let _ = self.slot(at).inbox.set(tx);
         tokio::spawn(async move {
             while let Some((ask, tx)) = rx.recv().await {
                 let answers = answers.clone();
-                // Who asked may have stopped waiting.
+                // The sender of the request may have stopped waiting.
                 tokio::spawn(async move { tx.send(answers.answer(ask).await) });
             }
         });
@@ -177,33 +179,33 @@
         self.slots.lock().expect("never poisoned")[at].clone()
     }
 
-    /// Kills, pauses or wakes a router.
+    /// Kills, pauses or resumes a router.
     pub fn set_process(&self, at: usize, process: ProcessState) {
         *self.slot(at).process.lock().expect("never poisoned") = process;
     }
 
-    /// State of a router.
+    /// State of a router's process.
     pub fn process(&self, at: usize) -> ProcessState {
         *self.slot(at).process.lock().expect("never poisoned")
     }
 
-    /// Cuts two zones' routers from each other.
+    /// Cuts the connections between the routers of two zones.
     pub fn cut(&self, a: &ZoneId, b: &ZoneId) {
         self.cut_zones.lock().expect("never poisoned").push((a.clone(), b.clone()));
     }
 
-    /// Cuts a zone's routers from the platform.
+    /// Cuts the connections between a zone's routers and the platform.
     pub fn cut_platform(&self, zone: &ZoneId) {
         self.cut_from_platform.lock().expect("never poisoned").push(zone.clone());
     }
 
-    /// Mends all cuts.
+    /// Restores all connections.
     pub fn reconnect(&self) {
         self.cut_zones.lock().expect("never poisoned").clear();
         self.cut_from_platform.lock().expect("never poisoned").clear();
     }
 
-    /// Changes a target's condition.
+    /// Changes the condition of a target.
     pub fn set_target(&self, name: &str, condition: TargetCondition) {
         let mut targets = self.lock_targets();
         for t in targets.iter_mut().filter(|t| t.instance.name == name) {
@@ -213,7 +215,8 @@
         }
     }
 
-    /// Runs that all targets started together, and prefix blocks found and looked for.
+    /// Number of runs started by all targets, prompt blocks found in their prefix caches, and
+    /// lookups.
     pub fn target_counts(&self) -> (u64, u64, u64) {
         let targets = self.lock_targets();
         targets.iter().fold((0, 0, 0), |(s, f, l), t| {
@@ -221,32 +224,33 @@
         })
     }
 
-    /// Runs that each target started.
+    /// Number of runs started by each target.
     pub fn started_by_target(&self) -> Vec<u64> {
         self.lock_targets().iter().map(|t| t.batch.started).collect()
     }
 
-    /// How often each plain call ran, over all targets.
+    /// Number of executions of each plain call, over all targets.
     pub fn calls(&self) -> Vec<(RequestKey, u64)> {
         self.lock_targets().iter().flat_map(|t| t.calls.clone()).collect()
     }
 
-    /// Lets go of the routers, which hold the net in turn.
+    /// Drops the routers' slots, which breaks the reference cycle between the routers and this
+    /// network.
     pub fn close(&self) {
         self.slots.lock().expect("never poisoned").clear();
     }
 }
 
-/// What can become of a target.
+/// Condition of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TargetCondition {
-    /// It works.
+    /// The target works.
     Healthy,
     /// Connections are refused.
     Dead,
-    /// Runs are taken, and nothing more is said.
+    /// Runs are accepted, but nothing is sent.
     Silent,
-    /// Plain calls run, and their answers are lost.
+    /// Plain calls run, but their answers are lost.
     LosesCallAnswers,
 }
 
@@ -257,7 +261,8 @@
 }
 
 impl RouterHandle {
-    /// A dead process never goes on; a paused one goes on when it is woken.
+    /// Returns at once for a running process, and as soon as it is resumed for a paused one. Never
+    /// returns for a dead one.
     async fn wait_until_running(&self) {
         loop {
             match self.process() {
@@ -290,7 +295,7 @@
     }
 }
 
-/// A router's way to the platform.
+/// A router's client of the platform.
 #[derive(Clone)]
 pub struct LocalPlatform(RouterHandle);
 
@@ -305,7 +310,7 @@
 
     async fn write(&self, txn: Txn) -> Result<Outcome> {
         let outcome = self.0.platform().await?.write(txn).await;
-        // A process that was stopped meanwhile does not see the answer.
+        // If the process was stopped meanwhile, it does not receive the answer.
         self.0.wait_until_running().await;
         outcome
     }
@@ -327,7 +332,7 @@
     }
 }
 
-/// A router's way to other routers.
+/// A router's connections to other routers.
 #[derive(Clone)]
 pub struct LocalMesh(RouterHandle);
 
@@ -337,7 +342,7 @@
         handle.wait_until_running().await;
         sleep(HOP_LATENCY).await;
         let slots = handle.net.slots.lock().expect("never poisoned").clone();
-        let refused = || Error::new(Kind::Io, format!("{} refuses the link", to.incarnation));
+        let refused = || Error::new(Kind::Io, format!("{} refuses the connection", to.incarnation));
         let timed_out = || Error::new(Kind::Timeout, format!("no reply from {}", to.incarnation));
         let slot = slots.iter().find(|s| s.peer == to.peer).ok_or_else(refused)?;
         let process = *slot.process.lock().expect("never poisoned");
@@ -365,7 +370,7 @@
     }
 }
 
-/// A router's way to targets.
+/// A router's client of the targets.
 #[derive(Clone)]
 pub struct LocalEngine(RouterHandle);
 
@@ -388,7 +393,7 @@
     }
 }
 
-/// The pieces of a run.
+/// The stream of a run's answer.
 pub struct LocalParts {
     engine: LocalEngine,
     addr: CompactString,
@@ -398,11 +403,12 @@
 }
 
 impl LocalParts {
-    /// The next piece that is there; `None` inside: not yet.
+    /// Returns the next piece of the answer, `Some(None)` if there is none yet, or `None` at the
+    /// end of the stream.
     fn poll(&mut self) -> Result<Option<Option<Piece>>> {
         let targets = self.engine.0.net.lock_targets();
         let found = targets.iter().find(|t| t.instance.addr == self.addr && !t.dead);
-        let unreachable = || Error::new(Kind::TargetFailed, "the target went away");
+        let unreachable = || Error::new(Kind::TargetFailed, "the target does not run any more");
         let target = found.ok_or_else(unreachable)?;
         if target.silent {
             return Ok(Some(None));
--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -1,4 +1,4 @@
-//! Whole routers over in-memory fakes, in virtual time.
+//! Fleets of whole routers on top of the in-memory fakes, in virtual time.
 
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
@@ -29,30 +29,30 @@
 use crate::router::drive::{Job, open_run};
 use crate::router::drive_call::{CallJob, open_call};
 
-/// What a fleet is made of.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSetup {
-    /// Zones; each gets a target and a router count.
+    /// The zones. Each has the same number of routers and targets.
     pub zones: Vec<ZoneId>,
-    /// Routers in each zone.
+    /// Number of routers in each zone.
     pub routers: usize,
-    /// Targets in each zone.
+    /// Number of targets in each zone.
     pub targets: usize,
-    /// Places in a target's batch.
+    /// Maximum number of runs in a target's batch.
     pub slots: usize,
-    /// Time of one token.
+    /// Time to generate one token.
     pub step_time: Duration,
-    /// Age of load reports.
+    /// Age of the targets' load reports.
     pub report_lag: Duration,
-    /// What targets serve.
+    /// Models and plain services of each target.
     pub serves: Vec<String>,
     /// Overrides the sizing of grants.
     pub sizing: Option<Sizing>,
-    /// Whether routers borrow.
+    /// Whether routers borrow tokens from each other.
     pub lending: bool,
-    /// How targets are chosen.
+    /// Policy for choosing targets.
     pub policy: Policy,
-    /// The configuration.
+    /// Text of the configuration.
     pub config: String,
 }
 
@@ -75,40 +75,41 @@
     }
 }
 
-/// A router's place in the fleet.
+/// A router of a fleet.
 pub struct FleetMember {
-    /// Its place in the net.
+    /// Index of the router in the network.
     pub at: usize,
-    /// Its state.
+    /// State of the router.
     pub node: Arc<LocalNode>,
-    /// Its zone.
+    /// Zone of the router.
     pub zone: ZoneId,
     tasks: JoinSet<()>,
 }
 
 /// Routers, targets and a platform.
 pub struct LocalFleet {
-    /// Everything between them.
+    /// The network with the targets and the platform.
     pub net: Arc<LocalNetwork>,
-    /// The routers, dead ones too.
+    /// All routers, including dead ones.
     pub members: Vec<FleetMember>,
-    /// Time.
+    /// Clock of all routers.
     pub clock: Clock,
     setup: FleetSetup,
     operator: Arc<tokio::sync::Mutex<Follower>>,
     operator_config: Arc<RwLock<Config>>,
 }
 
-/// Time for a caller's attempt at one router.
+/// Maximum time that a caller waits for an answer from one router.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(120);
-/// Silence of a dead router after which a caller goes to the next.
-const DEAD_ROUTER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval at which a waiting caller checks whether its router has died, in which case it goes on
+/// to the next one. Also the pause between two passes over all routers.
+const ROUTER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 impl LocalFleet {
-    /// Starts a fleet and waits until it can serve.
+    /// Starts a fleet and waits until it can serve requests.
     ///
     /// # Errors
-    /// `BadConfig` for the configuration.
+    /// `BadConfig` if the configuration is invalid.
     pub async fn start(setup: FleetSetup) -> Result<LocalFleet> {
         let net = LocalNetwork::new(setup.step_time, setup.report_lag);
         let size = EngineSize { slots: setup.slots, cache_blocks: 2_048 };
@@ -139,7 +140,8 @@
         Ok(fleet)
     }
 
-    /// Waits until every living router is ready, sees all others and has a witness.
+    /// Waits until every running router is ready and sees all others, and one more second, in which
+    /// each gets a witness.
     pub async fn wait_until_settled(&self) {
         let up = || self.members.iter().filter(|p| self.net.process(p.at) == ProcessState::Up);
         let n = up().count();
@@ -149,7 +151,7 @@
         sleep(Duration::from_millis(1_000)).await;
     }
 
-    /// Adds a router in a zone.
+    /// Adds a router in a zone. Returns its index in `members`.
     pub async fn add_router(&mut self, zone: &ZoneId) -> usize {
         let n = self.members.len();
         let peer = format_compact!("peer-{n}");
@@ -176,25 +178,25 @@
         n
     }
 
-    /// Kills a router: its handles never come back to it.
+    /// Kills a router. Calls through its handles never return.
     pub fn kill(&mut self, n: usize) {
         self.net.set_process(self.members[n].at, ProcessState::Dead);
         self.members[n].tasks.abort_all();
     }
 
-    /// Routers that are up.
+    /// Indexes of the running routers in `members`.
     pub fn up(&self) -> Vec<usize> {
         (0..self.members.len())
             .filter(|n| self.net.process(self.members[*n].at) == ProcessState::Up)
             .collect()
     }
 
-    /// The configuration as its operator knows it.
+    /// The operator's copy of the configuration.
     pub fn config(&self) -> Config {
         self.operator_config.read().expect("never poisoned").clone()
     }
 
-    /// Hands in edits as an operator.
+    /// Submits edits as the operator.
     ///
     /// # Errors
     /// As [`submit`].
@@ -206,7 +208,7 @@
         submit(&self.net.memory, &mut follower, &self.operator_config, &submission).await
     }
 
-    /// Hands in the text of edited sections.
+    /// Submits the text of edited sections as the operator.
     ///
     /// # Errors
     /// As [`submit`].
@@ -214,13 +216,14 @@
         self.submit(parse_edits(text)).await
     }
 
-    /// A caller that does not depend on the fleet staying as it is.
+    /// A caller with its own list of the current routers, which stays usable when the fleet
+    /// changes.
     pub fn caller(&self) -> LocalCaller {
         let routers = self.members.iter().map(|p| (p.at, p.node.clone())).collect();
         LocalCaller { net: self.net.clone(), routers, reachable_zone: None, random_start: true }
     }
 
-    /// Ends everything.
+    /// Kills all routers and closes the network.
     pub fn close(&mut self) {
         (0..self.members.len()).for_each(|n| self.kill(n));
         self.net.close();
@@ -232,42 +235,43 @@
 pub struct LocalCaller {
     net: Arc<LocalNetwork>,
     routers: Vec<(usize, Arc<LocalNode>)>,
-    /// The caller can reach only this zone's routers.
+    /// The only zone whose routers the caller can reach; all zones if absent.
     pub reachable_zone: Option<ZoneId>,
-    /// The caller starts at any of the routers named to it.
+    /// Whether the caller starts at a random router of an entry answer instead of the first one.
     pub random_start: bool,
 }
 
 /// A model request.
 #[derive(Clone, Debug)]
 pub struct LocalRequest {
-    /// Who asks.
+    /// Organisation that sends the request.
     pub organisation: OrganisationId,
-    /// Under which key.
+    /// Idempotency key of the request.
     pub key: RequestKey,
-    /// What.
+    /// Prompt.
     pub prompt: String,
-    /// Answer tokens at most.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u64,
 }
 
-/// A whole answer as a caller got it.
+/// A complete answer as a caller receives it.
 #[derive(Clone, Debug)]
 pub struct LocalAnswer {
-    /// What it cost.
+    /// Tokens used.
     pub usage: RunUsage,
-    /// Its text.
+    /// Text of the answer.
     pub text: String,
     /// Time to the first token.
     pub first: Duration,
-    /// Time of the whole.
+    /// Time to the end of the answer.
     pub total: Duration,
-    /// Routers asked.
+    /// Number of attempts, over all routers.
     pub attempts: usize,
 }
 
 impl LocalCaller {
-    /// Routers to try, best first, as an entry answer would give them; and all others after.
+    /// Indexes of the routers to try: first those of an entry answer for the organisation, then all
+    /// others.
     pub fn routers_to_try(&self, organisation: &OrganisationId) -> Vec<usize> {
         let mut out = Vec::new();
         for (at, node) in &self.routers {
@@ -292,10 +296,10 @@
         out
     }
 
-    /// What a request may cost at most.
+    /// The job for a request, with its maximum cost, and the budget that pays for it.
     ///
     /// # Errors
-    /// `NotFound` for a service that is not there.
+    /// `NotFound` if the service or the organisation does not exist.
     pub fn job(
         &self,
         node: &LocalNode,
@@ -325,7 +329,7 @@
     /// Sends a request to one router.
     ///
     /// # Errors
-    /// The refusal; `Io` when the router dies.
+    /// The router's refusal, or `Io` if the router dies.
     pub async fn send_to(
         &self,
         i: usize,
@@ -364,7 +368,7 @@
     fn reachable(&self, at: usize) -> Result<()> {
         match self.net.process(at) {
             ProcessState::Up => Ok(()),
-            _ => Err(Error::new(Kind::Io, "the router does not answer")),
+            _ => Err(Error::new(Kind::Io, "the router is not running")),
         }
     }
 
@@ -380,16 +384,17 @@
                 return Ok(end);
             }
             self.reachable(at)?;
-            // A change, or a look whether the router still lives.
-            let _ = timeout(DEAD_ROUTER_TIMEOUT, rx.changed()).await;
+            // Wakes up on a change of the run, or after the timeout to check the router.
+            let _ = timeout(ROUTER_CHECK_INTERVAL, rx.changed()).await;
         }
-        Err(Error::new(Kind::Timeout, "no end in time"))
+        Err(Error::new(Kind::Timeout, "the request did not end in time"))
     }
 
-    /// Sends a request to the routers in turn, under the same key, until one answers for good.
+    /// Sends a request with the same key to one router after the other, until one answers or
+    /// refuses in a way that must not be retried.
     ///
     /// # Errors
-    /// The last refusal.
+    /// The last error.
     pub async fn send(
         &self,
         service: &str,
@@ -412,7 +417,7 @@
                     return Err(last);
                 }
             }
-            sleep(DEAD_ROUTER_TIMEOUT).await;
+            sleep(ROUTER_CHECK_INTERVAL).await;
         }
         Err(last)
     }
@@ -420,7 +425,7 @@
     /// Calls a plain service at one router.
     ///
     /// # Errors
-    /// The refusal; `Io` when the router dies.
+    /// The router's refusal, or `Io` if the router dies.
     pub async fn call_at(
         &self,
         i: usize,
@@ -459,5 +464,5 @@
     }
 }
 
-/// Routers that one caller tries for one request.
+/// Maximum number of attempts of a caller for one request.
 const MAX_ATTEMPTS: usize = 6;
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for the platform and for targets, speaking real HTTP on loopback. They can be told
-//! to fail on their admin paths.
+//! In-process substitutes for the platform, the targets and whole fleets, for tests, experiments
+//! and demos. Those that speak HTTP listen on loopback; some inject faults on request through admin
+//! paths.
 
 pub mod batch;
 pub mod fleet;
@@ -20,17 +21,17 @@
 
 use crate::error::Result;
 
-/// A running server. Dropping the handle does not stop it.
+/// A running HTTP server. Dropping the handle does not stop it.
 #[derive(Debug)]
 pub struct HttpServer {
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
 impl HttpServer {
-    /// Serves `app` on `addr`; port 0 takes any.
+    /// Serves `app` on `addr`. With port 0, the system chooses the port.
     ///
     /// # Errors
     /// `Io` when the address cannot be bound.
@@ -38,7 +39,7 @@
         HttpServer::start_on(std::net::TcpListener::bind(addr)?, app)
     }
 
-    /// Serves `app` on a listener.
+    /// Serves `app` on a listener that is already bound.
     ///
     /// # Errors
     /// `Io` when the listener cannot be used.
@@ -48,12 +49,13 @@
         let addr = listener.local_addr()?;
         let (stop, mut stopped) = watch::channel(false);
         let stop_signal = async move {
-            // A dropped sender means that nobody will ever stop the server this way.
+            // If the sender was dropped, no stop can be requested any more, so the server keeps
+            // running.
             if stopped.wait_for(|s| *s).await.is_err() {
                 std::future::pending::<()>().await;
             }
         };
-        // Answers are small pieces: each has to leave at once.
+        // Answers are sent in small pieces that must not be delayed by Nagle's algorithm.
         let listener = listener.tap_io(|stream| {
             if let Err(e) = stream.set_nodelay(true) {
                 log::debug!("server=no_nodelay error={e:?}");
@@ -68,14 +70,14 @@
         Ok(HttpServer { addr, stop, task })
     }
 
-    /// Stops at once, as a crash does.
+    /// Stops at once, like a crash.
     pub fn kill(&self) {
         self.task.abort();
     }
 
-    /// Takes no new connection, finishes what runs.
+    /// Accepts no new connections and waits for the requests in flight.
     pub async fn stop(self) {
-        // A server that is gone needs no stop.
+        // Fails only if the server has already ended.
         let _ = self.stop.send(true);
         let _ = self.task.await;
     }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in: table, object store and instance list over HTTP.
+//! Platform stand-in: row table, object store and instance list over HTTP.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -16,29 +16,29 @@
 use crate::table::memory::{Faults, Memory};
 use crate::table::{Instance, Instances, Objects, RowKey, Table, Txn};
 
-/// How the stand-in misbehaves; the body of `POST /admin/faults`.
+/// Faults to inject; the body of `POST /admin/faults`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Everything fails.
+    /// Every call fails.
     pub away: bool,
-    /// Added to every call, in milliseconds.
+    /// Added to the duration of every call, in milliseconds.
     pub slow_ms: u64,
-    /// Next writes that take effect and whose answer is lost.
+    /// Number of writes, from the next one on, that take effect but whose answer is lost.
     pub lose_answers: u32,
-    /// Reads answer from before this many writes.
+    /// Number of writes by which reads are stale.
     pub stale_writes: usize,
 }
 
-/// Limits of the stand-in.
+/// Rate limits and delays of the stand-in.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlatformLimits {
-    /// Transactions a second.
+    /// Transactions per second.
     pub writes_per_s: u32,
-    /// Reads a second.
+    /// Reads per second.
     pub reads_per_s: u32,
-    /// Age of the instance list.
+    /// Time until a change is visible in the instance list.
     pub list_lag: Duration,
 }
 
@@ -48,14 +48,14 @@
     }
 }
 
-/// Lets calls through at a steady rate; the rest wait their turn.
+/// Delays calls to keep a steady rate.
 #[derive(Debug)]
 struct RateLimiter {
     gap: Duration,
     next: Mutex<Instant>,
 }
 
-/// Calls that may pass at once after an idle time.
+/// Maximum number of calls that pass without delay after an idle period.
 const BURST_CALLS: u32 = 50;
 
 impl RateLimiter {
@@ -106,7 +106,7 @@
     }
 }
 
-/// The stand-in's HTTP service over `memory`.
+/// The stand-in's HTTP service on top of `memory`.
 pub fn platform_app(memory: Memory, limits: PlatformLimits) -> axum::Router {
     let state = PlatformState {
         memory,
@@ -170,7 +170,7 @@
     Ok(StatusCode::OK.into_response())
 }
 
-/// The list as it was `lag` ago.
+/// Returns the instance list as of `list_delay` ago.
 async fn list(State(app): App) -> ApiResult {
     app.delay().await;
     let newest = app.memory.list().await?;
--- a/src/standin/target.rs
+++ b/src/standin/target.rs
@@ -1,4 +1,4 @@
-//! The target stand-in: a model engine and plain services over HTTP.
+//! Target stand-in: a model engine and plain services over HTTP.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -21,43 +21,43 @@
 use crate::engine::{LoadReport, Order, Part, Piece, ServiceAnswer, ServiceCall, StartRun};
 use crate::ids::{RequestKey, RunId};
 
-/// How the stand-in misbehaves; the body of `POST /admin/faults`.
+/// Faults to inject; the body of `POST /admin/faults`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetFaults {
-    /// New runs are answered 503.
+    /// Rejects new runs and calls with status 503.
     pub refuse: bool,
-    /// Runs are taken, and nothing more is said.
+    /// Accepts runs but sends nothing.
     pub silent: bool,
-    /// Streams are cut after this many tokens.
+    /// Ends streams after this many tokens.
     pub cut_after: Option<u64>,
-    /// Every token is sent twice.
+    /// Sends every token twice.
     pub repeat_tokens: bool,
-    /// Every third token is preceded by one of another run.
+    /// Sends a token of another run before every third token.
     pub cross_runs: bool,
-    /// Resumed streams start one token late.
+    /// Starts resumed streams one token late.
     pub skip_on_resume: bool,
-    /// The answer of a plain call is lost after it ran.
+    /// Runs plain calls but loses their answers.
     pub lose_call_answers: bool,
-    /// It says that it leaves.
+    /// Announces in load reports that the target is about to stop.
     pub leaving: bool,
-    /// Old fencing numbers are taken all the same.
+    /// Accepts orders with outdated fencing tokens.
     pub ignore_fence: bool,
-    /// Added to each step, in milliseconds.
+    /// Added to the duration of each step, in milliseconds.
     pub slow_ms: u64,
 }
 
-/// What a stand-in is.
+/// Configuration of a stand-in.
 #[derive(Clone, Debug)]
 pub struct TargetSetup {
-    /// Models and plain services at the start.
+    /// Models and plain services that are loaded at the start.
     pub serves: Vec<CompactString>,
-    /// Engine size.
+    /// Capacity of the engine.
     pub size: EngineSize,
-    /// Time of one step, which gives each run in the batch a token.
+    /// Duration of one step, which generates one token for each run in the batch.
     pub step_time: Duration,
-    /// Age of load reports.
+    /// Age of the load reports.
     pub report_lag: Duration,
     /// Time to load a model.
     pub load_time: Duration,
@@ -88,7 +88,7 @@
     leaving_since: Option<Instant>,
 }
 
-/// A running stand-in, for those who start it in their own process.
+/// A running stand-in. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Target {
     setup: Arc<TargetSetup>,
@@ -97,7 +97,7 @@
 }
 
 impl Target {
-    /// A target with its engine stepping.
+    /// Starts a target and its engine.
     pub fn start(setup: TargetSetup) -> Target {
         let state = EngineState {
             batch: BatchEngine::new(setup.size),
@@ -120,7 +120,7 @@
         self.state.lock().expect("no code panics while it holds the target")
     }
 
-    /// Changes how it misbehaves.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: TargetFaults) {
         let mut state = self.lock();
         if faults.leaving && !state.faults.leaving {
@@ -129,17 +129,17 @@
         state.faults = faults;
     }
 
-    /// How often each plain call ran, by the caller's key.
+    /// Number of executions of each plain call, by the caller's key.
     pub fn calls(&self) -> Vec<(RequestKey, u64)> {
         self.lock().calls.clone()
     }
 
-    /// Runs that were started.
+    /// Number of runs started.
     pub fn started(&self) -> u64 {
         self.lock().batch.started
     }
 
-    /// Prompt blocks found in the prefix cache, and looked for.
+    /// Number of prompt blocks found in the prefix cache, and number of lookups.
     pub fn cache_hits(&self) -> (u64, u64) {
         self.lock().batch.block_hits
     }
@@ -166,7 +166,8 @@
         }
     }
 
-    /// The load as it was some time ago; its own leaving is told at once.
+    /// The load as of `report_lag` ago. The announcement to leave, the services and the fencing
+    /// token are current.
     fn report(&self) -> LoadReport {
         let mut state = self.lock();
         let now = Instant::now();
@@ -195,7 +196,7 @@
             .with_state(self.clone())
     }
 
-    /// The pieces of a run from a token on, as lines.
+    /// The answer of a run from token `from` on, as a stream of JSON lines.
     fn lines(&self, run: RunId, from: u64) -> Body {
         let state = (self.clone(), self.steps.subscribe(), run, from, false);
         let lines = stream::unfold(state, |(target, mut steps, run, at, over)| async move {
@@ -216,8 +217,9 @@
         Body::from_stream(lines)
     }
 
-    /// New lines from `at` on, the next index, and whether the run is over. `None` outside: the
-    /// stream is cut. `None` state: nothing new yet.
+    /// Returns the new lines from token `at` on, the next token's index, and whether the run is
+    /// over. Returns `None` if the stream is cut or the run is unknown, and `Some(None)` if there
+    /// is nothing new yet.
     #[allow(clippy::type_complexity)]
     fn next_lines(&self, run: &RunId, at: u64) -> Option<Option<(String, u64, bool)>> {
         let state = self.lock();
@@ -275,7 +277,7 @@
     target.lines(req.run, req.so_far.len() as u64).into_response()
 }
 
-/// After this time a leaving target must get nothing new; what comes all the same is counted.
+/// Time after the announcement to leave from which new runs are counted as late.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
 #[derive(Debug)]
