--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Connections from callers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,20 +8,20 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
-use super::forward::{Job, label};
+use super::forward::{Job, route_kind_label};
 use super::refusal::{RejectedRequest, RouterResponse};
-use super::relay::{Relayed, relay, write_own};
-use super::request::Facts;
+use super::relay::{RelayOutcome, relay, write_router_response};
+use super::request::RequestMeta;
 use super::state::{Gateway, Phase, Platform};
-use super::stats::ended;
+use super::stats::count_request_end;
 use crate::http1::{Conn, HeadError, RequestHead};
 
-/// How long bytes sent to a caller may stay unacknowledged.
-const SILENCE: Duration = Duration::from_secs(4);
-/// Time for a request body to arrive when the caller states none.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// How long bytes sent to a caller may stay unacknowledged before its connection counts as broken.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time limit for a request body if the caller states no time limit of its own.
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Takes connections until the planned stop no longer allows it.
+/// Accepts connections until a planned stop reaches [`Phase::Finishing`].
 pub async fn accept<P: Platform>(gw: Rc<Gateway<P>>, listener: TcpListener) {
     let mut phase = gw.phase.subscribe();
     loop {
@@ -30,13 +30,14 @@
             _ = phase.wait_for(|p| *p == Phase::Finishing) => return,
         };
         match accepted {
-            Ok((io, _)) if gw.connections.get() < gw.settings.max_connections => {
-                tokio::task::spawn_local(serve(gw.clone(), io));
+            Ok((io, _)) if gw.open_connections.get() < gw.settings.max_connections => {
+                tokio::task::spawn_local(serve_connection(gw.clone(), io));
             }
-            // Closing at once lets the caller go elsewhere; waiting would hold it up.
-            Ok(_) => gw
-                .log
-                .note("accept", format_args!("outcome=too_many open={}", gw.connections.get())),
+            // Closing at once lets the caller try another router; making it wait would delay it.
+            Ok(_) => gw.log.note(
+                "accept",
+                format_args!("outcome=too_many open={}", gw.open_connections.get()),
+            ),
             Err(e) => {
                 gw.log.note("accept", format_args!("outcome=failed error={e}"));
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -45,49 +46,50 @@
     }
 }
 
-/// Counts a connection or a request while it lives.
-struct Counted<'a, P: Platform>(&'a Gateway<P>, Kind);
+/// Guard that counts an open connection or an active request until it is dropped.
+struct CountGuard<'a, P: Platform>(&'a Gateway<P>, Kind);
 
 enum Kind {
     Connection,
+    /// A request with this many bytes of body.
     Request(u64),
 }
 
-impl<'a, P: Platform> Counted<'a, P> {
-    fn connection(gw: &'a Gateway<P>) -> Counted<'a, P> {
-        gw.connections.set(gw.connections.get() + 1);
-        Counted(gw, Kind::Connection)
+impl<'a, P: Platform> CountGuard<'a, P> {
+    fn connection(gw: &'a Gateway<P>) -> CountGuard<'a, P> {
+        gw.open_connections.set(gw.open_connections.get() + 1);
+        CountGuard(gw, Kind::Connection)
     }
 
-    fn request(gw: &'a Gateway<P>, bytes: u64) -> Counted<'a, P> {
-        gw.taken.set(gw.taken.get().saturating_add(1));
-        gw.active.set(gw.active.get() + 1);
+    fn request(gw: &'a Gateway<P>, bytes: u64) -> CountGuard<'a, P> {
+        gw.requests_since_sample.set(gw.requests_since_sample.get().saturating_add(1));
+        gw.active_requests.set(gw.active_requests.get() + 1);
         gw.body_bytes.set(gw.body_bytes.get() + bytes);
-        Counted(gw, Kind::Request(bytes))
+        CountGuard(gw, Kind::Request(bytes))
     }
 }
 
-impl<P: Platform> Drop for Counted<'_, P> {
+impl<P: Platform> Drop for CountGuard<'_, P> {
     fn drop(&mut self) {
         let gw = self.0;
         match self.1 {
-            Kind::Connection => gw.connections.set(gw.connections.get() - 1),
+            Kind::Connection => gw.open_connections.set(gw.open_connections.get() - 1),
             Kind::Request(bytes) => {
-                gw.active.set(gw.active.get() - 1);
+                gw.active_requests.set(gw.active_requests.get() - 1);
                 gw.body_bytes.set(gw.body_bytes.get() - bytes);
-                if gw.active.get() == 0 {
-                    gw.idle.notify_waiters();
+                if gw.active_requests.get() == 0 {
+                    gw.no_active_requests.notify_waiters();
                 }
             }
         }
     }
 }
 
-async fn serve<P: Platform>(gw: Rc<Gateway<P>>, io: TcpStream) {
-    let _counted = Counted::connection(&gw);
+async fn serve_connection<P: Platform>(gw: Rc<Gateway<P>>, io: TcpStream) {
+    let _counted = CountGuard::connection(&gw);
     gw.stats.accepted.inc();
     let accepted = Instant::now();
-    let Ok(mut conn) = Conn::new(io, SILENCE) else { return };
+    let Ok(mut conn) = Conn::new(io, UNACKED_TIMEOUT) else { return };
     let mut phase = gw.phase.subscribe();
     let mut requests = 0;
     let mut first_ms = None;
@@ -95,7 +97,7 @@
         let started = Instant::now();
         requests += 1;
         first_ms.get_or_insert((started - accepted).as_millis());
-        if !exchange(&gw, &mut conn, &head, started).await {
+        if !serve_request(&gw, &mut conn, &head, started).await {
             break;
         }
     }
@@ -106,7 +108,7 @@
     );
 }
 
-/// The next request on a connection; `None` once it is to be closed.
+/// Reads the next request head; `None` if the connection is to be closed.
 async fn next_request<P: Platform>(
     gw: &Gateway<P>,
     conn: &mut Conn,
@@ -115,7 +117,7 @@
     let limits = gw.limits();
     let more = tokio::select! {
         biased;
-        more = timeout(limits.idle_time, conn.has_more()) => more,
+        more = timeout(limits.idle_time, conn.wait_for_data()) => more,
         _ = phase.wait_for(|p| *p == Phase::Finishing) => return None,
     };
     if !matches!(more, Ok(Ok(true))) {
@@ -124,22 +126,25 @@
     let response = match timeout(limits.head_time, conn.read_request(limits.head_bytes)).await {
         Ok(Ok(head)) => return Some(head),
         Ok(Err(HeadError::Closed | HeadError::Broken(_))) => return None,
-        Ok(Err(HeadError::Bad(_))) => RouterResponse::new(400, "malformed_request"),
+        Ok(Err(HeadError::Invalid(_))) => RouterResponse::new(400, "malformed_request"),
         Ok(Err(HeadError::TooLong)) => RouterResponse::new(431, "head_too_long"),
         Err(_) => RouterResponse::new(408, "head_too_slow"),
     };
     gw.log.note("refused", format_args!("status={} reason={}", response.status, response.reason));
-    // The connection is closed either way.
-    let _ = write_own(conn, &response, false).await;
+    // A failed write needs no handling: the connection is closed either way.
+    let _ = write_router_response(conn, &response, false).await;
     None
 }
 
-/// Reads a request's body.
+/// Reads the body of a request.
+///
+/// # Errors
+/// The response that refuses the request, or `None` if the connection broke.
 async fn read_body<P: Platform>(
     gw: &Gateway<P>,
     conn: &mut Conn,
     head: &RequestHead,
-    facts: &Facts,
+    meta: &RequestMeta,
 ) -> Result<Bytes, Option<RouterResponse>> {
     if head.body.is_done() {
         return Ok(Bytes::new());
@@ -153,10 +158,10 @@
         let soon = Duration::from_millis(300);
         return Err(Some(RouterResponse::refusal("no_memory_for_body", soon)));
     }
-    if head.expects_continue && conn.is_drained() {
+    if head.expects_continue && conn.is_buffer_empty() {
         conn.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(|_| None)?;
     }
-    let time = facts.time_left.unwrap_or(BODY_TIME);
+    let time = meta.time_left.unwrap_or(DEFAULT_BODY_TIMEOUT);
     match timeout(time, conn.read_body(head.body, max)).await {
         Ok(Ok(Some(body))) => Ok(body),
         Ok(Ok(None)) => Err(Some(RouterResponse::new(413, "body_too_long"))),
@@ -168,15 +173,15 @@
     }
 }
 
-/// Serves one request. Returns whether the connection can take another.
-async fn exchange<P: Platform>(
+/// Serves one request. Returns whether the connection can be reused.
+async fn serve_request<P: Platform>(
     gw: &Rc<Gateway<P>>,
     conn: &mut Conn,
     head: &RequestHead,
     started: Instant,
 ) -> bool {
-    let facts = Facts::read(gw.platform.names(), &head.headers);
-    let body = match read_body(gw, conn, head, &facts).await {
+    let meta = RequestMeta::read(gw.platform.header_names(), &head.headers);
+    let body = match read_body(gw, conn, head, &meta).await {
         Ok(body) => body,
         Err(response) => {
             if let Some(response) = response {
@@ -184,66 +189,67 @@
                     "refused",
                     format_args!(
                         "id={} status={} reason={}",
-                        facts.id, response.status, response.reason
+                        meta.id, response.status, response.reason
                     ),
                 );
-                // The rest of the body is still on its way: the connection is closed.
-                let _ = write_own(conn, &response, false).await;
+                // The unread rest of the body makes the connection unusable, so it is closed.
+                let _ = write_router_response(conn, &response, false).await;
             }
             return false;
         }
     };
-    let _counted = Counted::request(gw, body.len() as u64);
-    let id = facts.id.clone();
+    let _counted = CountGuard::request(gw, body.len() as u64);
+    let id = meta.id.clone();
     let admitted = tokio::select! {
         biased;
-        admitted = Job::admit(gw, head, body, facts, started) => admitted,
-        () = conn.closed() => {
-            note_left(gw, &id, started, false);
+        admitted = Job::admit(gw, head, body, meta, started) => admitted,
+        () = conn.wait_closed() => {
+            log_caller_left(gw, &id, started, false);
             return false;
         }
     };
     let mut job = match admitted {
         Ok(job) => job,
         Err(unadmitted) => {
-            ended(&gw.stats, "unplaced", unadmitted.response.reason);
-            return refuse(gw, conn, head, &id, &unadmitted, started).await;
+            count_request_end(&gw.stats, "unplaced", unadmitted.response.reason);
+            return write_refusal(gw, conn, head, &id, &unadmitted, started).await;
         }
     };
-    let kind = label(job.route.kind);
+    let kind = route_kind_label(job.route.kind);
     let obtained = tokio::select! {
         biased;
-        obtained = job.obtain(None) => obtained,
-        () = conn.closed() => {
-            ended(&gw.stats, kind, "caller_left");
-            note_left(gw, &id, started, job.may_have_run.get());
+        obtained = job.fetch_reply(None) => obtained,
+        () = conn.wait_closed() => {
+            count_request_end(&gw.stats, kind, "caller_left");
+            log_caller_left(gw, &id, started, job.may_have_run.get());
             job.caller_disconnected();
             return false;
         }
     };
     match obtained {
         Ok(reply) => {
-            let (status, target) = (reply.head.status, reply.flight.backend().id());
-            let (relayed, keep) = relay(&mut job, conn, reply).await;
-            conclude(&job, relayed, status, &target);
-            keep
+            let (status, target) = (reply.head.status, reply.in_flight.backend().id());
+            let (relayed, keep_alive) = relay(&mut job, conn, reply).await;
+            record_end(&job, relayed, status, &target);
+            keep_alive
         }
         Err(response) => {
-            ended(&gw.stats, kind, response.reason);
+            count_request_end(&gw.stats, kind, response.reason);
             let (route, org) = (Some(job.route.name.clone()), job.org.clone());
-            refuse(gw, conn, head, &id, &RejectedRequest { response, route, org }, started).await
+            write_refusal(gw, conn, head, &id, &RejectedRequest { response, route, org }, started)
+                .await
         }
     }
 }
 
-/// Notes that a caller left before its answer began.
-fn note_left<P: Platform>(gw: &Gateway<P>, id: &str, started: Instant, sent: bool) {
+/// Logs that a caller disconnected before its answer began.
+fn log_caller_left<P: Platform>(gw: &Gateway<P>, id: &str, started: Instant, sent: bool) {
     gw.stats.left.inc();
     let ms = started.elapsed().as_millis();
     gw.log.routine("left", format_args!("id={id} at_ms={ms} sent={sent}"));
 }
 
-async fn refuse<P: Platform>(
+async fn write_refusal<P: Platform>(
     gw: &Gateway<P>,
     conn: &mut Conn,
     head: &RequestHead,
@@ -253,7 +259,7 @@
 ) -> bool {
     let RejectedRequest { response, route, org } = refused;
     let (route, org) = (route.as_deref().unwrap_or("-"), org.as_deref().unwrap_or("-"));
-    let keep = head.keep && *gw.phase.borrow() == Phase::Up;
+    let keep_alive = head.keep_alive && *gw.phase.borrow() == Phase::Up;
     let ms = started.elapsed().as_millis();
     let after = response.retry_after.map(|d| d.as_millis());
     gw.log.note(
@@ -263,39 +269,39 @@
             response.status, response.reason
         ),
     );
-    write_own(conn, response, keep).await.is_ok() && keep
+    write_router_response(conn, response, keep_alive).await.is_ok() && keep_alive
 }
 
-fn conclude<P: Platform>(job: &Job<'_, P>, relayed: Relayed, status: u16, target: &str) {
+fn record_end<P: Platform>(job: &Job<'_, P>, relayed: RelayOutcome, status: u16, target: &str) {
     let gw = job.gw;
     let outcome = match relayed {
-        Relayed::Whole if status < 400 => "answered",
-        Relayed::Whole => "target_failure",
-        Relayed::CallerLeft => "caller_left",
-        Relayed::Broken => "broken",
-        Relayed::TimedOut => "timed_out",
+        RelayOutcome::Complete if status < 400 => "answered",
+        RelayOutcome::Complete => "target_failure",
+        RelayOutcome::CallerLeft => "caller_left",
+        RelayOutcome::Interrupted => "broken",
+        RelayOutcome::TimedOut => "timed_out",
     };
     match outcome {
         "answered" => job.record_completion(),
         "caller_left" => job.caller_disconnected(),
         _ => (),
     }
-    ended(&gw.stats, label(job.route.kind), outcome);
+    count_request_end(&gw.stats, route_kind_label(job.route.kind), outcome);
     let took = job.started.elapsed();
     gw.stats.answer.observe(took.as_secs_f64());
-    let cost = job.hold.as_ref().map_or(0, |h| h.spent().0);
+    let cost = job.reservation.as_ref().map_or(0, |h| h.spent().0);
     gw.stats.tokens.inc_by(cost);
     let fields = format_args!(
         "id={} route={} org={} target={target} status={status} outcome={outcome} config={} runs={} sends={} tokens={cost} ms={}",
-        job.facts.id,
+        job.meta.id,
         job.route.name,
         job.org.as_deref().unwrap_or("-"),
         job.catalog.version,
-        job.made.runs,
-        job.made.sends,
+        job.send_counts.runs,
+        job.send_counts.sends,
         took.as_millis(),
     );
-    if relayed == Relayed::Whole {
+    if relayed == RelayOutcome::Complete {
         gw.log.routine("done", fields);
     } else {
         gw.log.note("cut", fields);
--- a/src/gateway/hints.rs
+++ b/src/gateway/hints.rs
@@ -14,9 +14,9 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-use super::backend::{Planned, target_word};
+use super::backend::{PlacementPlan, target_digest};
 use super::datagram::Topic;
-use super::request::Part;
+use super::request::PromptPart;
 
 /// Time over which placements are collected into one datagram. Waking up the receivers costs more
 /// than the bytes.
@@ -46,8 +46,8 @@
 
 impl PlacementHint {
     /// The parts of the prompt.
-    pub fn parts(&self) -> impl Iterator<Item = Part> {
-        self.parts.iter().map(|(id, tokens)| Part { id: *id, tokens: u64::from(*tokens) })
+    pub fn parts(&self) -> impl Iterator<Item = PromptPart> {
+        self.parts.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: u64::from(*tokens) })
     }
 }
 
@@ -69,7 +69,7 @@
 
 impl PlacementHints {
     /// Queues a placement of this router. Drops it if there are no peers or the queue is full.
-    pub fn record_placement(&self, target: &str, plan: &Planned, parts: &[Part]) {
+    pub fn record_placement(&self, target: &str, plan: &PlacementPlan, parts: &[PromptPart]) {
         let mut unsent = self.unsent.borrow_mut();
         if self.peers.borrow().is_empty() || unsent.len() >= 4 * MAX_PLACEMENTS {
             return;
@@ -77,7 +77,7 @@
         let saturated = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX);
         let parts = parts.iter().map(|p| (p.id, saturated(p.tokens)));
         unsent.push(PlacementHint {
-            target: target_word(target),
+            target: target_digest(target),
             prompt: saturated(plan.prompt),
             uncached: saturated(plan.uncached),
             parts: parts.collect(),
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use super::request::Part;
+use super::request::PromptPart;
 use super::timing::Slowdown;
 
 /// Pending prefills are dropped this long after their predicted end. The router that sent the
@@ -35,11 +35,11 @@
 
     /// Number of tokens in the leading parts that are cached. A part counts only if all parts
     /// before it are cached.
-    pub(super) fn cached_tokens(&self, parts: &[Part]) -> u64 {
+    pub(super) fn cached_tokens(&self, parts: &[PromptPart]) -> u64 {
         parts.iter().take_while(|p| self.contains_part(p.id)).map(|p| p.tokens).sum()
     }
 
-    pub(super) fn insert_parts(&mut self, parts: &[Part], now: Instant, capacity: u64) {
+    pub(super) fn insert_parts(&mut self, parts: &[PromptPart], now: Instant, capacity: u64) {
         for p in parts {
             match self.parts.binary_search_by_key(&p.id, |c| c.id) {
                 Ok(i) => self.parts[i].last_used = now,
--- a/src/gateway/notice.rs
+++ b/src/gateway/notice.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::Instant;
 
-use super::request::Names;
+use super::request::HeaderNames;
 use crate::http1::{ResponseHead, header};
 
 /// Maximum accepted delay. Longer ones are reduced to it, because a target that states more is most
@@ -40,7 +40,7 @@
 impl Notice {
     /// Reads the notice from a response head. A 421 comes from another target that has taken over
     /// the address, so it says nothing about the intended one.
-    pub fn read(names: &Names, head: &ResponseHead) -> Notice {
+    pub fn read(names: &HeaderNames, head: &ResponseHead) -> Notice {
         let stated = |name: &str| header(&head.headers, name);
         match head.status {
             421 => Notice::default(),
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -1,56 +1,56 @@
-//! A target's answer as far as it was read.
+//! A target's answer, read as far as it is buffered.
 
 use bytes::Bytes;
 use compact_str::CompactString;
 
-use super::backend::Flight;
+use super::backend::InFlight;
 use super::outcome::SendOutcome;
-use super::sse::{Events, Splitter};
-use crate::http1::{Conn, Decoder, ResponseHead};
+use super::sse::{EventBatch, EventSplitter};
+use crate::http1::{BodyDecoder, Conn, ResponseHead};
 
-/// A target's answer, as far as it was read.
+/// A target's answer, of which at least the head was read.
 pub struct Reply {
-    /// Its head.
+    /// Head of the answer.
     pub head: ResponseHead,
-    /// The answer's payload so far; for streams whole events only.
-    pub start: Bytes,
-    /// What is still to come.
-    pub rest: Option<Rest>,
-    /// The target's load; ends with the reply.
-    pub flight: Flight,
+    /// Payload read so far; for a stream, complete events only.
+    pub first_bytes: Bytes,
+    /// The part of the body that was not read yet; `None` if the body is complete.
+    pub remaining: Option<RemainingBody>,
+    /// Counts the request as load of its target until the reply is dropped.
+    pub in_flight: InFlight,
 }
 
-/// The part of an answer that is still to come.
-pub struct Rest {
+/// The unread part of an answer's body.
+pub struct RemainingBody {
     /// The connection to the target.
     pub conn: Conn,
-    /// Framing of the body.
-    pub body: Decoder,
-    /// Set for a stream: its events so far.
-    pub stream: Option<StreamState>,
+    /// Decoder of the body's framing.
+    pub body: BodyDecoder,
+    /// Progress of a stream; `None` for a plain answer.
+    pub stream: Option<StreamProgress>,
 }
 
-/// How far a stream has come.
+/// Progress of an event stream.
 #[derive(Debug, Default)]
-pub struct StreamState {
-    /// Cuts events out.
-    pub splitter: Splitter,
-    /// The last event's id.
+pub struct StreamProgress {
+    /// Splits the stream into complete events.
+    pub splitter: EventSplitter,
+    /// Id of the last event that has one.
     pub last_id: Option<CompactString>,
-    /// Whole events so far.
+    /// Number of complete events so far.
     pub events: u64,
 }
 
-impl StreamState {
-    /// Adds a piece of the stream; returns the whole events in it.
+impl StreamProgress {
+    /// Adds received bytes and returns the events that are now complete.
     ///
     /// # Errors
-    /// `Truncated` if it holds no events.
+    /// `Truncated` if the bytes cannot be events.
     pub fn push(&mut self, piece: &[u8]) -> Result<Option<Bytes>, SendOutcome> {
         let Some(events) = self.splitter.push(piece).map_err(|_| SendOutcome::Truncated)? else {
             return Ok(None);
         };
-        let Events { bytes, count, last_id } = events;
+        let EventBatch { bytes, count, last_id } = events;
         self.events += count;
         if last_id.is_some() {
             self.last_id = last_id;
--- a/src/standin/gateway_host.rs
+++ b/src/standin/gateway_host.rs
@@ -70,7 +70,7 @@
     /// Stops the gateway like a killed process: it admits and writes nothing more, and callers get
     /// no notice.
     pub fn kill(self) {
-        self.gw.keeper.halt();
+        self.gw.budget_shares.halt();
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 }
--- a/src/standin/gateway_target.rs
+++ b/src/standin/gateway_target.rs
@@ -15,7 +15,7 @@
 
 use super::gateway::{SEAL, header_names};
 use crate::error::Result;
-use crate::gateway::Names;
+use crate::gateway::HeaderNames;
 use crate::http1::{Conn, Header, RequestHead, header};
 
 /// Maximum time for which sent bytes may remain unacknowledged.
@@ -140,7 +140,7 @@
 #[derive(Clone, Debug)]
 pub struct TargetNames {
     /// Headers that routers use as well.
-    pub headers: Names,
+    pub headers: HeaderNames,
     /// Header that proves which target answered which request.
     pub seal: CompactString,
 }
@@ -334,7 +334,7 @@
             }
             Some(TargetFault::LosesAnswer) => false,
             Some(TargetFault::Hangs) => {
-                conn.closed().await;
+                conn.wait_closed().await;
                 self.shared.borrow_mut().closed_early += 1;
                 false
             }
@@ -390,7 +390,7 @@
             }
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             let disconnected = tokio::select! {
-                () = conn.closed(), if !gap.is_zero() => true,
+                () = conn.wait_closed(), if !gap.is_zero() => true,
                 () = tokio::time::sleep(gap), if !gap.is_zero() => false,
                 else => false,
             };
--- a/tests/test_gateway_homes.rs
+++ b/tests/test_gateway_homes.rs
@@ -8,7 +8,7 @@
 use kingcupwall::standin::gateway_target::StandinTarget;
 use rstest::rstest;
 
-use crate::gatedir::{Call, eventually, local};
+use crate::gateway_fleet::{Call, eventually, run_local};
 
 /// The default configuration, with the first route and the organisation restricted to regions.
 fn bound(route: &[&str], org: &[&str]) -> CatalogParts {
@@ -33,7 +33,7 @@
     #[case] status: u16,
 ) {
     // Guards against a request body that reaches a target outside the allowed regions.
-    local(async {
+    run_local(async {
         let platform = LocalPlatform::new();
         platform.configure(bound(route, org));
         let mut targets = Vec::new();
