--- a/tests/test_gateway.rs
+++ b/tests/test_gateway.rs
@@ -52,7 +52,8 @@
     // delimit it differently, the target takes the bytes in between for a request.
     run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
-        let call = Call::get("/safe/a").with_header("Transfer-Encoding: chunked").body("0\r\n\r\nGET /x");
+        let call =
+            Call::get("/safe/a").with_header("Transfer-Encoding: chunked").body("0\r\n\r\nGET /x");
         assert_eq!(call.send(fleet.router.front).await.status(), 400);
         assert_eq!(fleet.runs(), 0);
     });
