--- a/src/gateway/crash_attribution.rs
+++ b/src/gateway/crash_attribution.rs
@@ -112,7 +112,7 @@
 impl InterruptedRequest {
     /// Records that the request's target has ended.
     fn record_crash<P: Platform>(&self, gw: &Gateway<P>, backend: &Backend) {
-        gw.stats.targets_ended.inc();
+        gw.stats.target_crashes.inc();
         let at = gw.keeper.store_now();
         let ran_ms = u64::try_from(self.sent.elapsed().as_millis()).unwrap_or(u64::MAX);
         let began = StoreMs(at.0.saturating_sub(ran_ms));
--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -161,7 +161,7 @@
 
     fn update_quarantine_gauge(&self) {
         let n = i64::try_from(self.known.borrow().quarantined_count()).unwrap_or(i64::MAX);
-        let before = self.stats.held_back.set(n);
+        let before = self.stats.quarantined_requests.set(n);
         if before != n {
             self.log.note("quarantine", format_args!("held_back={n} before={before}"));
         }
--- a/src/gateway/feed.rs
+++ b/src/gateway/feed.rs
@@ -11,7 +11,7 @@
 use crate::allowance::BudgetManager;
 use crate::oplog::Log;
 use crate::rows::{ArrivingAnswers, Page, RowStore, StoreError, StoreResult, Ver};
-use crate::stats::{Reason, Stats};
+use crate::stats::{ReasonLabel, Stats};
 
 /// Timeout of a long poll for changes. It is short because a dead connection is detected only when
 /// it expires, and a configuration must be in force 2 s after its acknowledgement.
@@ -204,8 +204,8 @@
     /// its cause.
     fn record_read(&self, read: StoreRead, page: &Page) {
         let bytes: usize = page.rows.iter().filter_map(|r| r.value.as_ref()).map(Bytes::len).sum();
-        let reason = Reason { reason: read.cause };
-        self.stats.store_bytes.get_or_create(&reason).inc_by(bytes as u64);
+        let reason = ReasonLabel { reason: read.cause };
+        self.stats.store_read_bytes.get_or_create(&reason).inc_by(bytes as u64);
         if bytes >= LARGE_READ_BYTES {
             let (cause, ms) = (read.cause, read.ms());
             self.log.routine(
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -85,7 +85,7 @@
 
 async fn serve<P: Platform>(gw: Rc<Gateway<P>>, io: TcpStream) {
     let _counted = Counted::connection(&gw);
-    gw.stats.accepted.inc();
+    gw.stats.accepted_connections.inc();
     let accepted = Instant::now();
     let Ok(mut conn) = Conn::new(io, SILENCE) else { return };
     let mut phase = gw.phase.subscribe();
@@ -238,7 +238,7 @@
 
 /// Notes that a caller left before its answer began.
 fn note_left<P: Platform>(gw: &Gateway<P>, id: &str, started: Instant, sent: bool) {
-    gw.stats.left.inc();
+    gw.stats.caller_disconnects.inc();
     let ms = started.elapsed().as_millis();
     gw.log.routine("left", format_args!("id={id} at_ms={ms} sent={sent}"));
 }
@@ -282,9 +282,9 @@
     }
     ended(&gw.stats, label(job.route.kind), outcome);
     let took = job.started.elapsed();
-    gw.stats.answer.observe(took.as_secs_f64());
+    gw.stats.answer_seconds.observe(took.as_secs_f64());
     let cost = job.hold.as_ref().map_or(0, |h| h.spent().0);
-    gw.stats.tokens.inc_by(cost);
+    gw.stats.tokens_charged.inc_by(cost);
     let fields = format_args!(
         "id={} route={} org={} target={target} status={status} outcome={outcome} config={} runs={} sends={} tokens={cost} ms={}",
         job.facts.id,
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -113,8 +113,8 @@
             gw.rate.set((f64::from(gw.taken.replace(0)) / s) as u32);
             rate_since = Instant::now();
         }
-        gw.stats.active.set(i64::try_from(gw.active.get()).unwrap_or(i64::MAX));
-        gw.stats.log_dropped.set(i64::try_from(gw.log.lines_dropped()).unwrap_or(i64::MAX));
+        gw.stats.active_requests.set(i64::try_from(gw.active.get()).unwrap_or(i64::MAX));
+        gw.stats.log_lines_dropped.set(i64::try_from(gw.log.lines_dropped()).unwrap_or(i64::MAX));
         // The table is read first: a row written without knowing the store's time would count as
         // stale.
         match gw.platform.scan(TABLE, "").await {
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -274,7 +274,10 @@
             let Some(piece) = piece else { return Ok(Bytes::new()) };
             if let Some(events) = stream.push(&piece)? {
                 let took = flight.first_event();
-                self.gw.stats.first_event.observe((Instant::now() - self.started).as_secs_f64());
+                self.gw
+                    .stats
+                    .first_event_seconds
+                    .observe((Instant::now() - self.started).as_secs_f64());
                 let (id, backend) = (&self.facts.id, flight.backend());
                 self.gw.log.routine(
                     "placed",
--- a/src/gateway/stats.rs
+++ b/src/gateway/stats.rs
@@ -2,11 +2,11 @@
 
 use super::notice::{Notice, RetryAfter};
 use super::outcome::SendOutcome;
-use crate::stats::{EndLabels, Reason, Stats};
+use crate::stats::{OutcomeLabels, ReasonLabel, Stats};
 
 /// Counts the end of a request.
 pub fn ended(stats: &Stats, kind: &'static str, outcome: &'static str) {
-    stats.requests.get_or_create(&EndLabels { kind, outcome }).inc();
+    stats.requests.get_or_create(&OutcomeLabels { kind, outcome }).inc();
 }
 
 /// Counts a failed send.
@@ -21,13 +21,13 @@
         SendOutcome::Failed => "failed",
         SendOutcome::Truncated => "truncated",
     };
-    stats.sends.get_or_create(&Reason { reason }).inc();
+    stats.sends.get_or_create(&ReasonLabel { reason }).inc();
 }
 
 /// Counts what an answer says of its target.
 pub fn noticed(stats: &Stats, notice: Notice) {
     let count = |reason| {
-        stats.notices.get_or_create(&Reason { reason }).inc();
+        stats.target_notices.get_or_create(&ReasonLabel { reason }).inc();
     };
     if notice.leaving {
         count("leaving");
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -175,7 +175,7 @@
         // previous address could reach a different service, so the target is removed. All other
         // entries stay valid.
         Err(e) => {
-            gw.stats.entries_rejected.inc();
+            gw.stats.target_entries_rejected.inc();
             let known = gw.targets.remove(&row.at.key);
             gw.log.note(
                 "target",
@@ -205,7 +205,7 @@
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
         gw.stats.targets_cold.set(count(gw.targets.count_cold()));
         gw.stats.targets_leaving.set(count(gw.targets.count_leaving()));
-        gw.stats.targets_resting.set(count(gw.targets.count_backing_off()));
+        gw.stats.targets_backing_off.set(count(gw.targets.count_backing_off()));
         let store = gw.reader.store_status();
         if store.unavailable || entries_may_return(&gw) {
             continue;
--- a/src/gateway/warmup.rs
+++ b/src/gateway/warmup.rs
@@ -16,7 +16,7 @@
 use super::cold::{ADMISSION_TTL, AdmissionLimit, Admitter, OwnerCandidate, pick_owner};
 use super::datagram::Topic;
 use crate::oplog::Log;
-use crate::stats::{Reason, Stats};
+use crate::stats::{ReasonLabel, Stats};
 
 /// How long a cold target is not tried again if its owner does not answer or is unknown.
 const OWNER_SILENT_BACKOFF: Duration = Duration::from_millis(200);
@@ -108,7 +108,7 @@
             None => Err(OWNER_SILENT_BACKOFF),
         };
         let reason = if outcome.is_ok() { "admitted" } else { "held_off" };
-        self.stats.cold.get_or_create(&Reason { reason }).inc();
+        self.stats.cold_admissions.get_or_create(&ReasonLabel { reason }).inc();
         outcome
     }
 
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, as the metrics page shows them.
+//! Prometheus metrics of a gateway router, rendered as text for the metrics page.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -9,70 +9,70 @@
 use prometheus_client::registry::Registry;
 use std::sync::Arc;
 
-/// A request's end: what answered, and why.
+/// Labels of the counter of finished requests.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(EncodeLabelSet)]
-pub struct EndLabels {
-    /// Kind of route.
+pub struct OutcomeLabels {
+    /// Kind of the route, or `unplaced` for a request that was refused before a route was chosen.
     pub kind: &'static str,
-    /// How it ended.
+    /// Outcome, or the reason of a refusal.
     pub outcome: &'static str,
 }
 
-/// One label.
+/// The only label of a counter by reason.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(EncodeLabelSet)]
-pub struct Reason {
-    /// Why.
+pub struct ReasonLabel {
+    /// Reason for the counted event.
     pub reason: &'static str,
 }
 
-/// All figures of a router. Clones share them.
+/// All metrics of a router. Clones share the same counters.
 #[derive(Clone, Debug)]
 pub struct Stats {
     registry: Arc<Registry>,
-    /// Requests by kind of route and outcome.
-    pub requests: Family<EndLabels, Counter>,
-    /// Sends to targets by how they ended.
-    pub sends: Family<Reason, Counter>,
-    /// Requests under which a target ended.
-    pub targets_ended: Counter,
-    /// Requests that are held back because targets ended under them.
-    pub held_back: Gauge,
-    /// Requests that a caller left before their end.
-    pub left: Counter,
-    /// Connections of callers that were accepted.
-    pub accepted: Counter,
-    /// Bytes of rows read from the store, by what was read and for which reason.
-    pub store_bytes: Family<Reason, Counter>,
-    /// Requests to cold targets, by whether there was room.
-    pub cold: Family<Reason, Counter>,
-    /// What targets said of themselves in answers.
-    pub notices: Family<Reason, Counter>,
-    /// Targets that have said that they leave.
+    /// Finished requests by kind of route and outcome.
+    pub requests: Family<OutcomeLabels, Counter>,
+    /// Attempts to send a request to a target that failed, by outcome.
+    pub sends: Family<ReasonLabel, Counter>,
+    /// Requests whose target crashed while it executed them.
+    pub target_crashes: Counter,
+    /// Requests in quarantine because targets crashed while they executed them.
+    pub quarantined_requests: Gauge,
+    /// Requests whose caller disconnected before the answer began.
+    pub caller_disconnects: Counter,
+    /// Accepted connections from callers.
+    pub accepted_connections: Counter,
+    /// Bytes of rows read from the store, by the reason of the read.
+    pub store_read_bytes: Family<ReasonLabel, Counter>,
+    /// Admission decisions for requests to cold targets: `admitted` or `held_off`.
+    pub cold_admissions: Family<ReasonLabel, Counter>,
+    /// Notices that targets sent in response headers, by kind.
+    pub target_notices: Family<ReasonLabel, Counter>,
+    /// Targets that have announced that they are leaving.
     pub targets_leaving: Gauge,
-    /// Targets that turned a request away and want none for a while.
-    pub targets_resting: Gauge,
-    /// Targets that are cold.
+    /// Targets that refused a request and get no more until their backoff ends.
+    pub targets_backing_off: Gauge,
+    /// Targets that are in their warm-up.
     pub targets_cold: Gauge,
-    /// Zones that the operator has emptied.
+    /// Availability zones that get no new requests, by order of the operator.
     pub zones_emptied: Gauge,
-    /// Time to a stream's first event, s.
-    pub first_event: Histogram,
-    /// Time to a whole plain answer, s.
-    pub answer: Histogram,
-    /// Tokens charged.
-    pub tokens: Counter,
-    /// Version of the configuration in force.
+    /// Time from a request's arrival to the first event of its stream, in seconds.
+    pub first_event_seconds: Histogram,
+    /// Time from a request's arrival to the end of its answer, in seconds.
+    pub answer_seconds: Histogram,
+    /// Tokens charged to organisations.
+    pub tokens_charged: Counter,
+    /// Version of the configuration that is in use.
     pub config_version: Gauge,
-    /// Configurations that could not be read.
+    /// Configurations that were rejected because they could not be parsed.
     pub config_rejected: Counter,
-    /// Targets' entries that could not be read.
-    pub entries_rejected: Counter,
-    /// Requests being served.
-    pub active: Gauge,
-    /// Lines that the log dropped.
-    pub log_dropped: Gauge,
+    /// Target entries in the store that could not be parsed.
+    pub target_entries_rejected: Counter,
+    /// Requests in flight.
+    pub active_requests: Gauge,
+    /// Log lines that were dropped because of the log's limits.
+    pub log_lines_dropped: Gauge,
 }
 
 impl Default for Stats {
@@ -82,106 +82,154 @@
 }
 
 impl Stats {
-    /// Figures that all stand at zero.
+    /// Creates and registers all metrics, with value zero.
     pub fn new() -> Stats {
-        let times = || Histogram::new(exponential_buckets(0.005, 2.0, 12));
+        let latency_histogram = || Histogram::new(exponential_buckets(0.005, 2.0, 12));
         let mut registry = Registry::with_prefix("kingcupwall");
         let requests = Family::default();
         registry.register("requests", "Requests by kind of route and outcome", requests.clone());
         let sends = Family::default();
-        registry.register("sends", "Sends to targets by how they ended", sends.clone());
-        let targets_ended = Counter::default();
+        registry.register(
+            "sends",
+            "Failed attempts to send a request to a target, by outcome",
+            sends.clone(),
+        );
+        let target_crashes = Counter::default();
         registry.register(
             "targets_ended",
-            "Requests under which a target ended",
-            targets_ended.clone(),
+            "Requests whose target crashed while it executed them",
+            target_crashes.clone(),
         );
-        let held_back = Gauge::default();
+        let quarantined_requests = Gauge::default();
         registry.register(
             "requests_held_back",
-            "Requests held back because targets ended under them",
-            held_back.clone(),
+            "Requests in quarantine because targets crashed while they executed them",
+            quarantined_requests.clone(),
+        );
+        let caller_disconnects = Counter::default();
+        registry.register(
+            "callers_left",
+            "Requests whose caller disconnected before the answer began",
+            caller_disconnects.clone(),
+        );
+        let accepted_connections = Counter::default();
+        registry.register(
+            "connections_accepted",
+            "Accepted connections from callers",
+            accepted_connections.clone(),
         );
-        let left = Counter::default();
-        registry.register("callers_left", "Requests whose caller left early", left.clone());
-        let accepted = Counter::default();
-        registry.register("connections_accepted", "Connections of callers", accepted.clone());
-        let store_bytes = Family::default();
+        let store_read_bytes = Family::default();
         registry.register(
             "store_read_bytes",
-            "Bytes of rows read from the store",
-            store_bytes.clone(),
+            "Bytes of rows read from the store, by reason",
+            store_read_bytes.clone(),
+        );
+        let cold_admissions = Family::default();
+        registry.register(
+            "cold_admissions",
+            "Admission decisions for requests to cold targets",
+            cold_admissions.clone(),
+        );
+        let target_notices = Family::default();
+        registry.register(
+            "target_notices",
+            "Notices that targets sent in response headers",
+            target_notices.clone(),
         );
-        let cold = Family::default();
-        registry.register("cold_admissions", "Requests to cold targets", cold.clone());
-        let notices = Family::default();
-        registry.register("target_notices", "What targets say of themselves", notices.clone());
         let targets_leaving = Gauge::default();
         registry.register(
             "targets_leaving",
-            "Targets that say they leave",
+            "Targets that have announced that they are leaving",
             targets_leaving.clone(),
         );
-        let targets_resting = Gauge::default();
+        let targets_backing_off = Gauge::default();
         registry.register(
             "targets_resting",
-            "Targets that want no request",
-            targets_resting.clone(),
+            "Targets that refused a request and are in their backoff",
+            targets_backing_off.clone(),
         );
         let targets_cold = Gauge::default();
-        registry.register("targets_cold", "Targets that are cold", targets_cold.clone());
+        registry.register("targets_cold", "Targets in their warm-up", targets_cold.clone());
         let zones_emptied = Gauge::default();
-        registry.register("zones_emptied", "Zones that get nothing new", zones_emptied.clone());
-        let first_event = times();
-        registry.register("first_event_seconds", "Time to the first event", first_event.clone());
-        let answer = times();
-        registry.register("answer_seconds", "Time to a plain answer", answer.clone());
-        let tokens = Counter::default();
-        registry.register("tokens_charged", "Tokens charged to organisations", tokens.clone());
+        registry.register(
+            "zones_emptied",
+            "Zones that get no new requests by order of the operator",
+            zones_emptied.clone(),
+        );
+        let first_event_seconds = latency_histogram();
+        registry.register(
+            "first_event_seconds",
+            "Time from arrival to the first event of a stream",
+            first_event_seconds.clone(),
+        );
+        let answer_seconds = latency_histogram();
+        registry.register(
+            "answer_seconds",
+            "Time from arrival to the end of the answer",
+            answer_seconds.clone(),
+        );
+        let tokens_charged = Counter::default();
+        registry.register(
+            "tokens_charged",
+            "Tokens charged to organisations",
+            tokens_charged.clone(),
+        );
         let config_version = Gauge::default();
-        registry.register("config_version", "Version in force", config_version.clone());
+        registry.register(
+            "config_version",
+            "Version of the configuration in use",
+            config_version.clone(),
+        );
         let config_rejected = Counter::default();
-        registry.register("config_rejected", "Unreadable configurations", config_rejected.clone());
-        let entries_rejected = Counter::default();
+        registry.register(
+            "config_rejected",
+            "Configurations that could not be parsed",
+            config_rejected.clone(),
+        );
+        let target_entries_rejected = Counter::default();
         registry.register(
             "target_entries_rejected",
-            "Unreadable entries of targets",
-            entries_rejected.clone(),
+            "Target entries that could not be parsed",
+            target_entries_rejected.clone(),
+        );
+        let active_requests = Gauge::default();
+        registry.register("active", "Requests in flight", active_requests.clone());
+        let log_lines_dropped = Gauge::default();
+        registry.register(
+            "log_lines_dropped",
+            "Log lines dropped because of the log's limits",
+            log_lines_dropped.clone(),
         );
-        let active = Gauge::default();
-        registry.register("active", "Requests being served", active.clone());
-        let log_dropped = Gauge::default();
-        registry.register("log_lines_dropped", "Lines over the log's bounds", log_dropped.clone());
         Stats {
             registry: Arc::new(registry),
             requests,
             sends,
-            targets_ended,
-            held_back,
-            left,
-            accepted,
-            store_bytes,
-            cold,
-            notices,
+            target_crashes,
+            quarantined_requests,
+            caller_disconnects,
+            accepted_connections,
+            store_read_bytes,
+            cold_admissions,
+            target_notices,
             targets_leaving,
-            targets_resting,
+            targets_backing_off,
             targets_cold,
             zones_emptied,
-            first_event,
-            answer,
-            tokens,
+            first_event_seconds,
+            answer_seconds,
+            tokens_charged,
             config_version,
             config_rejected,
-            entries_rejected,
-            active,
-            log_dropped,
+            target_entries_rejected,
+            active_requests,
+            log_lines_dropped,
         }
     }
 
-    /// The metrics page.
-    pub fn page(&self) -> String {
+    /// The metrics page in the OpenMetrics text format.
+    pub fn render(&self) -> String {
         let mut text = String::new();
-        // Writing into a string cannot fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -132,7 +132,10 @@
         while Call::get("/safe/fatal").body("fatal").send(first.front).await.status() != 503 {}
         let ended = fleet.ended();
         assert!(ended <= MAX_ENDED_TARGETS);
-        eventually("quarantine at the other router", || second.gw.stats.held_back.get() == 1).await;
+        eventually("quarantine at the other router", || {
+            second.gw.stats.quarantined_requests.get() == 1
+        })
+        .await;
         for _ in 0..4 {
             let got = Call::get("/safe/fatal").body("fatal").send(second.front).await;
             assert_eq!((got.status(), fleet.ended()), (503, ended));
@@ -171,7 +174,7 @@
             assert!(stream.await.unwrap(), "a stream was never served");
         }
         assert!(fleet.ended() <= MAX_ENDED_TARGETS, "{} targets ended", fleet.ended());
-        assert_eq!(fleet.routers[0].gw.stats.held_back.get(), 1);
+        assert_eq!(fleet.routers[0].gw.stats.quarantined_requests.get(), 1);
     });
 }
 
@@ -185,7 +188,7 @@
             let call = Call::get("/once/a").id(&format!("l{n}"));
             assert_eq!(call.send(fleet.routers[0].front).await.status(), 502);
         }
-        assert_eq!(fleet.routers[0].gw.stats.targets_ended.get(), 0);
+        assert_eq!(fleet.routers[0].gw.stats.target_crashes.get(), 0);
     });
 }
 
@@ -241,7 +244,7 @@
             let got = got.await.unwrap();
             assert_eq!((got.status(), got.whole), (200, true));
         }
-        assert!(fleet.routers[0].gw.stats.targets_ended.get() >= MAX_ENDED_TARGETS as u64);
+        assert!(fleet.routers[0].gw.stats.target_crashes.get() >= MAX_ENDED_TARGETS as u64);
     });
 }
 
@@ -290,7 +293,7 @@
         assert!(got.status() == 502 || !got.whole);
         // Connections are refused by now, so the probe ends at once.
         tokio::time::sleep(Duration::from_millis(50)).await;
-        assert_eq!(gw.stats.targets_ended.get(), counted);
+        assert_eq!(gw.stats.target_crashes.get(), counted);
     });
 }
 
@@ -312,7 +315,7 @@
             let call = Call::get("/once/a").id(&format!("l{n}"));
             assert_eq!(call.send(front).await.status(), 502);
         }
-        assert_eq!(fleet.routers[0].gw.stats.targets_ended.get(), 0);
+        assert_eq!(fleet.routers[0].gw.stats.target_crashes.get(), 0);
     });
 }
 
@@ -331,7 +334,7 @@
         fleet.targets.iter().find(|t| !t.runs().is_empty()).unwrap().end();
         assert!(!Got::read(&mut conn).await.whole);
         let stats = &fleet.routers[0].gw.stats;
-        eventually("recording the end of the target", || stats.targets_ended.get() == 1).await;
+        eventually("recording the end of the target", || stats.target_crashes.get() == 1).await;
     });
 }
 
@@ -344,7 +347,10 @@
         let [first, second] = &fleet.routers[..] else { panic!("two routers") };
         fleet.routers.iter().for_each(|r| r.platform.rows.set_fault(Fault::Reject(503)));
         while Call::get("/safe/fatal").body("fatal").send(first.front).await.status() != 503 {}
-        eventually("quarantine at the other router", || second.gw.stats.held_back.get() == 1).await;
+        eventually("quarantine at the other router", || {
+            second.gw.stats.quarantined_requests.get() == 1
+        })
+        .await;
     });
 }
 
