--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,4 +1,5 @@
-//! The properties, checked from outside: from the platform's table and the callers' records.
+//! Checks the guarantees of the fleet after a load, by comparing the callers' records with the
+//! platform's table: no overspending, and exactly one correct bill for each answered request.
 
 use std::collections::BTreeMap;
 
@@ -12,41 +13,41 @@
 use crate::load::Record;
 use crate::table::{Table, read_one, scan_all};
 
-/// What was found.
+/// The result of an audit.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Serialize)]
 pub struct Audit {
-    /// Requests of the callers.
+    /// Requests that callers sent.
     pub requests: usize,
-    /// Requests with a whole answer.
+    /// Requests that got a complete answer.
     pub answered: usize,
-    /// Answers with wrong text.
+    /// Complete answers whose text was not the expected one.
     pub wrong: usize,
-    /// Requests without an answer.
+    /// Requests that were refused or failed.
     pub refused: usize,
     /// Bills in the table.
     pub billed: usize,
-    /// Keys with more than one bill.
+    /// Idempotency keys with more than one bill.
     pub duplicate_bills: usize,
     /// Answered requests without a bill.
     pub unbilled: usize,
-    /// Answered requests whose bill has another amount than the caller was told.
+    /// Answered requests whose bill differs from the token count in the answer.
     pub differing: usize,
-    /// Tokens billed past what was prepaid, over all budgets.
+    /// Tokens billed beyond the prepaid amounts, summed over all budgets.
     pub overspend: u64,
-    /// Tokens committed past what was prepaid, over all budgets.
+    /// Tokens committed beyond the prepaid amounts, summed over all budgets.
     pub overcommitted: u64,
 }
 
 impl Audit {
-    /// Whether every property held.
-    pub fn holds(&self) -> bool {
-        let bad = [self.wrong, self.duplicate_bills, self.unbilled, self.differing];
-        bad.iter().all(|n| *n == 0) && self.overspend == 0 && self.overcommitted == 0
+    /// Returns whether all guarantees were kept.
+    pub fn passed(&self) -> bool {
+        let violations = [self.wrong, self.duplicate_bills, self.unbilled, self.differing];
+        violations.iter().all(|n| *n == 0) && self.overspend == 0 && self.overcommitted == 0
     }
 
-    /// One line for a person and a script.
-    pub fn line(&self) -> String {
+    /// Returns the result as one line of `key=value` pairs.
+    pub fn summary_line(&self) -> String {
         format!(
             "requests={} answered={} refused={} billed={} duplicate_bills={} overspend={} overcommitted={} \
              unbilled={} differing={} wrong_answers={}",
@@ -64,10 +65,10 @@
     }
 }
 
-/// Checks records against the table.
+/// Compares the callers' `records` with the bills and budgets in `table`.
 ///
 /// # Errors
-/// `PlatformAway`, or `BadFormat` for a row that cannot be read.
+/// `PlatformAway` if the table cannot be read, `BadFormat` if a row cannot be decoded.
 pub async fn audit<T: Table>(table: &T, cfg: &Config, records: &[Record]) -> Result<Audit> {
     let rows = scan_all(table, "bill/").await?;
     let bills: Vec<Bill> = rows.iter().map(|r| r.decode()).collect::<Result<_>>()?;
@@ -75,27 +76,27 @@
     for b in &bills {
         by_key.entry((b.organisation.as_str(), b.key.as_str())).or_default().push(b);
     }
-    let mut a = Audit { requests: records.len(), billed: bills.len(), ..Audit::default() };
-    a.duplicate_bills = by_key.values().filter(|b| b.len() > 1).count();
+    let mut result = Audit { requests: records.len(), billed: bills.len(), ..Audit::default() };
+    result.duplicate_bills = by_key.values().filter(|b| b.len() > 1).count();
     for r in records {
         let Ok(t) = &r.outcome else {
-            a.refused += 1;
+            result.refused += 1;
             continue;
         };
-        a.answered += 1;
-        a.wrong += usize::from(!r.right);
+        result.answered += 1;
+        result.wrong += usize::from(!r.right);
         match by_key.get(&(r.organisation.as_str(), r.key.as_str())) {
-            None => a.unbilled += 1,
-            Some(b) => a.differing += usize::from(b[0].cost != Tokens(t.total_tokens)),
+            None => result.unbilled += 1,
+            Some(b) => result.differing += usize::from(b[0].cost != Tokens(t.total_tokens)),
         }
     }
     for budget in &cfg.budgets {
-        let own = bills.iter().filter(|b| b.budget == budget.id);
-        let spent = own.fold(Tokens::ZERO, |sum, b| sum.plus(b.cost));
-        a.overspend += spent.minus(budget.prepaid).0;
+        let budget_bills = bills.iter().filter(|b| b.budget == budget.id);
+        let spent = budget_bills.fold(Tokens::ZERO, |sum, b| sum.plus(b.cost));
+        result.overspend += spent.minus(budget.prepaid).0;
         let row: Versioned<BudgetRow> =
             versioned(read_one(table, budget_key(&budget.id)).await?.as_ref())?;
-        a.overcommitted += row.row.committed.minus(budget.prepaid).0;
+        result.overcommitted += row.row.committed.minus(budget.prepaid).0;
     }
-    Ok(a)
+    Ok(result)
 }
--- a/src/cmd/budget.rs
+++ b/src/cmd/budget.rs
@@ -5,7 +5,7 @@
 use super::block_on;
 use crate::api::operator::BudgetReport;
 use crate::error::Result;
-use crate::operator::Operator;
+use crate::operator::OperatorClient;
 
 /// Show an organisation's budgets: prepaid, settled, granted, in doubt, by holder
 ///
@@ -34,7 +34,7 @@
 pub fn run(args: &Args) -> Result<()> {
     let path = format!("budget/{}", args.organisation);
     let reports: Vec<BudgetReport> =
-        block_on(async { Operator::new(&args.router, &args.key)?.get(&path).await })?;
+        block_on(async { OperatorClient::new(&args.router, &args.key)?.get(&path).await })?;
     for r in &reports {
         if args.json {
             println!("{}", serde_json::to_string(r)?);
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -140,7 +140,7 @@
         let mut result = audit(&platform.memory, cfg, &records).await?;
         let limit = Instant::now() + SETTLE;
         // Bills are written in groups: the last ones come a moment after the last answers.
-        while !result.holds() && Instant::now() < limit {
+        while !result.passed() && Instant::now() < limit {
             tokio::time::sleep(Duration::from_millis(100)).await;
             result = audit(&platform.memory, cfg, &records).await?;
         }
@@ -159,8 +159,8 @@
 /// `Io` when the fleet cannot be started or a property did not hold.
 pub fn run(args: &Args) -> Result<()> {
     let result = block_on(args.run_fleet())?;
-    println!("{}", result.line());
-    match result.holds() {
+    println!("{}", result.summary_line());
+    match result.passed() {
         true => Ok(()),
         false => Err(Error::new(Kind::Io, "a property did not hold")),
     }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -5,7 +5,7 @@
 
 use super::block_on;
 use crate::error::Result;
-use crate::operator::Operator;
+use crate::operator::OperatorClient;
 
 /// Show routers, targets and revisions as one router sees them
 ///
@@ -30,7 +30,7 @@
 /// `Unauthorized` or `Io`.
 pub fn run(args: &Args) -> Result<()> {
     let status: Value =
-        block_on(async { Operator::new(&args.router, &args.key)?.get("status").await })?;
+        block_on(async { OperatorClient::new(&args.router, &args.key)?.get("status").await })?;
     if args.json {
         println!("{status}");
         return Ok(());
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -11,7 +11,7 @@
 use crate::config::store::Submission;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, Revision};
-use crate::operator::Operator;
+use crate::operator::OperatorClient;
 
 /// Hand in a configuration; prints revision=N
 ///
@@ -48,7 +48,7 @@
 }
 
 impl Args {
-    async fn submission(&self, operator: &Operator) -> Result<Submission> {
+    async fn submission(&self, operator: &OperatorClient) -> Result<Submission> {
         let text = read_text(&self.file)?;
         let edits =
             if self.edits { parse_edits(&text) } else { self.diff(operator, &text).await? };
@@ -62,7 +62,7 @@
 
     async fn diff(
         &self,
-        operator: &Operator,
+        operator: &OperatorClient,
         text: &str,
     ) -> Result<Vec<crate::config::revision::Edit>> {
         parse(text).map_err(|f| findings_error(&self.file, &f))?;
@@ -82,7 +82,7 @@
         Ok(old.diff(&new))
     }
 
-    async fn changes_since(&self, operator: &Operator) -> Result<String> {
+    async fn changes_since(&self, operator: &OperatorClient) -> Result<String> {
         let rows: Vec<Value> = operator.get(&format!("revisions?after={}", self.base)).await?;
         let lines = rows.iter().flat_map(|r| {
             let edits = r["edits"].as_array().cloned().unwrap_or_default();
@@ -106,7 +106,7 @@
 /// `BadConfig` with findings, `Conflict`, or `Io`.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
-        let operator = Operator::new(&args.router, &args.key)?;
+        let operator = OperatorClient::new(&args.router, &args.key)?;
         let submission = args.submission(&operator).await?;
         let revision = operator.submit(&submission).await?;
         if !args.quiet {
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,10 +1,11 @@
-//! Finds the lines of a structured log that tell what became of a request.
+//! Finds the log lines that explain the outcome of a request.
 
-/// Kinds of lines that tell what a router believes, whichever request it serves.
-const BELIEFS: [&str; 5] = ["store", "config", "members", "stop", "start"];
+/// Events that report the state of a router rather than the processing of one request.
+const STATE_EVENTS: [&str; 5] = ["store", "config", "members", "stop", "start"];
 
+/// Returns the value of `key=value` in a log line.
 fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
-    let fields = line.split(' ').filter_map(|f| f.split_once('='));
+    let fields = line.split(' ').filter_map(|field_text| field_text.split_once('='));
     fields.into_iter().find(|(n, _)| *n == name).map(|(_, v)| v)
 }
 
@@ -12,24 +13,28 @@
     field(line, "event").unwrap_or_default()
 }
 
-/// The lines of `text` that name the request, each marked with `>`, and before the first one
-/// the newest line of each belief, and of each target that the request met.
+/// Returns the lines of the log `text` that belong to request `id`, each marked with `>`. Also
+/// returned are the last state lines before the first of these: one of each event in
+/// [`STATE_EVENTS`], and one of each target that the request was sent to.
+///
+/// The result is empty if no line belongs to the request.
 pub fn explain(id: &str, text: &str) -> Vec<String> {
     let lines: Vec<&str> = text.lines().collect();
-    let own: Vec<usize> = (0..lines.len()).filter(|i| field(lines[*i], "id") == Some(id)).collect();
-    let Some(first) = own.first().copied() else { return Vec::new() };
-    let targets: Vec<&str> = own.iter().filter_map(|i| field(lines[*i], "target")).collect();
-    let mut shown = own.clone();
-    for kind in BELIEFS {
-        shown.extend((0..first).rev().find(|i| event(lines[*i]) == kind));
+    let matching: Vec<usize> =
+        (0..lines.len()).filter(|i| field(lines[*i], "id") == Some(id)).collect();
+    let Some(first) = matching.first().copied() else { return Vec::new() };
+    let targets: Vec<&str> = matching.iter().filter_map(|i| field(lines[*i], "target")).collect();
+    let mut selected = matching.clone();
+    for kind in STATE_EVENTS {
+        selected.extend((0..first).rev().find(|i| event(lines[*i]) == kind));
     }
     for target in targets {
-        let of_target =
+        let is_state_of_target =
             |i: &usize| event(lines[*i]) == "target" && field(lines[*i], "target") == Some(target);
-        shown.extend((0..first).rev().find(of_target));
+        selected.extend((0..first).rev().find(is_state_of_target));
     }
-    shown.sort_unstable();
-    shown.dedup();
-    let mark = |i: &usize| if own.binary_search(i).is_ok() { ">" } else { " " };
-    shown.iter().map(|i| format!("{} {}", mark(i), lines[*i])).collect()
+    selected.sort_unstable();
+    selected.dedup();
+    let mark = |i: &usize| if matching.binary_search(i).is_ok() { ">" } else { " " };
+    selected.iter().map(|i| format!("{} {}", mark(i), lines[*i])).collect()
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,4 +1,4 @@
-//! A client of the operators' API.
+//! HTTP client of the operator API.
 
 use std::time::Duration;
 
@@ -11,34 +11,34 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::Revision;
 
-/// Attempts of a submission whose answer was lost.
+/// Maximum attempts to send a submission if the platform or the router does not answer.
 const SUBMIT_ATTEMPTS: u32 = 20;
-/// Pause between them.
-const SUBMIT_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before a submission is retried.
+const SUBMIT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// An operator at one router.
+/// A client of the operator API of one router.
 #[derive(Clone, Debug)]
-pub struct Operator {
+pub struct OperatorClient {
     http: reqwest::Client,
     addr: String,
     key: String,
 }
 
-impl Operator {
-    /// An operator who asks the router at `addr` (`ip:port`).
+impl OperatorClient {
+    /// Creates a client for the router at `addr` (`ip:port`). `key` is the operator key.
     ///
     /// # Errors
-    /// `Io` when the HTTP client cannot be set up.
-    pub fn new(addr: &str, key: &str) -> Result<Operator> {
+    /// `Io` if the HTTP client cannot be created.
+    pub fn new(addr: &str, key: &str) -> Result<OperatorClient> {
         let http =
             reqwest::Client::builder().timeout(Duration::from_secs(60)).no_proxy().build()?;
-        Ok(Operator { http, addr: addr.into(), key: key.into() })
+        Ok(OperatorClient { http, addr: addr.into(), key: key.into() })
     }
 
-    /// Reads `/operator/PATH`.
+    /// Sends `GET /operator/PATH` and decodes the JSON body.
     ///
     /// # Errors
-    /// The refusal, or `Io`.
+    /// The error that the router returned, or `Io` if it cannot be reached.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
         let req =
             self.http.get(format!("http://{}/operator/{path}", self.addr)).bearer_auth(&self.key);
@@ -51,13 +51,13 @@
         Ok(refusal(req.json(body).send().await?).await?.json().await?)
     }
 
-    /// Hands in a submission. Repeated under the same id while the answer is lost, so that it
-    /// takes effect once.
+    /// Submits a change of the configuration and returns the new revision. If no answer arrives, the
+    /// submission is retried with the same id, so that it takes effect only once.
     ///
     /// # Errors
-    /// `BadConfig`, `Conflict`, or what the last attempt met.
+    /// `BadConfig`, `Conflict`, or the error of the last attempt.
     pub async fn submit(&self, submission: &Submission) -> Result<Revision> {
-        let mut last = Error::new(Kind::Io, "not sent");
+        let mut last = Error::new(Kind::Io, "the submission was not sent");
         for _ in 0..SUBMIT_ATTEMPTS {
             match self.post("submit", submission).await {
                 Ok(v) => return Ok(Revision(v["revision"].as_u64().unwrap_or(0))),
@@ -66,7 +66,7 @@
                 }
                 Err(e) => return Err(e),
             }
-            tokio::time::sleep(SUBMIT_PAUSE).await;
+            tokio::time::sleep(SUBMIT_RETRY_DELAY).await;
         }
         Err(last)
     }
--- a/src/oplog.rs
+++ b/src/oplog.rs
@@ -1,9 +1,9 @@
-//! Structured log lines on standard output, bounded in volume and never blocking.
+//! Structured log of bounded volume. Writing a line never blocks the caller.
 //!
-//! A line is `time_ms kind key=value …`. Lines gather in memory and go out in one write at a
-//! time from a task of its own. Each kind has a limit of lines a second; failures and changes
-//! of belief have a higher one than routine decisions. What does not fit is counted, and the
-//! count is printed.
+//! A line has the form `t_ms=TIME event=KIND key=value …`. Lines are buffered in memory, and a
+//! separate task writes them out. Each kind of event has a maximum number of lines per second, which
+//! is higher for failures and state changes than for routine decisions. Lines beyond it are dropped,
+//! and the log reports their number.
 
 use std::cell::RefCell;
 use std::fmt::{Arguments, Write};
@@ -12,18 +12,19 @@
 
 use tokio::time::{Instant, sleep};
 
-/// Lines a second of each kind that reports a failure or a changed belief. A router at its full
-/// rate of about 30 requests a second can report every one of them.
-const NOTES_PER_S: u32 = 60;
-/// Lines a second of each kind that reports routine.
-const ROUTINE_PER_S: u32 = 40;
-/// Bytes that may wait to be written; beyond it lines are dropped and counted.
-const MAX_WAITING: usize = 128 * 1024;
-/// Pause between two writes. Each one is a system call and a wake-up.
-const FLUSH: Duration = Duration::from_millis(250);
+/// Maximum lines per second of each kind that reports failures or state changes. A router at its
+/// full rate of about 30 requests per second can report each of them.
+const NOTE_LINES_PER_S: u32 = 60;
+/// Maximum lines per second of each kind that reports routine decisions.
+const ROUTINE_LINES_PER_S: u32 = 40;
+/// Maximum size of the buffer. While it is exceeded, lines are dropped and counted.
+const MAX_BUFFERED_BYTES: usize = 128 * 1024;
+/// Interval between writes. Each write costs a system call and a wake-up.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
+/// Lines of one kind in the current second, including dropped ones.
 #[derive(Debug)]
-struct Allowance {
+struct LineCounter {
     kind: &'static str,
     second: u64,
     lines: u32,
@@ -33,12 +34,13 @@
 struct Buffer {
     start: Instant,
     text: String,
-    allowances: Vec<Allowance>,
-    dropped: u64,
-    ever_dropped: u64,
+    counters: Vec<LineCounter>,
+    /// Lines dropped since the last `log_dropped` line.
+    unreported_dropped: u64,
+    total_dropped: u64,
 }
 
-/// A handle to the log of this process.
+/// A handle to the log of this process. Clones share the buffer.
 #[derive(Clone, Debug)]
 pub struct Log(Rc<RefCell<Buffer>>);
 
@@ -49,61 +51,66 @@
 }
 
 impl Log {
-    /// An empty log.
+    /// Creates an empty log, whose timestamps start at zero.
     pub fn new() -> Log {
         Log(Rc::new(RefCell::new(Buffer {
             start: Instant::now(),
             text: String::new(),
-            allowances: Vec::new(),
-            dropped: 0,
-            ever_dropped: 0,
+            counters: Vec::new(),
+            unreported_dropped: 0,
+            total_dropped: 0,
         })))
     }
 
-    /// A failure, or a decision that changed what the process believes.
+    /// Logs a failure or a change of the process's state.
     pub fn note(&self, kind: &'static str, fields: Arguments<'_>) {
-        self.line(kind, NOTES_PER_S, fields);
+        self.line(kind, NOTE_LINES_PER_S, fields);
     }
 
-    /// A routine decision.
+    /// Logs a routine decision.
     pub fn routine(&self, kind: &'static str, fields: Arguments<'_>) {
-        self.line(kind, ROUTINE_PER_S, fields);
+        self.line(kind, ROUTINE_LINES_PER_S, fields);
     }
 
-    fn line(&self, kind: &'static str, per_s: u32, fields: Arguments<'_>) {
-        let mut buf = self.0.borrow_mut();
-        let ms = buf.start.elapsed().as_millis();
-        if !buf.admits(kind, per_s, u64::try_from(ms / 1_000).unwrap_or(u64::MAX)) {
-            buf.dropped += 1;
-            buf.ever_dropped += 1;
+    fn line(&self, kind: &'static str, max_per_s: u32, fields: Arguments<'_>) {
+        let mut buffer = self.0.borrow_mut();
+        let elapsed_ms = buffer.start.elapsed().as_millis();
+        if !buffer.is_within_limits(
+            kind,
+            max_per_s,
+            u64::try_from(elapsed_ms / 1_000).unwrap_or(u64::MAX),
+        ) {
+            buffer.unreported_dropped += 1;
+            buffer.total_dropped += 1;
             return;
         }
-        // Writing into a string cannot fail.
-        let _ = writeln!(buf.text, "t_ms={ms} event={kind} {fields}");
+        // Writing to a string cannot fail.
+        let _ = writeln!(buffer.text, "t_ms={elapsed_ms} event={kind} {fields}");
     }
 
-    /// Takes what is to be written next.
+    /// Removes and returns the buffered lines, with a `log_dropped` line if lines were dropped.
     pub fn take(&self) -> String {
-        let mut buf = self.0.borrow_mut();
-        if buf.dropped > 0 {
-            let (n, ms) = (buf.dropped, buf.start.elapsed().as_millis());
-            buf.dropped = 0;
-            let _ = writeln!(buf.text, "t_ms={ms} event=log_dropped lines={n}");
+        let mut buffer = self.0.borrow_mut();
+        if buffer.unreported_dropped > 0 {
+            let (lines, elapsed_ms) =
+                (buffer.unreported_dropped, buffer.start.elapsed().as_millis());
+            buffer.unreported_dropped = 0;
+            let _ = writeln!(buffer.text, "t_ms={elapsed_ms} event=log_dropped lines={lines}");
         }
-        std::mem::take(&mut buf.text)
+        std::mem::take(&mut buffer.text)
     }
 
-    /// Lines that were dropped since the start.
+    /// Returns the number of lines dropped since the start.
     pub fn lines_dropped(&self) -> u64 {
-        self.0.borrow().ever_dropped
+        self.0.borrow().total_dropped
     }
 
-    /// Writes lines to `out` until the process ends. A reader that has stalled holds up only
-    /// this task: meanwhile lines gather up to the bound and are then dropped.
+    /// Writes lines to `out` until a write fails. A reader that has stalled blocks only this task.
+    /// Meanwhile lines are buffered up to the limit and then dropped.
     pub async fn run(self, mut out: impl tokio::io::AsyncWrite + Unpin) {
         use tokio::io::AsyncWriteExt;
         loop {
-            sleep(FLUSH).await;
+            sleep(FLUSH_INTERVAL).await;
             let text = self.take();
             if !text.is_empty() && out.write_all(text.as_bytes()).await.is_err() {
                 return;
@@ -113,23 +120,24 @@
 }
 
 impl Buffer {
-    fn admits(&mut self, kind: &'static str, per_s: u32, second: u64) -> bool {
-        if self.text.len() > MAX_WAITING {
+    /// Counts a line of `kind` and returns whether the limits of rate and buffer size permit it.
+    fn is_within_limits(&mut self, kind: &'static str, max_per_s: u32, second: u64) -> bool {
+        if self.text.len() > MAX_BUFFERED_BYTES {
             return false;
         }
-        let i = match self.allowances.iter().position(|a| a.kind == kind) {
+        let i = match self.counters.iter().position(|counter| counter.kind == kind) {
             Some(i) => i,
             None => {
-                self.allowances.push(Allowance { kind, second, lines: 0 });
-                self.allowances.len() - 1
+                self.counters.push(LineCounter { kind, second, lines: 0 });
+                self.counters.len() - 1
             }
         };
-        let a = &mut self.allowances[i];
-        if a.second != second {
-            a.second = second;
-            a.lines = 0;
+        let counter = &mut self.counters[i];
+        if counter.second != second {
+            counter.second = second;
+            counter.lines = 0;
         }
-        a.lines += 1;
-        a.lines <= per_s
+        counter.lines += 1;
+        counter.lines <= max_per_s
     }
 }
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -16,7 +16,7 @@
 use crate::config::store::Submission;
 use crate::error::Result;
 use crate::ids::{Digest, Millis, Revision, ZoneId};
-use crate::operator::Operator;
+use crate::operator::OperatorClient;
 use crate::router::start::RunningRouter;
 use crate::table::memory::Memory;
 use crate::table::{Instance, InstanceState};
@@ -159,7 +159,7 @@
 /// # Errors
 /// `BadConfig`, `Conflict` or `Io`.
 pub async fn submit_first(router: SocketAddr, text: &str) -> Result<Revision> {
-    let operator = Operator::new(&router.to_string(), OPERATOR_KEY)?;
+    let operator = OperatorClient::new(&router.to_string(), OPERATOR_KEY)?;
     let edits = Document::default().diff(&Document::parse(text));
     let id = CompactString::from(Digest::of(text.as_bytes()).to_string());
     operator.submit(&Submission { id, base: Revision(0), edits, merge: false }).await
