--- a/src/audit.rs
+++ b/src/audit.rs
@@ -10,7 +10,7 @@
 use crate::config::Config;
 use crate::error::Result;
 use crate::ids::Tokens;
-use crate::load::Record;
+use crate::load::RequestRecord;
 use crate::table::{Table, read_one, scan_all};
 
 /// The result of an audit.
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 /// `PlatformAway` if the table cannot be read, `BadFormat` if a row cannot be decoded.
-pub async fn audit<T: Table>(table: &T, cfg: &Config, records: &[Record]) -> Result<Audit> {
+pub async fn audit<T: Table>(table: &T, cfg: &Config, records: &[RequestRecord]) -> Result<Audit> {
     let rows = scan_all(table, "bill/").await?;
     let bills: Vec<Bill> = rows.iter().map(|r| r.decode()).collect::<Result<_>>()?;
     let mut by_key: BTreeMap<(&str, &str), Vec<&Bill>> = BTreeMap::new();
@@ -84,7 +84,7 @@
             continue;
         };
         result.answered += 1;
-        result.wrong += usize::from(!r.right);
+        result.wrong += usize::from(!r.is_correct);
         match by_key.get(&(r.organisation.as_str(), r.key.as_str())) {
             None => result.unbilled += 1,
             Some(b) => result.differing += usize::from(b[0].cost != Tokens(t.total_tokens)),
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,5 +1,5 @@
-//! A caller: asks which routers to use, sends requests with a key, resumes elsewhere when a
-//! router dies, and checks that its answer is whole.
+//! Client of the caller API. It asks which routers to use, sends requests with an idempotency key,
+//! resumes an interrupted stream at another router, and verifies that the answer is complete.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -13,56 +13,56 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, RequestKey, ZoneId};
 
-/// Pause before another router is tried.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Silence in a stream after which the caller comes back elsewhere.
-const SILENCE: Duration = Duration::from_secs(6);
+/// Delay before a request is retried at another router.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time without data after which a stream is abandoned and resumed at another router.
+const READ_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A caller of one organisation.
+/// A client with the API key of one organisation. Clones share the cached router addresses.
 #[derive(Clone, Debug)]
 pub struct Caller {
     http: reqwest::Client,
-    first: Vec<String>,
+    initial_routers: Vec<String>,
     api_key: String,
     zone: Option<ZoneId>,
-    known: Arc<Mutex<Option<Known>>>,
+    cached_addresses: Arc<Mutex<Option<CachedAddresses>>>,
 }
 
-/// Addresses and the time until which they hold.
-type Known = (Instant, Vec<String>);
+/// Expiry time and addresses of routers.
+type CachedAddresses = (Instant, Vec<String>);
 
 /// A chat request.
 #[derive(Clone, Debug)]
 pub struct ChatCall {
-    /// The service.
+    /// Name of the model service.
     pub model: String,
-    /// What the user says.
+    /// Content of the user's message.
     pub content: String,
-    /// Answer tokens at most.
+    /// Maximum number of output tokens.
     pub max_tokens: u64,
-    /// The key under which it may be retried.
+    /// Idempotency key. Retries use the same key.
     pub key: RequestKey,
-    /// 0 to 9.
+    /// Priority from 0 to 9.
     pub priority: u8,
-    /// How long to go on trying.
-    pub patience: Duration,
+    /// Total time for the request and its retries.
+    pub retry_timeout: Duration,
 }
 
-/// What a caller got.
+/// A complete answer.
 #[derive(Clone, Debug)]
-pub struct Transcript {
-    /// The answer's text.
+pub struct ChatAnswer {
+    /// Text of the answer.
     pub text: String,
-    /// What the router says it cost.
+    /// Cost in tokens, of prompt and output, as reported by the router.
     pub total_tokens: u64,
-    /// Routers asked.
+    /// Number of attempts, including the successful one.
     pub attempts: u32,
-    /// Time to the first token.
-    pub first: Duration,
-    /// Time of the whole.
-    pub total: Duration,
-    /// Answer tokens.
-    pub tokens: u64,
+    /// Time from the start of the call to the first token.
+    pub time_to_first_token: Duration,
+    /// Time from the start of the call to the end of the answer.
+    pub total_time: Duration,
+    /// Number of output tokens.
+    pub output_tokens: u64,
 }
 
 #[derive(Debug)]
@@ -78,47 +78,65 @@
     message: String,
 }
 
-/// An answer as it comes together over one or more streams.
+/// An answer that is being received, over one stream or several.
 #[derive(Debug, Default)]
-struct Growing {
+struct PartialAnswer {
     text: String,
+    /// Id of the last event, with which the stream can be resumed.
     last_id: Option<String>,
-    tokens: u64,
-    first: Option<Duration>,
-    whole: Option<u64>,
+    output_tokens: u64,
+    time_to_first_token: Option<Duration>,
+    /// Total token count, which is reported at the end of the stream.
+    usage_total: Option<u64>,
 }
 
 impl Caller {
-    /// A caller that first asks one of `first` (`ip:port`).
+    /// Creates a client that asks `initial_routers` (`ip:port`) for the addresses to use. Routers in
+    /// `zone` are preferred.
     ///
     /// # Errors
-    /// `Io` when the HTTP client cannot be set up.
-    pub fn new(first: Vec<String>, api_key: &str, zone: Option<ZoneId>) -> Result<Caller> {
+    /// `Io` if the HTTP client cannot be created.
+    pub fn new(
+        initial_routers: Vec<String>,
+        api_key: &str,
+        zone: Option<ZoneId>,
+    ) -> Result<Caller> {
         let builder = reqwest::Client::builder()
             .connect_timeout(Duration::from_millis(500))
-            .read_timeout(SILENCE);
+            .read_timeout(READ_TIMEOUT);
         let http = builder.no_proxy().tcp_nodelay(true).build()?;
-        Ok(Caller { http, first, api_key: api_key.into(), zone, known: Arc::default() })
+        Ok(Caller {
+            http,
+            initial_routers,
+            api_key: api_key.into(),
+            zone,
+            cached_addresses: Arc::default(),
+        })
     }
 
-    /// The addresses to use now, best first.
+    /// Returns the addresses of routers to use, in order of preference. They are cached for the
+    /// lifetime that the router gave.
     ///
     /// # Errors
-    /// `Unauthorized` for a wrong API key, `Io` when no router can be reached.
+    /// `Unauthorized` if the API key is wrong, `Io` if no router can be reached.
     pub async fn addresses(&self) -> Result<Vec<String>> {
-        if let Some((until, list)) = self.known.lock().expect("never poisoned").clone()
+        if let Some((until, list)) = self.cached_addresses.lock().expect("never poisoned").clone()
             && Instant::now() < until
         {
             return Ok(list);
         }
         let mut last = Error::new(Kind::Io, "no router can be reached");
-        let kept =
-            self.known.lock().expect("never poisoned").clone().map_or(Vec::new(), |(_, l)| l);
-        for addr in kept.iter().chain(&self.first) {
-            match self.ask(addr).await {
+        let cached = self
+            .cached_addresses
+            .lock()
+            .expect("never poisoned")
+            .clone()
+            .map_or(Vec::new(), |(_, l)| l);
+        for addr in cached.iter().chain(&self.initial_routers) {
+            match self.fetch_addresses(addr).await {
                 Ok(a) if !a.addresses.is_empty() => {
                     let until = Instant::now() + Duration::from_millis(a.lifetime_ms);
-                    *self.known.lock().expect("never poisoned") =
+                    *self.cached_addresses.lock().expect("never poisoned") =
                         Some((until, a.addresses.clone()));
                     return Ok(a.addresses);
                 }
@@ -130,58 +148,63 @@
         Err(last)
     }
 
-    /// Asks one router for addresses.
+    /// Asks the router at `addr` which routers to use.
     ///
     /// # Errors
-    /// `Unauthorized`, or `Io`.
-    pub async fn ask(&self, addr: &str) -> Result<EntryAnswer> {
+    /// `Unauthorized` if the API key is wrong, `Io` if the router cannot be reached.
+    pub async fn fetch_addresses(&self, addr: &str) -> Result<EntryAnswer> {
         let zone = self.zone.as_ref().map_or(String::new(), |z| format!("?zone={z}"));
         let req = self.http.get(format!("http://{addr}/v1/entry{zone}")).bearer_auth(&self.api_key);
         let resp = req.timeout(Duration::from_secs(2)).send().await?;
-        Ok(refusal(resp).await?.json().await?)
+        Ok(check_status(resp).await?.json().await?)
     }
 
-    fn forget_addresses(&self) {
-        if let Some((until, _)) = self.known.lock().expect("never poisoned").as_mut() {
+    fn expire_cached_addresses(&self) {
+        if let Some((until, _)) = self.cached_addresses.lock().expect("never poisoned").as_mut() {
             *until = Instant::now();
         }
     }
 
-    /// Sends a chat request and stays with it until the answer is whole, or it is refused for
-    /// good, or patience ends. `seen` gets the text as it comes.
+    /// Sends a chat request and retries it until the answer is complete, a final error is returned,
+    /// or `call.retry_timeout` has passed. `on_text` is called with each piece of text as it
+    /// arrives.
     ///
     /// # Errors
-    /// The refusal, or `Timeout`.
+    /// The final error of a router, or `Timeout` with the error of the last attempt.
     pub async fn chat<F: FnMut(&str) + Send>(
         &self,
         call: &ChatCall,
-        mut seen: F,
-    ) -> Result<Transcript> {
-        let began = Instant::now();
-        let mut g = Growing::default();
+        mut on_text: F,
+    ) -> Result<ChatAnswer> {
+        let started_at = Instant::now();
+        let mut partial = PartialAnswer::default();
         let mut attempts = 0;
-        let mut last = Error::new(Kind::Timeout, "patience ended before the first attempt");
-        while began.elapsed() < call.patience {
+        let mut last = Error::new(Kind::Timeout, "the request timed out before the first attempt");
+        while started_at.elapsed() < call.retry_timeout {
             let addresses = self.addresses().await?;
             let addr = &addresses[attempts as usize % addresses.len()];
             attempts += 1;
-            let rest = call.patience.saturating_sub(began.elapsed());
-            let read = self.read(addr, call, &mut g, began, &mut seen);
-            match tokio::time::timeout(rest, read).await {
+            let remaining = call.retry_timeout.saturating_sub(started_at.elapsed());
+            let read_stream = self.read_stream(addr, call, &mut partial, started_at, &mut on_text);
+            match tokio::time::timeout(remaining, read_stream).await {
                 Ok(Ok(total_tokens)) => {
-                    let first = g.first.unwrap_or_else(|| began.elapsed());
-                    let (text, tokens) = (g.text, g.tokens);
-                    return Ok(Transcript {
+                    let time_to_first_token =
+                        partial.time_to_first_token.unwrap_or_else(|| started_at.elapsed());
+                    let (text, output_tokens) = (partial.text, partial.output_tokens);
+                    return Ok(ChatAnswer {
                         text,
                         total_tokens,
                         attempts,
-                        first,
-                        total: began.elapsed(),
-                        tokens,
+                        time_to_first_token,
+                        total_time: started_at.elapsed(),
+                        output_tokens,
                     });
                 }
                 Ok(Err(e)) if e.kind == Kind::RunLost => {
-                    g = Growing { first: g.first, ..Growing::default() }
+                    partial = PartialAnswer {
+                        time_to_first_token: partial.time_to_first_token,
+                        ..PartialAnswer::default()
+                    }
                 }
                 Ok(Err(e)) if !e.kind.properties().retryable || e.kind == Kind::BudgetExhausted => {
                     return Err(e);
@@ -189,19 +212,24 @@
                 Ok(Err(e)) => last = e,
                 Err(_) => break,
             }
-            self.forget_addresses();
-            tokio::time::sleep(RETRY_PAUSE).await;
+            self.expire_cached_addresses();
+            tokio::time::sleep(RETRY_DELAY).await;
         }
-        Err(Error::new(Kind::Timeout, format!("patience ended after {attempts} attempts: {last}")))
+        Err(Error::new(
+            Kind::Timeout,
+            format!("the request timed out after {attempts} attempts; last error: {last}"),
+        ))
     }
 
-    async fn read<F: FnMut(&str) + Send>(
+    /// Makes one attempt, and resumes the stream after the last received event. Returns the total
+    /// token count.
+    async fn read_stream<F: FnMut(&str) + Send>(
         &self,
         addr: &str,
         call: &ChatCall,
-        g: &mut Growing,
-        began: Instant,
-        seen: &mut F,
+        partial: &mut PartialAnswer,
+        started_at: Instant,
+        on_text: &mut F,
     ) -> Result<u64> {
         let body = json!({
             "model": call.model,
@@ -214,40 +242,41 @@
         req = req
             .header(IDEMPOTENCY_KEY, call.key.as_str())
             .header(PRIORITY, call.priority.to_string());
-        if let Some(id) = &g.last_id {
+        if let Some(id) = &partial.last_id {
             req = req.header(LAST_EVENT_ID, id);
         }
-        let mut resp = refusal(req.json(&body).send().await?).await?;
-        let mut buf = String::new();
+        let mut resp = check_status(req.json(&body).send().await?).await?;
+        let mut buffer = String::new();
         while let Some(chunk) = resp.chunk().await? {
-            buf += std::str::from_utf8(&chunk)
-                .map_err(|_| Error::new(Kind::BadFormat, "a stream must be UTF-8"))?;
-            while let Some(end) = buf.find("\n\n") {
-                let event: String = buf.drain(..end + 2).collect();
-                g.take(&event, began, seen)?;
+            buffer += std::str::from_utf8(&chunk)
+                .map_err(|_| Error::new(Kind::BadFormat, "the stream is not valid UTF-8"))?;
+            while let Some(end) = buffer.find("\n\n") {
+                let event: String = buffer.drain(..end + 2).collect();
+                partial.apply_event(&event, started_at, on_text)?;
             }
-            if let Some(total) = g.whole {
+            if let Some(total) = partial.usage_total {
                 return Ok(total);
             }
         }
-        Err(Error::new(Kind::Io, "the stream was cut"))
+        Err(Error::new(Kind::Io, "the stream ended before the answer was complete"))
     }
 
-    /// Calls a plain service at the routers in turn until there is a final answer.
+    /// Calls a plain service and returns status and body. The routers are tried in turn until one
+    /// returns a result or a final error.
     ///
     /// # Errors
-    /// The refusal, or `Timeout`.
+    /// The final error of a router, or that of the last attempt if `retry_timeout` has passed.
     pub async fn service(
         &self,
         path: &str,
         body: &str,
         key: &RequestKey,
-        patience: Duration,
+        retry_timeout: Duration,
     ) -> Result<(u16, String)> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut attempts = 0;
-        let mut last = Error::new(Kind::Timeout, "patience ended");
-        while began.elapsed() < patience {
+        let mut last = Error::new(Kind::Timeout, "the request timed out before the first attempt");
+        while started_at.elapsed() < retry_timeout {
             let addresses = self.addresses().await?;
             let addr = &addresses[attempts % addresses.len()];
             attempts += 1;
@@ -257,24 +286,30 @@
                 .bearer_auth(&self.api_key);
             let sent =
                 req.header(IDEMPOTENCY_KEY, key.as_str()).body(body.to_string()).send().await;
-            let answered = match sent {
-                Ok(resp) => refusal(resp).await,
+            let outcome = match sent {
+                Ok(resp) => check_status(resp).await,
                 Err(e) => Err(e.into()),
             };
-            match answered {
+            match outcome {
                 Ok(resp) => return Ok((resp.status().as_u16(), resp.text().await?)),
                 Err(e) if !e.kind.properties().retryable => return Err(e),
                 Err(e) => last = e,
             }
-            self.forget_addresses();
-            tokio::time::sleep(RETRY_PAUSE).await;
+            self.expire_cached_addresses();
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         Err(last)
     }
 }
 
-impl Growing {
-    fn take<F: FnMut(&str)>(&mut self, event: &str, began: Instant, seen: &mut F) -> Result<()> {
+impl PartialAnswer {
+    /// Parses one server-sent event and adds its content.
+    fn apply_event<F: FnMut(&str)>(
+        &mut self,
+        event: &str,
+        started_at: Instant,
+        on_text: &mut F,
+    ) -> Result<()> {
         let mut id = None;
         let mut data = "";
         for line in event.lines() {
@@ -293,9 +328,9 @@
             return Err(Error::new(e.error.kind, e.error.message));
         }
         if let Some(text) = v["choices"][0]["delta"]["content"].as_str() {
-            self.first.get_or_insert_with(|| began.elapsed());
+            self.time_to_first_token.get_or_insert_with(|| started_at.elapsed());
             self.text += text;
-            seen(text);
+            on_text(text);
         }
         if id.is_some() {
             self.last_id = id;
@@ -306,28 +341,34 @@
         Ok(())
     }
 
-    /// The end of the stream tells the digest of the whole text: a hole would show here.
+    /// Ends the answer. The digest of the whole text shows whether a part of it was lost when the
+    /// stream was resumed.
     fn finish(&mut self, digest: &str, usage: &Value) -> Result<()> {
         if Digest::of(self.text.as_bytes()).to_string() != digest {
-            return Err(Error::new(Kind::RunLost, "the answer does not match its digest"));
+            return Err(Error::new(
+                Kind::RunLost,
+                "the received text does not match the digest of the answer",
+            ));
         }
-        self.tokens = usage["completion_tokens"].as_u64().unwrap_or(0);
-        self.whole = usage["total_tokens"].as_u64();
+        self.output_tokens = usage["completion_tokens"].as_u64().unwrap_or(0);
+        self.usage_total = usage["total_tokens"].as_u64();
         Ok(())
     }
 }
 
-/// Turns a refusal into its error.
+/// Returns the response if its status is a success.
 ///
 /// # Errors
-/// The refusal; `Io` for an answer that is none of ours.
-pub async fn refusal(resp: reqwest::Response) -> Result<reqwest::Response> {
+/// The error in the body, or `Io` if the body is not an error of the API.
+pub async fn check_status(resp: reqwest::Response) -> Result<reqwest::Response> {
     if resp.status().is_success() {
         return Ok(resp);
     }
     let status = resp.status();
     match resp.json::<ErrorBody>().await {
         Ok(e) => Err(Error::new(e.error.kind, e.error.message)),
-        Err(_) => Err(Error::new(Kind::Io, format!("answer {status}"))),
+        Err(_) => {
+            Err(Error::new(Kind::Io, format!("HTTP status {status} without an error in the body")))
+        }
     }
 }
--- a/src/cmd/ask.rs
+++ b/src/cmd/ask.rs
@@ -31,7 +31,7 @@
 /// `Unauthorized` or `Io`.
 pub fn run(args: &Args) -> Result<()> {
     let caller = Caller::new(vec![args.router.clone()], &args.api_key, args.zone.clone())?;
-    let answer = block_on(caller.ask(&args.router))?;
+    let answer = block_on(caller.fetch_addresses(&args.router))?;
     answer.addresses.iter().for_each(|a| println!("{a}"));
     println!("lifetime_ms={}", answer.lifetime_ms);
     Ok(())
--- a/src/cmd/call.rs
+++ b/src/cmd/call.rs
@@ -59,23 +59,23 @@
         max_tokens: args.max_tokens,
         key: args.key()?,
         priority: crate::api::DEFAULT_PRIORITY,
-        patience: args.patience.duration(),
+        retry_timeout: args.patience.duration(),
     };
     let show = |text: &str| {
         print!("{text}");
         // A closed pipe ends the show, not the request.
         let _ = std::io::stdout().flush();
     };
-    let t = block_on(caller.chat(&call, show))?;
+    let answer = block_on(caller.chat(&call, show))?;
     println!();
     println!(
         "key={} tokens={} total_tokens={} attempts={} first_ms={} total_ms={}",
         call.key,
-        t.tokens,
-        t.total_tokens,
-        t.attempts,
-        t.first.as_millis(),
-        t.total.as_millis()
+        answer.output_tokens,
+        answer.total_tokens,
+        answer.attempts,
+        answer.time_to_first_token.as_millis(),
+        answer.total_time.as_millis()
     );
     Ok(())
 }
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -12,7 +12,7 @@
 use crate::config::parse::parse;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, ZoneId};
-use crate::load::{Member, Shape, run as run_load, summarize};
+use crate::load::{LoadProfile, LoadSource, run as run_load, summarize};
 use crate::standin::fleet::{PlatformHost, RouterHost, TargetHost, router_settings, submit_first};
 use crate::standin::platform::PlatformLimits;
 use crate::standin::target::TargetSetup;
@@ -102,14 +102,14 @@
         cfg: &Config,
     ) -> Result<Audit> {
         let addresses: Vec<String> = routers.iter().map(|r| r.api.to_string()).collect();
-        let members = ORGANISATIONS
+        let sources = ORGANISATIONS
             .iter()
             .map(|(name, _, share)| {
                 let caller = Caller::new(addresses.clone(), &api_key(name), None)?;
-                Ok(Member { caller, organisation: (*name).into(), share: *share })
+                Ok(LoadSource { caller, organisation: (*name).into(), share: *share })
             })
             .collect::<Result<Vec<_>>>()?;
-        let shape = Shape {
+        let profile = LoadProfile {
             rate: self.rate,
             requests: self.requests,
             burst: 2.0,
@@ -117,12 +117,12 @@
             max_tokens: 64,
             prompt_bytes: 200,
             prefixes: 8,
-            patience: Duration::from_secs(15),
+            retry_timeout: Duration::from_secs(15),
             seed: self.seed,
             label: format!("demo-{}", self.seed),
         };
-        let began = Instant::now();
-        let load = tokio::spawn(async move { run_load(&members, &shape).await });
+        let started_at = Instant::now();
+        let load = tokio::spawn(async move { run_load(&sources, &profile).await });
         if !self.no_kill {
             let half = Duration::from_secs_f64(self.requests as f64 / self.rate * 0.4);
             tokio::time::sleep(half).await;
@@ -135,7 +135,7 @@
             victim.kill();
         }
         let records = load.await.map_err(|e| Error::new(Kind::Io, e.to_string()))?;
-        let summary = summarize(&records, began.elapsed());
+        let summary = summarize(&records, started_at.elapsed());
         println!("load={}", serde_json::to_string(&summary)?);
         let mut result = audit(&platform.memory, cfg, &records).await?;
         let limit = Instant::now() + SETTLE;
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -7,7 +7,7 @@
 use crate::client::Caller;
 use crate::error::{Error, Kind, Result};
 use crate::ids::Millis;
-use crate::load::{Member, Shape, run as run_load, summarize};
+use crate::load::{LoadProfile, LoadSource, run as run_load, summarize};
 
 /// Send seeded open-loop load and print latencies
 ///
@@ -56,21 +56,21 @@
 }
 
 impl Args {
-    fn members(&self) -> Result<Vec<Member>> {
+    fn sources(&self) -> Result<Vec<LoadSource>> {
         let bad =
             |o: &str| Error::new(Kind::BadRequest, format!("{o:?} is not NAME:API_KEY:SHARE"));
-        let member = |o: &String| {
+        let source = |o: &String| {
             let parts: Vec<&str> = o.split(':').collect();
             let [name, key, share] = parts[..] else { return Err(bad(o)) };
             let share = share.parse().map_err(|_| bad(o))?;
             let caller = Caller::new(self.router.clone(), key, None)?;
-            Ok(Member { caller, organisation: name.into(), share })
+            Ok(LoadSource { caller, organisation: name.into(), share })
         };
-        self.org.iter().map(member).collect()
+        self.org.iter().map(source).collect()
     }
 
-    fn shape(&self) -> Shape {
-        Shape {
+    fn profile(&self) -> LoadProfile {
+        LoadProfile {
             rate: self.rate,
             requests: self.requests,
             burst: self.burst,
@@ -78,7 +78,7 @@
             max_tokens: self.max_tokens,
             prompt_bytes: self.prompt_bytes,
             prefixes: self.prefixes,
-            patience: self.patience.duration(),
+            retry_timeout: self.patience.duration(),
             seed: self.seed,
             label: format!("load-{}-{}", self.seed, std::process::id()),
         }
@@ -90,11 +90,11 @@
 /// # Errors
 /// `BadRequest` for the arguments, `Io` when no client can be set up.
 pub fn run(args: &Args) -> Result<()> {
-    let (members, shape) = (args.members()?, args.shape());
+    let (sources, profile) = (args.sources()?, args.profile());
     let summary = block_on(async {
-        let began = Instant::now();
-        let records = run_load(&members, &shape).await;
-        Ok(summarize(&records, began.elapsed()))
+        let started_at = Instant::now();
+        let records = run_load(&sources, &profile).await;
+        Ok(summarize(&records, started_at.elapsed()))
     })?;
     let value = serde_json::to_value(&summary)?;
     if args.json {
--- a/src/experiment/overhead.rs
+++ b/src/experiment/overhead.rs
@@ -116,7 +116,7 @@
         max_tokens: TOKENS,
         key: format!("k{n}").parse()?,
         priority: crate::api::DEFAULT_PRIORITY,
-        patience: Duration::from_secs(10),
+        retry_timeout: Duration::from_secs(10),
     };
     let began = Instant::now();
     caller.chat(&call, |_| {}).await?;
--- a/src/load.rs
+++ b/src/load.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: arrivals at a rate whatever the answers do, seeded, skewed, with a burst.
+//! Open-loop load generator. Requests arrive at a given rate, independently of the answers. The load
+//! is seeded, and may be skewed between organisations and have a burst.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,202 +9,206 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-use crate::client::{Caller, ChatCall, Transcript};
+use crate::client::{Caller, ChatAnswer, ChatCall};
 use crate::error::{Error, Kind};
 use crate::ids::RequestKey;
 use crate::standin::batch::{expected_token, natural_length};
 
-/// One organisation's part in a load.
+/// One organisation that sends requests.
 #[derive(Clone, Debug)]
-pub struct Member {
-    /// Its caller.
+pub struct LoadSource {
+    /// Client with the API key of the organisation.
     pub caller: Caller,
-    /// Its name, for the records.
+    /// Name of the organisation.
     pub organisation: String,
-    /// Its share of the arrivals, relative to the others'.
+    /// Weight of the organisation among all sources.
     pub share: f64,
 }
 
-/// The shape of a load.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    /// Arrivals a second.
+pub struct LoadProfile {
+    /// Mean arrivals per second.
     pub rate: f64,
-    /// Requests in all.
+    /// Total number of requests.
     pub requests: usize,
-    /// Part of the arrivals, in the middle, that come at `burst` times the rate.
+    /// Factor on the rate for the middle third of the requests.
     pub burst: f64,
-    /// The model service.
+    /// Name of the model service.
     pub model: String,
-    /// Answer tokens at most.
+    /// Maximum number of output tokens of a request.
     pub max_tokens: u64,
-    /// Bytes of prompt.
+    /// Minimum length of a prompt, in bytes.
     pub prompt_bytes: usize,
-    /// Prompts share this many different beginnings; 0: none.
+    /// Number of different prefixes that the prompts share. With 0, prompts share none.
     pub prefixes: usize,
-    /// How long each caller goes on trying.
-    pub patience: Duration,
-    /// Makes the load repeatable.
+    /// Total time for a request and its retries.
+    pub retry_timeout: Duration,
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Added to keys, so that several loads do not meet.
+    /// Prefix of the idempotency keys. Different for each load, so that loads do not share keys.
     pub label: String,
 }
 
-/// What became of one request.
+/// The outcome of one request.
 #[derive(Clone, Debug)]
-pub struct Record {
-    /// Who sent it.
+pub struct RequestRecord {
+    /// Organisation that sent the request.
     pub organisation: String,
-    /// Its key.
+    /// Idempotency key.
     pub key: RequestKey,
-    /// The answer, or why there is none.
-    pub outcome: Result<Transcript, Error>,
-    /// Whether the answer was the right one, token by token.
-    pub right: bool,
-    /// When it was sent, from the start of the load.
-    pub at: Duration,
+    /// The answer, or the final error.
+    pub outcome: Result<ChatAnswer, Error>,
+    /// Whether the text of the answer was the expected one.
+    pub is_correct: bool,
+    /// When the request was sent, as time since the start of the load.
+    pub sent_at: Duration,
 }
 
-/// Sums over a load.
+/// Totals and percentiles of a load.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
 pub struct Summary {
     /// Requests sent.
     pub requests: usize,
-    /// Whole, right answers.
+    /// Complete answers with the expected text.
     pub answered: usize,
-    /// Answers with other text than the engine gives for the prompt.
+    /// Answers whose text is not the one that the engine generates for the prompt.
     pub wrong: usize,
-    /// Refused for lack of budget.
+    /// Requests refused because the budget was exhausted.
     pub refused_budget: usize,
-    /// Refused or failed for other reasons.
+    /// Requests refused or failed for other reasons.
     pub failed: usize,
-    /// Requests that needed more than one router.
+    /// Requests answered after more than one attempt.
     pub resumed: usize,
-    /// Time to the first token, in milliseconds.
+    /// Median time to the first token, in milliseconds.
     pub first_p50_ms: f64,
-    /// Time to the first token, in milliseconds.
+    /// 95th percentile of the time to the first token, in milliseconds.
     pub first_p95_ms: f64,
-    /// Time to the first token, in milliseconds.
+    /// 99th percentile of the time to the first token, in milliseconds.
     pub first_p99_ms: f64,
-    /// Mean time between tokens of a request, at the 95th percentile over requests.
+    /// 95th percentile over all requests of a request's mean time between tokens, in milliseconds.
     pub between_p95_ms: f64,
-    /// Answer tokens a second, over the whole load.
+    /// Output tokens per second over the whole load.
     pub tokens_per_s: f64,
 }
 
-/// A prompt of the load, different for each request.
-fn prompt(shape: &Shape, n: usize, rng: &mut fastrand::Rng) -> String {
-    let mut text = match shape.prefixes {
+/// Generates the prompt of request `n`. Prompts of different requests differ.
+fn prompt(profile: &LoadProfile, n: usize, rng: &mut fastrand::Rng) -> String {
+    let mut text = match profile.prefixes {
         0 => String::new(),
-        many => format!("shared beginning {} ", rng.usize(..many)).repeat(48),
+        prefix_count => format!("shared beginning {} ", rng.usize(..prefix_count)).repeat(48),
     };
-    text += &format!("request {n} of {} ", shape.label);
-    while text.len() < shape.prompt_bytes {
+    text += &format!("request {n} of {} ", profile.label);
+    while text.len() < profile.prompt_bytes {
         text.push(char::from(rng.u8(b'a'..=b'z')));
     }
     text
 }
 
-/// Whether a text is the stand-in engine's answer to a prompt.
-fn is_right(content: &str, max_tokens: u64, text: &str) -> bool {
+/// Returns whether `text` is the answer of the stand-in engine to `content`.
+fn is_expected_answer(content: &str, max_tokens: u64, text: &str) -> bool {
     let prompt = format!("user: {content}\n");
     let n = natural_length(&prompt, max_tokens);
     let expected: String = (0..n).map(|i| expected_token(&prompt, i).to_string()).collect();
     expected == text
 }
 
-fn choose<'a>(members: &'a [Member], rng: &mut fastrand::Rng) -> &'a Member {
-    let total: f64 = members.iter().map(|m| m.share).sum();
-    let mut at = rng.f64() * total;
-    for m in members {
-        at -= m.share;
-        if at < 0.0 {
-            return m;
+/// Chooses a source at random, by weight.
+fn choose_source<'a>(sources: &'a [LoadSource], rng: &mut fastrand::Rng) -> &'a LoadSource {
+    let total: f64 = sources.iter().map(|source| source.share).sum();
+    let mut position = rng.f64() * total;
+    for source in sources {
+        position -= source.share;
+        if position < 0.0 {
+            return source;
         }
     }
-    &members[members.len() - 1]
+    &sources[sources.len() - 1]
 }
 
-/// Sends a load and waits for every answer.
-pub async fn run(members: &[Member], shape: &Shape) -> Vec<Record> {
-    let mut rng = fastrand::Rng::with_seed(shape.seed);
-    let shape = Arc::new(shape.clone());
-    let began = Instant::now();
-    let mut due = began;
-    let mut sent = JoinSet::new();
-    for n in 0..shape.requests {
-        let middle = n * 3 / shape.requests.max(1) == 1;
-        let rate = if middle { shape.rate * shape.burst } else { shape.rate };
-        // Exponential gaps: callers do not know of each other.
-        due += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / rate);
-        let member = choose(members, &mut rng).clone();
-        let content = prompt(&shape, n, &mut rng);
-        let key = format!("{}-{n}", shape.label).parse().expect("labels are names");
-        let shape = shape.clone();
-        sleep_until(due).await;
-        sent.spawn(send(member, shape, content, key, began));
+/// Sends a load and waits until every request has ended.
+pub async fn run(sources: &[LoadSource], profile: &LoadProfile) -> Vec<RequestRecord> {
+    let mut rng = fastrand::Rng::with_seed(profile.seed);
+    let profile = Arc::new(profile.clone());
+    let started_at = Instant::now();
+    let mut next_arrival = started_at;
+    let mut in_flight = JoinSet::new();
+    for n in 0..profile.requests {
+        let is_in_burst = n * 3 / profile.requests.max(1) == 1;
+        let rate = if is_in_burst { profile.rate * profile.burst } else { profile.rate };
+        // Exponential intervals, because callers send independently of each other.
+        next_arrival += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / rate);
+        let source = choose_source(sources, &mut rng).clone();
+        let content = prompt(&profile, n, &mut rng);
+        let key = format!("{}-{n}", profile.label).parse().expect("a label is a valid name");
+        let profile = profile.clone();
+        sleep_until(next_arrival).await;
+        in_flight.spawn(send(source, profile, content, key, started_at));
     }
-    let mut out = Vec::with_capacity(shape.requests);
-    while let Some(record) = sent.join_next().await {
-        out.extend(record.ok());
+    let mut records = Vec::with_capacity(profile.requests);
+    while let Some(record) = in_flight.join_next().await {
+        records.extend(record.ok());
     }
-    out
+    records
 }
 
 async fn send(
-    member: Member,
-    shape: Arc<Shape>,
+    source: LoadSource,
+    profile: Arc<LoadProfile>,
     content: String,
     key: RequestKey,
-    began: Instant,
-) -> Record {
+    started_at: Instant,
+) -> RequestRecord {
     let call = ChatCall {
-        model: shape.model.clone(),
+        model: profile.model.clone(),
         content: content.clone(),
-        max_tokens: shape.max_tokens,
+        max_tokens: profile.max_tokens,
         key: key.clone(),
         priority: crate::api::DEFAULT_PRIORITY,
-        patience: shape.patience,
+        retry_timeout: profile.retry_timeout,
     };
-    let at = began.elapsed();
-    let outcome = member.caller.chat(&call, |_| {}).await;
-    let right = outcome.as_ref().is_ok_and(|t| is_right(&content, shape.max_tokens, &t.text));
-    Record { organisation: member.organisation, key, outcome, right, at }
+    let sent_at = started_at.elapsed();
+    let outcome = source.caller.chat(&call, |_| {}).await;
+    let is_correct =
+        outcome.as_ref().is_ok_and(|t| is_expected_answer(&content, profile.max_tokens, &t.text));
+    RequestRecord { organisation: source.organisation, key, outcome, is_correct, sent_at }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are in range")
+    Histogram::new(3).expect("three significant digits are in range")
 }
 
-/// Sums records up.
-pub fn summarize(records: &[Record], took: Duration) -> Summary {
-    let mut s = Summary { requests: records.len(), ..Summary::default() };
-    let (mut first, mut between) = (histogram(), histogram());
-    let mut tokens = 0;
-    for r in records {
-        match &r.outcome {
+/// Summarizes the records of a load that took `duration`.
+pub fn summarize(records: &[RequestRecord], duration: Duration) -> Summary {
+    let mut summary = Summary { requests: records.len(), ..Summary::default() };
+    let (mut time_to_first_token, mut time_between_tokens) = (histogram(), histogram());
+    let mut output_tokens = 0;
+    for request in records {
+        match &request.outcome {
             Ok(t) => {
-                s.answered += usize::from(r.right);
-                s.wrong += usize::from(!r.right);
-                s.resumed += usize::from(t.attempts > 1);
-                tokens += t.tokens;
-                // Histograms resize by themselves; a record cannot fail.
-                let _ = first.record(t.first.as_micros() as u64);
-                if t.tokens > 1 {
-                    let gaps = t.total.saturating_sub(t.first).as_micros() as u64 / (t.tokens - 1);
-                    let _ = between.record(gaps);
+                summary.answered += usize::from(request.is_correct);
+                summary.wrong += usize::from(!request.is_correct);
+                summary.resumed += usize::from(t.attempts > 1);
+                output_tokens += t.output_tokens;
+                // The histogram resizes automatically, so recording cannot fail.
+                let _ = time_to_first_token.record(t.time_to_first_token.as_micros() as u64);
+                if t.output_tokens > 1 {
+                    let mean_interval =
+                        t.total_time.saturating_sub(t.time_to_first_token).as_micros() as u64
+                            / (t.output_tokens - 1);
+                    let _ = time_between_tokens.record(mean_interval);
                 }
             }
-            Err(e) if e.kind == Kind::BudgetExhausted => s.refused_budget += 1,
-            Err(_) => s.failed += 1,
+            Err(e) if e.kind == Kind::BudgetExhausted => summary.refused_budget += 1,
+            Err(_) => summary.failed += 1,
         }
     }
-    let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
-    s.first_p50_ms = ms(&first, 0.50);
-    s.first_p95_ms = ms(&first, 0.95);
-    s.first_p99_ms = ms(&first, 0.99);
-    s.between_p95_ms = ms(&between, 0.95);
-    s.tokens_per_s = tokens as f64 / took.as_secs_f64();
-    s
+    let ms = |h: &Histogram<u64>, quantile: f64| h.value_at_quantile(quantile) as f64 / 1_000.0;
+    summary.first_p50_ms = ms(&time_to_first_token, 0.50);
+    summary.first_p95_ms = ms(&time_to_first_token, 0.95);
+    summary.first_p99_ms = ms(&time_to_first_token, 0.99);
+    summary.between_p95_ms = ms(&time_between_tokens, 0.95);
+    summary.tokens_per_s = output_tokens as f64 / duration.as_secs_f64();
+    summary
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::client::refusal;
+use crate::client::check_status;
 use crate::config::store::Submission;
 use crate::error::{Error, Kind, Result};
 use crate::ids::Revision;
@@ -42,13 +42,13 @@
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
         let req =
             self.http.get(format!("http://{}/operator/{path}", self.addr)).bearer_auth(&self.key);
-        Ok(refusal(req.send().await?).await?.json().await?)
+        Ok(check_status(req.send().await?).await?.json().await?)
     }
 
     async fn post<B: Serialize>(&self, path: &str, body: &B) -> Result<Value> {
         let req =
             self.http.post(format!("http://{}/operator/{path}", self.addr)).bearer_auth(&self.key);
-        Ok(refusal(req.json(body).send().await?).await?.json().await?)
+        Ok(check_status(req.json(body).send().await?).await?.json().await?)
     }
 
     /// Submits a change of the configuration and returns the new revision. If no answer arrives, the
--- a/tests/test_api.rs
+++ b/tests/test_api.rs
@@ -136,7 +136,7 @@
         max_tokens: 400,
         key: name("k1"),
         priority: 5,
-        patience: Duration::from_secs(3),
+        retry_timeout: Duration::from_secs(3),
     };
     let got = caller.chat(&call, |_| {}).await;
     assert_eq!(got.is_ok(), whole, "{got:?}");
@@ -171,7 +171,7 @@
         max_tokens: 500,
         key: name("k1"),
         priority: 5,
-        patience: Duration::from_secs(20),
+        retry_timeout: Duration::from_secs(20),
     };
     let sent = tokio::spawn(async move { caller.chat(&call, |_| {}).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
