--- a/src/cmd/ask.rs
+++ b/src/cmd/ask.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall ask`: which routers an organisation should use.
+//! `kingcupwall ask`: prints which routers an organisation should use.
 
 use bpaf::Bpaf;
 
@@ -7,20 +7,20 @@
 use crate::error::Result;
 use crate::ids::ZoneId;
 
-/// Ask a router which addresses to use; prints one a line, best first
+/// Ask a router which addresses to use; prints one per line, in order of preference
 ///
 /// Example: kingcupwall ask --router 127.0.0.1:8080 --api-key norte-key --zone hall-barracas
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(command("ask"))]
 pub struct Args {
-    /// A router's address
+    /// Address of a router, as IP:PORT
     #[bpaf(argument("ADDR"))]
     router: String,
-    /// The organisation's API key
+    /// API key of the organisation
     #[bpaf(argument("KEY"), env("KINGCUPWALL_API_KEY"))]
     api_key: String,
-    /// The caller's availability zone
+    /// Availability zone of the caller
     #[bpaf(argument("ZONE"))]
     zone: Option<ZoneId>,
 }
@@ -28,7 +28,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// `Unauthorized` or `Io`.
+/// `Unauthorized` if the API key is wrong, `Io` if the router cannot be reached.
 pub fn run(args: &Args) -> Result<()> {
     let caller = Caller::new(vec![args.router.clone()], &args.api_key, args.zone.clone())?;
     let answer = block_on(caller.fetch_addresses(&args.router))?;
--- a/src/cmd/budget.rs
+++ b/src/cmd/budget.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall budget`: what an organisation's budgets stand at.
+//! `kingcupwall budget`: prints the state of an organisation's budgets.
 
 use bpaf::Bpaf;
 
@@ -7,22 +7,22 @@
 use crate::error::Result;
 use crate::operator::OperatorClient;
 
-/// Show an organisation's budgets: prepaid, settled, granted, in doubt, by holder
+/// Show the budgets of an organisation: tokens prepaid, settled, granted and in doubt, by holder
 ///
 /// Example: kingcupwall budget norte --router 127.0.0.1:8080 --key secret
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(command("budget"))]
 pub struct Args {
-    /// A router's address
+    /// Address of a router, as IP:PORT
     #[bpaf(argument("ADDR"))]
     router: String,
-    /// The operator key
+    /// Operator key
     #[bpaf(argument("KEY"), env("KINGCUPWALL_OPERATOR_KEY"))]
     key: String,
-    /// Print one JSON object a budget
+    /// Print one JSON object per budget
     json: bool,
-    /// The organisation
+    /// Name of the organisation
     #[bpaf(positional("ORGANISATION"))]
     organisation: String,
 }
@@ -30,25 +30,30 @@
 /// Runs the command.
 ///
 /// # Errors
-/// `NotFound`, `Unauthorized`, `PlatformAway` or `Io`.
+/// `NotFound` if the organisation does not exist, `Unauthorized`, `PlatformAway` or `Io`.
 pub fn run(args: &Args) -> Result<()> {
     let path = format!("budget/{}", args.organisation);
     let reports: Vec<BudgetReport> =
         block_on(async { OperatorClient::new(&args.router, &args.key)?.get(&path).await })?;
-    for r in &reports {
+    for report in &reports {
         if args.json {
-            println!("{}", serde_json::to_string(r)?);
+            println!("{}", serde_json::to_string(report)?);
             continue;
         }
         println!(
             "budget={} prepaid={} settled={} granted={} in_doubt={} free={}",
-            r.budget, r.prepaid, r.settled, r.granted, r.in_doubt, r.free
+            report.budget,
+            report.prepaid,
+            report.settled,
+            report.granted,
+            report.in_doubt,
+            report.free
         );
-        for h in &r.holders {
-            let state = if h.alive { "alive" } else { "silent" };
+        for entry in &report.holders {
+            let state = if entry.alive { "alive" } else { "silent" };
             println!(
                 "  holder={} state={:?} {state} granted={} settled={}",
-                h.holder, h.state, h.granted, h.settled
+                entry.holder, entry.state, entry.granted, entry.settled
             );
         }
     }
--- a/src/cmd/call.rs
+++ b/src/cmd/call.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall call`: one request as a caller.
+//! `kingcupwall call`: sends one chat request.
 
 use std::io::Write;
 
@@ -9,51 +9,51 @@
 use crate::error::Result;
 use crate::ids::{Digest, Millis, RequestKey};
 
-/// Send one chat request and stream the answer; retries elsewhere under the same key
+/// Send one chat request and print the answer as it arrives; retried at other routers with the same key
 ///
 /// Example: kingcupwall call --router 127.0.0.1:8080 --api-key norte-key --model claims "Fridge is warm"
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(command("call"))]
 pub struct Args {
-    /// A router's address
+    /// Address of a router, as IP:PORT
     #[bpaf(argument("ADDR"))]
     router: String,
-    /// The organisation's API key
+    /// API key of the organisation
     #[bpaf(argument("KEY"), env("KINGCUPWALL_API_KEY"))]
     api_key: String,
-    /// The model service
+    /// Name of the model service
     #[bpaf(argument("NAME"))]
     model: String,
-    /// Answer tokens at most
+    /// Maximum output tokens
     #[bpaf(argument("N"), fallback(64))]
     max_tokens: u64,
-    /// Idempotency key; made up when absent
+    /// Idempotency key; random if absent
     #[bpaf(argument("KEY"))]
     key: Option<RequestKey>,
-    /// How long to go on trying
+    /// Total time for the request and its retries
     #[bpaf(argument("TIME"), fallback(Millis(60000)))]
     patience: Millis,
-    /// What to say
+    /// Content of the message
     #[bpaf(positional("TEXT"))]
     text: String,
 }
 
 impl Args {
     fn key(&self) -> Result<RequestKey> {
-        let mut salt = [0; 16];
-        getrandom::fill(&mut salt).expect("the system has random bytes");
-        self.key.clone().map_or_else(|| Digest::of(&salt).to_string().parse(), Ok)
+        let mut random_bytes = [0; 16];
+        getrandom::fill(&mut random_bytes).expect("the operating system provides random bytes");
+        self.key.clone().map_or_else(|| Digest::of(&random_bytes).to_string().parse(), Ok)
     }
 }
 
 /// Runs the command.
 ///
 /// # Errors
-/// The refusal, or `Timeout`.
+/// The final error of a router, or `Timeout`.
 pub fn run(args: &Args) -> Result<()> {
     let caller = Caller::new(vec![args.router.clone()], &args.api_key, None)?;
-    let call = ChatCall {
+    let request = ChatCall {
         model: args.model.clone(),
         content: args.text.clone(),
         max_tokens: args.max_tokens,
@@ -61,16 +61,16 @@
         priority: crate::api::DEFAULT_PRIORITY,
         retry_timeout: args.patience.duration(),
     };
-    let show = |text: &str| {
+    let print_text = |text: &str| {
         print!("{text}");
-        // A closed pipe ends the show, not the request.
+        // A closed pipe stops the output, but not the request.
         let _ = std::io::stdout().flush();
     };
-    let answer = block_on(caller.chat(&call, show))?;
+    let answer = block_on(caller.chat(&request, print_text))?;
     println!();
     println!(
         "key={} tokens={} total_tokens={} attempts={} first_ms={} total_ms={}",
-        call.key,
+        request.key,
         answer.output_tokens,
         answer.total_tokens,
         answer.attempts,
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall check`: every mistake in a configuration, in one run.
+//! `kingcupwall check`: reports all errors in a configuration.
 
 use bpaf::Bpaf;
 
@@ -7,17 +7,17 @@
 use crate::config::parse::parse;
 use crate::error::Result;
 
-/// Check a configuration file and print every mistake as file:line: message
+/// Check a configuration file and print all errors as file:line: message
 ///
 /// Example: kingcupwall check examples/consorcio.ini
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(command("check"))]
 pub struct Args {
-    /// Print nothing when the file is right
+    /// Print nothing if the file is valid
     #[bpaf(short, long)]
     quiet: bool,
-    /// The configuration
+    /// Configuration file
     #[bpaf(positional("FILE"))]
     file: String,
 }
@@ -25,7 +25,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// `Io` or `BadConfig`.
+/// `Io` if the file cannot be read, `BadConfig` with all errors in it.
 pub fn run(args: &Args) -> Result<()> {
     let cfg = parse(&read_text(&args.file)?).map_err(|f| findings_error(&args.file, &f))?;
     if !args.quiet {
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall demo`: a whole fleet in one process, a router killed in the middle, and an audit.
+//! `kingcupwall demo`: runs a fleet in one process, kills a router under load, and audits the result.
 
 use std::time::Duration;
 
@@ -17,40 +17,41 @@
 use crate::standin::platform::PlatformLimits;
 use crate::standin::target::TargetSetup;
 
-/// Zones of the demo.
+/// Availability zones of the demo, with one router each.
 const ZONES: [&str; 3] = ["hall-pacheco", "hall-barracas", "hall-ezeiza"];
-/// Organisations and their prepaid tokens; the last one's run out.
+/// Name, prepaid tokens and weight in the load of each organisation. The tokens of the last one run
+/// out.
 const ORGANISATIONS: [(&str, &str, f64); 4] =
     [("norte", "2M", 6.0), ("sur", "500k", 3.0), ("litoral", "300k", 2.0), ("andes", "3k", 1.0)];
-/// Targets in each zone.
+/// Number of targets in each zone.
 const TARGETS_PER_ZONE: usize = 2;
-/// Time for the ledger to settle after the last answer.
-const SETTLE: Duration = Duration::from_secs(6);
+/// Maximum time until all bills are written after the last answer.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Run a whole fleet in this process, kill a router in the middle, and audit the outcome
+/// Run a fleet in this process, kill a router under load, and audit the outcome
 ///
-/// Exits with 0 only if every property held.
+/// The exit code is 0 only if the audit passed.
 ///
 /// Example: kingcupwall demo --seed 7
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(command("demo"))]
 pub struct Args {
-    /// Makes the load repeatable
+    /// Seed of the load
     #[bpaf(argument("N"), fallback(7))]
     seed: u64,
-    /// Requests to send
+    /// Number of requests to send
     #[bpaf(argument("N"), fallback(600))]
     requests: usize,
-    /// Arrivals a second
+    /// Mean arrivals per second
     #[bpaf(argument("N"), fallback(60.0))]
     rate: f64,
-    /// Kill no router
+    /// Do not kill a router
     no_kill: bool,
 }
 
-/// The demo's configuration.
-fn configuration() -> String {
+/// Returns the configuration of the demo.
+fn config_text() -> String {
     let mut text = String::from(
         "[fleet]\nentry_lifetime = 1s\n\n[service claims]\nkind = model\nmodel = llama-8b\nbytes_per_token = 4\nmax_tokens = 64\n",
     );
@@ -81,7 +82,7 @@
             let settings = router_settings(platform.served.addr, &format!("router-{i}"), zone);
             routers.push(RouterHost::start(settings).await?);
         }
-        let text = configuration();
+        let text = config_text();
         let revision = submit_first(routers[0].api, &text).await?;
         for r in &routers {
             r.ready().await;
@@ -124,22 +125,22 @@
         let started_at = Instant::now();
         let load = tokio::spawn(async move { run_load(&sources, &profile).await });
         if !self.no_kill {
-            let half = Duration::from_secs_f64(self.requests as f64 / self.rate * 0.4);
-            tokio::time::sleep(half).await;
-            let victim = routers.remove(1);
+            let kill_delay = Duration::from_secs_f64(self.requests as f64 / self.rate * 0.4);
+            tokio::time::sleep(kill_delay).await;
+            let killed_router = routers.remove(1);
             println!(
                 "killed={} open_runs={}",
-                victim.api,
-                victim.router().node.lock_runs().running()
+                killed_router.api,
+                killed_router.router().node.lock_runs().running()
             );
-            victim.kill();
+            killed_router.kill();
         }
         let records = load.await.map_err(|e| Error::new(Kind::Io, e.to_string()))?;
         let summary = summarize(&records, started_at.elapsed());
         println!("load={}", serde_json::to_string(&summary)?);
         let mut result = audit(&platform.memory, cfg, &records).await?;
-        let limit = Instant::now() + SETTLE;
-        // Bills are written in groups: the last ones come a moment after the last answers.
+        let limit = Instant::now() + SETTLE_TIMEOUT;
+        // Bills are written in batches, so the last ones are written shortly after the last answers.
         while !result.passed() && Instant::now() < limit {
             tokio::time::sleep(Duration::from_millis(100)).await;
             result = audit(&platform.memory, cfg, &records).await?;
@@ -156,12 +157,12 @@
 /// Runs the command.
 ///
 /// # Errors
-/// `Io` when the fleet cannot be started or a property did not hold.
+/// `Io` if the fleet cannot be started or the audit failed.
 pub fn run(args: &Args) -> Result<()> {
     let result = block_on(args.run_fleet())?;
     println!("{}", result.summary_line());
     match result.passed() {
         true => Ok(()),
-        false => Err(Error::new(Kind::Io, "a property did not hold")),
+        false => Err(Error::new(Kind::Io, "the audit failed: a value above is not as guaranteed")),
     }
 }
--- a/src/cmd/digest.rs
+++ b/src/cmd/digest.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall digest`: what a configuration stores of a key.
+//! `kingcupwall digest`: prints the digest of a key, which a configuration stores in its place.
 
 use std::io::Read;
 
@@ -7,14 +7,14 @@
 use crate::error::Result;
 use crate::ids::Digest;
 
-/// Print the digest of a key for a configuration; reads the key from standard input without KEY
+/// Print the digest of a key for a configuration; the key is read from standard input if KEY is absent
 ///
 /// Example: kingcupwall digest norte-key
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(command("digest"))]
 pub struct Args {
-    /// The key
+    /// API key or operator key
     #[bpaf(positional("KEY"))]
     key: Option<String>,
 }
@@ -22,7 +22,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// `Io` when standard input cannot be read.
+/// `Io` if standard input cannot be read.
 pub fn run(args: &Args) -> Result<()> {
     let mut key = args.key.clone().unwrap_or_default();
     if args.key.is_none() {
--- a/src/cmd/experiment.rs
+++ b/src/cmd/experiment.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall experiment`: measures the project's decisions.
+//! `kingcupwall experiment`: runs the experiments that compare design alternatives.
 
 use std::path::PathBuf;
 
@@ -8,29 +8,29 @@
 use crate::error::Result;
 use crate::experiment::{budget, capacity, cold_start, overhead, quarantine};
 
-/// Measure decisions: budget in virtual time over in-memory fakes, cold-start and
-/// quarantine in a model, the others in real time
+/// Measure design alternatives: budget in virtual time with in-memory stand-ins, cold-start and
+/// quarantine in a simulation, the others in real time
 ///
 /// Example: kingcupwall experiment budget --json
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(command("experiment"))]
 pub struct Args {
-    /// Requests in each cell
+    /// Requests in each cell, which is one combination of alternatives
     #[bpaf(argument("N"), fallback(6000))]
     requests: usize,
-    /// Makes it repeatable
+    /// Seed of the random numbers
     #[bpaf(argument("N"), fallback(7))]
     seed: u64,
-    /// Only cells whose policy/workload contains this
+    /// Run only the cells whose name, such as policy/workload, contains this text
     #[bpaf(argument("TEXT"), fallback(String::new()))]
     only: String,
-    /// Write a plot to this file, as SVG (cold-start)
+    /// Write an SVG plot to this file (only cold-start)
     #[bpaf(argument("FILE"))]
     plot: Option<PathBuf>,
-    /// Print one JSON object a cell
+    /// Print one JSON object per cell
     json: bool,
-    /// Which: budget, capacity, cold-start, overhead, quarantine
+    /// Experiment: budget, capacity, cold-start, overhead or quarantine
     #[bpaf(positional("NAME"))]
     name: Name,
 }
@@ -55,15 +55,15 @@
             "overhead" => Ok(Name::Overhead),
             "quarantine" => Ok(Name::Quarantine),
             other => Err(format!(
-                "no experiment {other:?}; there are: budget, capacity, cold-start, overhead, quarantine"
+                "unknown experiment {other:?}; must be budget, capacity, cold-start, overhead or quarantine"
             )),
         }
     }
 }
 
 impl Args {
-    fn show<T: Serialize>(&self, row: &T) {
-        let value = serde_json::to_value(row).expect("rows serialize");
+    fn print_row<T: Serialize>(&self, row: &T) {
+        let value = serde_json::to_value(row).expect("a result row can be serialized");
         if self.json {
             println!("{value}");
             return;
@@ -77,34 +77,34 @@
 /// Runs the command.
 ///
 /// # Errors
-/// What the experiment meets.
+/// The error that ended the experiment.
 pub fn run(args: &Args) -> Result<()> {
     match args.name {
         Name::Budget => {
-            let show = |c: &budget::Cell| args.show(c);
-            virtual_time(budget::run(args.requests, args.seed, &args.only, show)).map(drop)
+            let print_row = |c: &budget::Cell| args.print_row(c);
+            virtual_time(budget::run(args.requests, args.seed, &args.only, print_row)).map(drop)
         }
-        Name::Capacity => super::block_on(capacity::run(|p| args.show(p))),
+        Name::Capacity => super::block_on(capacity::run(|p| args.print_row(p))),
         Name::ColdStart => {
             let mut cells = Vec::new();
             cold_start::run(args.seed, &args.only, |c| {
-                args.show(c);
+                args.print_row(c);
                 cells.push(*c);
             });
             args.plot.as_ref().map_or(Ok(()), |file| cold_start::plot(&cells, file))
         }
         Name::Overhead => super::block_on(async {
-            args.show(&overhead::run(args.requests).await?);
+            args.print_row(&overhead::run(args.requests).await?);
             Ok(())
         }),
         Name::Quarantine => {
-            quarantine::run(args.seed, &args.only, |c| args.show(c));
+            quarantine::run(args.seed, &args.only, |c| args.print_row(c));
             Ok(())
         }
     }
 }
 
-/// Runs a future on a clock that jumps to the next timer when nothing else is to do.
+/// Runs a future with tokio's paused clock, which advances to the next timer when all tasks are idle.
 fn virtual_time<T>(f: impl Future<Output = Result<T>>) -> Result<T> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build()?;
--- a/src/cmd/gateway_demo.rs
+++ b/src/cmd/gateway_demo.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall gateway-demo`: a fleet of gateways on stand-ins, one killed, and an audit.
+//! `kingcupwall gateway-demo`: runs gateways with stand-in targets, kills one, and audits the result.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,81 +16,81 @@
 use crate::standin::gateway_host::GatewayHost;
 use crate::standin::gateway_target::{StandinTarget, TOKENS_PER_EVENT, TargetFault};
 
-/// Availability zones, with one router and two targets each.
+/// Availability zones, with one gateway and two targets each.
 const ZONES: [&str; 3] = ["zone-1", "zone-2", "zone-3"];
-/// Tokens that the only organisation has prepaid; the last requests find them spent.
+/// Prepaid tokens of the only organisation. They are spent before the last requests.
 const PREPAID: u64 = 30_000;
-/// Prompt and most output tokens of a request.
-const COST: (u64, u64) = (120, 40);
-/// Pause between two requests.
-const PAUSE: Duration = Duration::from_millis(4);
-/// How long a caller's bytes may stay unacknowledged.
-const SILENCE: Duration = Duration::from_secs(5);
+/// Prompt tokens and maximum output tokens of a request.
+const TOKENS_PER_REQUEST: (u64, u64) = (120, 40);
+/// Interval between requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(4);
+/// Maximum time that sent bytes may stay unacknowledged.
+const ACK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Run three gateways on stand-ins in this process, kill one, and audit the outcome
+/// Run three gateways with stand-in targets in this process, kill one, and audit the outcome
 ///
-/// Exits with 0 only if every property held.
+/// The exit code is 0 only if the audit passed.
 ///
 /// Example: kingcupwall gateway-demo --requests 300
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(command("gateway-demo"))]
 pub struct Args {
-    /// Requests to send
+    /// Number of requests to send
     #[bpaf(argument("N"), fallback(300))]
     requests: usize,
 }
 
-/// What callers saw.
+/// Counts of requests by outcome, as callers observed them, and the tokens delivered to callers.
 #[derive(Debug, Default)]
 struct Outcomes {
-    whole: u64,
+    completed: u64,
     refused: u64,
-    cut: u64,
-    unreached: u64,
+    interrupted: u64,
+    unreachable: u64,
     tokens: u64,
 }
 
-/// One caller's request; notes how it ended and what was delivered.
-async fn call(n: usize, to: std::net::SocketAddr, seen: Rc<RefCell<Outcomes>>) {
+/// Sends request `n` and records its outcome and the delivered tokens.
+async fn send_request(n: usize, to: std::net::SocketAddr, outcomes: Rc<RefCell<Outcomes>>) {
     let kind = if n.is_multiple_of(2) { "stream" } else { "resumable" };
-    let (prompt, output) = COST;
+    let (prompt, output) = TOKENS_PER_REQUEST;
     let req = format!(
         "GET /{kind}/a HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: d{n}\r\nTime-Left-Ms: 4000\r\n\
          Authorization: Bearer key-norte\r\nTokens: {prompt},{output}\r\n\r\n"
     );
-    let Ok(mut conn) = Conn::dial(to, SILENCE).await else {
-        seen.borrow_mut().unreached += 1;
+    let Ok(mut conn) = Conn::dial(to, ACK_TIMEOUT).await else {
+        outcomes.borrow_mut().unreachable += 1;
         return;
     };
     if conn.write(req.as_bytes()).await.is_err() {
-        seen.borrow_mut().unreached += 1;
+        outcomes.borrow_mut().unreachable += 1;
         return;
     }
     let Ok(head) = conn.read_response(64 * 1024).await else {
-        seen.borrow_mut().cut += 1;
+        outcomes.borrow_mut().interrupted += 1;
         return;
     };
     let mut body = head.body;
     let mut events = 0;
-    let whole = loop {
+    let completed = loop {
         match conn.read_piece(&mut body).await {
             Ok(Some(piece)) => events += piece.windows(2).filter(|w| w == b"\n\n").count() as u64,
             Ok(None) => break true,
             Err(_) => break false,
         }
     };
-    let mut seen = seen.borrow_mut();
-    match (head.status, whole) {
-        (200, whole) => {
-            seen.tokens += prompt + events * TOKENS_PER_EVENT;
-            *(if whole { &mut seen.whole } else { &mut seen.cut }) += 1;
+    let mut outcomes = outcomes.borrow_mut();
+    match (head.status, completed) {
+        (200, completed) => {
+            outcomes.tokens += prompt + events * TOKENS_PER_EVENT;
+            *(if completed { &mut outcomes.completed } else { &mut outcomes.interrupted }) += 1;
         }
-        _ => seen.refused += 1,
+        _ => outcomes.refused += 1,
     }
 }
 
-async fn play(requests: usize) -> Result<()> {
+async fn run_gateways(requests: usize) -> Result<()> {
     let platform = LocalPlatform::new();
     platform.configure(parts(1, PREPAID));
     let mut targets = Vec::new();
@@ -104,47 +104,72 @@
     for (n, zone) in ZONES.iter().enumerate() {
         hosts.push(GatewayHost::start(&platform, &format!("r{n}"), zone, 1).await?);
     }
-    let seen = Rc::new(RefCell::new(Outcomes::default()));
-    let mut calls = JoinSet::new();
+    let outcomes = Rc::new(RefCell::new(Outcomes::default()));
+    let mut requests_in_flight = JoinSet::new();
     for n in 0..requests {
         if n == requests / 2 {
             hosts.remove(0).kill();
             hosts.push(GatewayHost::start(&platform, "r0", ZONES[0], 2).await?);
         }
-        calls.spawn_local(call(n, hosts[n % hosts.len()].front, seen.clone()));
-        sleep(PAUSE).await;
+        requests_in_flight.spawn_local(send_request(
+            n,
+            hosts[n % hosts.len()].front,
+            outcomes.clone(),
+        ));
+        sleep(REQUEST_INTERVAL).await;
     }
-    while calls.join_next().await.is_some() {}
-    let seen = seen.take();
-    audit(&platform, &targets, &seen).await
+    while requests_in_flight.join_next().await.is_some() {}
+    let outcomes = outcomes.take();
+    audit(&platform, &targets, &outcomes).await
 }
 
-async fn audit(platform: &LocalPlatform, targets: &[StandinTarget], seen: &Outcomes) -> Result<()> {
+/// Checks that no non-resumable request was executed twice, and that neither delivered nor committed
+/// tokens exceed the prepaid ones.
+async fn audit(
+    platform: &LocalPlatform,
+    targets: &[StandinTarget],
+    outcomes: &Outcomes,
+) -> Result<()> {
     let mut ids: Vec<_> = targets.iter().flat_map(|t| t.runs()).map(|r| r.id).collect();
+    // Requests with an even number are streams, which may be executed only once.
     let once =
         |id: &str| id.trim_start_matches('d').parse().is_ok_and(|n: u64| n.is_multiple_of(2));
     ids.retain(|id| once(id));
     ids.sort();
     let runs = ids.len();
     ids.dedup();
-    let twice = runs - ids.len();
-    let page =
+    let executed_twice = runs - ids.len();
+    let rows_page =
         platform.scan("budgets", "norte").await.map_err(|e| Error::new(Kind::Io, e.to_string()))?;
-    let value = page.rows.first().and_then(|r| r.value.clone()).unwrap_or_default();
-    let promised = Ledger::decode(&value)?.committed();
+    let value = rows_page.rows.first().and_then(|r| r.value.clone()).unwrap_or_default();
+    let committed_tokens = Ledger::decode(&value)?.committed();
     println!(
-        "whole={} refused={} cut={} unreached={} run_twice={twice} delivered_tokens={} promised_tokens={promised} prepaid={PREPAID}",
-        seen.whole, seen.refused, seen.cut, seen.unreached, seen.tokens,
+        "whole={} refused={} cut={} unreached={} run_twice={executed_twice} delivered_tokens={} promised_tokens={committed_tokens} prepaid={PREPAID}",
+        outcomes.completed,
+        outcomes.refused,
+        outcomes.interrupted,
+        outcomes.unreachable,
+        outcomes.tokens,
     );
-    let held = twice == 0 && seen.tokens <= PREPAID && promised.0 <= PREPAID && seen.whole > 0;
-    if held { Ok(()) } else { Err(Error::new(Kind::OutcomeUnknown, "a property did not hold")) }
+    let passed = executed_twice == 0
+        && outcomes.tokens <= PREPAID
+        && committed_tokens.0 <= PREPAID
+        && outcomes.completed > 0;
+    if passed {
+        Ok(())
+    } else {
+        Err(Error::new(
+            Kind::OutcomeUnknown,
+            "the audit failed: a value above is not as guaranteed",
+        ))
+    }
 }
 
 /// Runs the command.
 ///
 /// # Errors
-/// `OutcomeUnknown` if a property did not hold.
+/// `OutcomeUnknown` if the audit failed.
 pub fn run(args: &Args) -> Result<()> {
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&rt, play(args.requests))
+    LocalSet::new().block_on(&rt, run_gateways(args.requests))
 }
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall load`: open-loop load from several organisations.
+//! `kingcupwall load`: sends open-loop load from several organisations.
 
 use bpaf::Bpaf;
 use tokio::time::Instant;
@@ -9,7 +9,7 @@
 use crate::ids::Millis;
 use crate::load::{LoadProfile, LoadSource, run as run_load, summarize};
 
-/// Send seeded open-loop load and print latencies
+/// Send seeded open-loop load and print outcomes and latencies
 ///
 /// Organisations are given as NAME:API_KEY:SHARE.
 ///
@@ -18,51 +18,55 @@
 #[derive(Bpaf)]
 #[bpaf(command("load"))]
 pub struct Args {
-    /// A router's address; repeatable
+    /// Address of a router, as IP:PORT; repeatable
     #[bpaf(argument("ADDR"), some("at least one --router is needed"))]
     router: Vec<String>,
-    /// NAME:API_KEY:SHARE; repeatable
+    /// Organisation with its API key and its weight in the load, as NAME:API_KEY:SHARE; repeatable
     #[bpaf(argument("ORG"), some("at least one --org is needed"))]
     org: Vec<String>,
-    /// The model service
+    /// Name of the model service
     #[bpaf(argument("NAME"))]
     model: String,
-    /// Arrivals a second
+    /// Mean arrivals per second
     #[bpaf(argument("N"), fallback(50.0))]
     rate: f64,
-    /// Requests in all
+    /// Total number of requests
     #[bpaf(argument("N"), fallback(500))]
     requests: usize,
-    /// Times the rate that the middle third comes at
+    /// Factor on the rate for the middle third of the requests
     #[bpaf(argument("N"), fallback(1.0))]
     burst: f64,
-    /// Answer tokens at most
+    /// Maximum output tokens of a request
     #[bpaf(argument("N"), fallback(64))]
     max_tokens: u64,
-    /// Bytes of prompt
+    /// Minimum length of a prompt in bytes
     #[bpaf(argument("N"), fallback(400))]
     prompt_bytes: usize,
-    /// Different shared beginnings of prompts; 0: none
+    /// Number of different prefixes that the prompts share; 0 for none
     #[bpaf(argument("N"), fallback(0))]
     prefixes: usize,
-    /// How long each caller goes on trying
+    /// Total time for a request and its retries
     #[bpaf(argument("TIME"), fallback(Millis(30000)))]
     patience: Millis,
-    /// Makes the load repeatable
+    /// Seed of the load
     #[bpaf(argument("N"), fallback(7))]
     seed: u64,
-    /// Print one JSON object
+    /// Print a JSON object
     json: bool,
 }
 
 impl Args {
     fn sources(&self) -> Result<Vec<LoadSource>> {
-        let bad =
-            |o: &str| Error::new(Kind::BadRequest, format!("{o:?} is not NAME:API_KEY:SHARE"));
-        let source = |o: &String| {
-            let parts: Vec<&str> = o.split(':').collect();
-            let [name, key, share] = parts[..] else { return Err(bad(o)) };
-            let share = share.parse().map_err(|_| bad(o))?;
+        let invalid = |source_arg: &str| {
+            Error::new(
+                Kind::BadRequest,
+                format!("--org {source_arg:?} is not of the form NAME:API_KEY:SHARE"),
+            )
+        };
+        let source = |source_arg: &String| {
+            let parts: Vec<&str> = source_arg.split(':').collect();
+            let [name, key, share] = parts[..] else { return Err(invalid(source_arg)) };
+            let share = share.parse().map_err(|_| invalid(source_arg))?;
             let caller = Caller::new(self.router.clone(), key, None)?;
             Ok(LoadSource { caller, organisation: name.into(), share })
         };
@@ -88,7 +92,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// `BadRequest` for the arguments, `Io` when no client can be set up.
+/// `BadRequest` if an `--org` argument is malformed, `Io` if the HTTP client cannot be created.
 pub fn run(args: &Args) -> Result<()> {
     let (sources, profile) = (args.sources()?, args.profile());
     let summary = block_on(async {
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one file each.
+//! The commands of the command line, one module each.
 
 pub mod ask;
 pub mod budget;
@@ -21,23 +21,23 @@
 
 use crate::error::{Error, Kind, Result};
 
-/// Reads a file.
+/// Reads a text file.
 ///
 /// # Errors
-/// `Io` that names the file; `BadConfig` with the line for text that is not UTF-8.
+/// `Io` if the file cannot be read, `BadConfig` with the line number if it is not UTF-8.
 pub fn read_text(file: &str) -> Result<String> {
     let data = std::fs::read(file).map_err(|e| Error::new(Kind::Io, format!("{file}: {e}")))?;
     String::from_utf8(data).map_err(|e| {
-        let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
-        let line = good.iter().filter(|b| **b == b'\n').count() + 1;
+        let valid = &e.as_bytes()[..e.utf8_error().valid_up_to()];
+        let line = valid.iter().filter(|b| **b == b'\n').count() + 1;
         Error::new(Kind::BadConfig, format!("{file}:{line}: not UTF-8"))
     })
 }
 
-/// Runs a command's future to its end.
+/// Runs a future to completion on a multi-threaded runtime.
 ///
 /// # Errors
-/// What the future returns, or `Io` when the runtime cannot be started.
+/// The error of the future, or `Io` if the runtime cannot be started.
 pub fn block_on<T>(f: impl Future<Output = Result<T>>) -> Result<T> {
     tokio::runtime::Builder::new_multi_thread().enable_all().build()?.block_on(f)
 }
@@ -45,8 +45,8 @@
 /// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
-/// `Io` when the handlers cannot be set.
-pub async fn stopped() -> Result<()> {
+/// `Io` if the signal handlers cannot be installed.
+pub async fn wait_for_signal() -> Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/src/cmd/standin.rs
+++ b/src/cmd/standin.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall standin`: a platform or a target for trials.
+//! `kingcupwall standin`: runs a stand-in for the platform or for a target.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use bpaf::Bpaf;
 use compact_str::CompactString;
 
-use super::{block_on, stopped};
+use super::{block_on, wait_for_signal};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Millis, ZoneId};
 use crate::standin::Served;
@@ -16,10 +16,10 @@
 use crate::table::memory::Memory;
 use crate::table::{Instance, InstanceState};
 
-/// Attempts to be listed at the platform.
-const LIST_ATTEMPTS: u32 = 20;
-/// Pause between them.
-const LIST_PAUSE: Duration = Duration::from_millis(250);
+/// Maximum attempts to register a target at the platform.
+const REGISTER_ATTEMPTS: u32 = 20;
+/// Delay before registration is retried.
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Run a stand-in for the platform or for a target
 ///
@@ -35,44 +35,44 @@
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 enum Which {
-    /// Table, object store and instance list
+    /// Run a platform: table, object store and instance list
     #[bpaf(command("platform"))]
     Platform {
-        /// Where to listen; port 0 takes any
+        /// Address to listen on; port 0 selects a free port
         #[bpaf(argument("ADDR"))]
         listen: SocketAddr,
-        /// Transactions a second
+        /// Maximum transactions per second
         #[bpaf(argument("N"), fallback(300))]
         writes: u32,
-        /// Reads a second
+        /// Maximum reads per second
         #[bpaf(argument("N"), fallback(2000))]
         reads: u32,
     },
-    /// A model engine with plain services beside it
+    /// Run a target: a model engine and plain services
     #[bpaf(command("target"))]
     Target {
-        /// Where to listen; port 0 takes any
+        /// Address to listen on; port 0 selects a free port
         #[bpaf(argument("ADDR"))]
         listen: SocketAddr,
-        /// Name in the instance list
+        /// Name of the target in the instance list
         #[bpaf(argument("NAME"))]
         name: CompactString,
-        /// Availability zone
+        /// Availability zone of the target
         #[bpaf(argument("ZONE"))]
         zone: ZoneId,
-        /// Platform whose instance list gets this target
+        /// Address of the platform to register the target at
         #[bpaf(argument("ADDR"))]
         platform: Option<String>,
-        /// A model or plain service that it serves; repeatable
+        /// Name of a model or plain service that the target serves; repeatable
         #[bpaf(argument("NAME"))]
         serves: Vec<CompactString>,
-        /// Places in the batch
+        /// Maximum requests in a batch
         #[bpaf(argument("N"), fallback(16))]
         slots: usize,
-        /// Time of one token, such as 20ms
+        /// Time to generate one token, such as 20ms
         #[bpaf(argument("TIME"), fallback(Millis(20)))]
         pace: Millis,
-        /// Age of load reports, such as 200ms
+        /// Delay of load reports, such as 200ms
         #[bpaf(argument("TIME"), fallback(Millis(200)))]
         lag: Millis,
     },
@@ -81,7 +81,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// `Io` for the listener or the platform.
+/// `Io` if the port cannot be bound or the target cannot be registered.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
         let served = match args.which.clone() {
@@ -104,30 +104,33 @@
                 let served = Served::start(listen, Target::start(setup).app()).await?;
                 if let Some(platform) = platform {
                     let addr = served.addr.to_string().into();
-                    list(&platform, Instance { name, addr, zone, state: InstanceState::Live })
-                        .await?;
+                    register_target(
+                        &platform,
+                        Instance { name, addr, zone, state: InstanceState::Live },
+                    )
+                    .await?;
                 }
                 served
             }
         };
         println!("listening={}", served.addr);
-        stopped().await?;
+        wait_for_signal().await?;
         served.kill();
         Ok(())
     })
 }
 
-async fn list(platform: &str, instance: Instance) -> Result<()> {
+async fn register_target(platform: &str, instance: Instance) -> Result<()> {
     let client = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(5)).build()?;
     let url = format!("http://{platform}/admin/instances");
-    let mut last = Error::new(Kind::Io, "not sent");
-    // The platform may be starting at the same time.
-    for _ in 0..LIST_ATTEMPTS {
+    let mut last = Error::new(Kind::Io, "the registration was not sent");
+    // The platform may still be starting.
+    for _ in 0..REGISTER_ATTEMPTS {
         match client.post(&url).json(&instance).send().await {
             Ok(resp) => return Ok(resp.error_for_status().map(drop)?),
             Err(e) => last = e.into(),
         }
-        tokio::time::sleep(LIST_PAUSE).await;
+        tokio::time::sleep(REGISTER_RETRY_DELAY).await;
     }
     Err(last)
 }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall status`: who runs what.
+//! `kingcupwall status`: prints the state of the fleet.
 
 use bpaf::Bpaf;
 use serde_json::Value;
@@ -7,27 +7,27 @@
 use crate::error::Result;
 use crate::operator::OperatorClient;
 
-/// Show routers, targets and revisions as one router sees them
+/// Show routers, targets and configuration revisions as known to one router
 ///
 /// Example: kingcupwall status --router 127.0.0.1:8080 --key secret
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(command("status"))]
 pub struct Args {
-    /// A router's address
+    /// Address of a router, as IP:PORT
     #[bpaf(argument("ADDR"))]
     router: String,
-    /// The operator key
+    /// Operator key
     #[bpaf(argument("KEY"), env("KINGCUPWALL_OPERATOR_KEY"))]
     key: String,
-    /// Print one JSON object
+    /// Print a JSON object
     json: bool,
 }
 
 /// Runs the command.
 ///
 /// # Errors
-/// `Unauthorized` or `Io`.
+/// `Unauthorized` if the operator key is wrong, `Io` if the router cannot be reached.
 pub fn run(args: &Args) -> Result<()> {
     let status: Value =
         block_on(async { OperatorClient::new(&args.router, &args.key)?.get("status").await })?;
@@ -37,29 +37,29 @@
     }
     println!(
         "me={} revision={} draining={}",
-        text(&status["me"]),
+        text_or_dash(&status["me"]),
         status["revision"],
         status["draining"]
     );
-    for r in rows(&status["routers"]) {
+    for r in elements(&status["routers"]) {
         println!(
             "router={} zone={} api={} revision={} load={} leaving={}",
-            text(&r["incarnation"]),
-            text(&r["zone"]),
-            text(&r["api"]),
+            text_or_dash(&r["incarnation"]),
+            text_or_dash(&r["zone"]),
+            text_or_dash(&r["api"]),
             r["revision"],
             r["load"],
             r["leaving"]
         );
     }
-    for r in rows(&status["silent"]) {
-        println!("silent={} for_ms={}", text(&r["incarnation"]), r["silent_ms"]);
+    for r in elements(&status["silent"]) {
+        println!("silent={} for_ms={}", text_or_dash(&r["incarnation"]), r["silent_ms"]);
     }
-    for t in rows(&status["targets"]) {
+    for t in elements(&status["targets"]) {
         println!(
             "target={} zone={} leaving={} in_flight={} active={} queued={} slots={}",
-            text(&t["id"]),
-            text(&t["zone"]),
+            text_or_dash(&t["id"]),
+            text_or_dash(&t["zone"]),
             t["leaving"],
             t["in_flight"],
             t["active"],
@@ -72,10 +72,10 @@
     Ok(())
 }
 
-fn text(v: &Value) -> &str {
+fn text_or_dash(v: &Value) -> &str {
     v.as_str().unwrap_or("-")
 }
 
-fn rows(v: &Value) -> impl Iterator<Item = &Value> {
+fn elements(v: &Value) -> impl Iterator<Item = &Value> {
     v.as_array().into_iter().flatten()
 }
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall submit`: hands in a configuration, whole or as edits.
+//! `kingcupwall submit`: submits a configuration, either the whole file or only changed sections.
 
 use bpaf::Bpaf;
 use compact_str::CompactString;
@@ -13,36 +13,36 @@
 use crate::ids::{Digest, Revision};
 use crate::operator::OperatorClient;
 
-/// Hand in a configuration; prints revision=N
+/// Submit a configuration; prints revision=N
 ///
-/// Exit code 13 means that another submission came first: the difference is printed, nothing was
-/// taken.
+/// Exit code 13 means that there is a newer revision than the base. Nothing was changed, and the
+/// sections that changed since the base are printed.
 ///
 /// Example: kingcupwall submit fleet.ini --base 41 --router 127.0.0.1:8080 --key secret
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(command("submit"))]
 pub struct Args {
-    /// A router's address
+    /// Address of a router, as IP:PORT
     #[bpaf(argument("ADDR"))]
     router: String,
-    /// The operator key
+    /// Operator key
     #[bpaf(argument("KEY"), env("KINGCUPWALL_OPERATOR_KEY"))]
     key: String,
-    /// The revision that the file was edited from; the first configuration has base 0
+    /// Revision that the file is based on; 0 for the first configuration
     #[bpaf(argument("REVISION"))]
     base: Revision,
-    /// The file holds only changed sections; one whose only line is "remove" is removed
+    /// The file contains only changed sections; a section whose only line is "remove" is removed
     edits: bool,
-    /// Accept a newer head when it changed none of the same sections
+    /// Accept that there is a newer revision if it changed none of the same sections
     merge: bool,
-    /// Id of this submission, for repeating it safely; made up from the content when absent
+    /// Id of this submission, which makes retries idempotent; derived from the content if absent
     #[bpaf(argument("ID"))]
     id: Option<CompactString>,
-    /// Print nothing but errors
+    /// Print only errors
     #[bpaf(short, long)]
     quiet: bool,
-    /// The configuration
+    /// Configuration file, or with --edits the file with changed sections
     #[bpaf(positional("FILE"))]
     file: String,
 }
@@ -60,6 +60,7 @@
         Ok(Submission { id, base: self.base, edits, merge: self.merge })
     }
 
+    /// Returns the edits from the base to `text`. The base must be the current revision.
     async fn diff(
         &self,
         operator: &OperatorClient,
@@ -73,16 +74,19 @@
         let head: Value = operator.get("config").await?;
         let revision = Revision(head["revision"].as_u64().unwrap_or(0));
         if revision != self.base {
-            let changed = self.changes_since(operator).await?;
-            let message =
-                format!("the head is {revision}, not {}; changed since:\n{changed}", self.base);
+            let changed = self.changes_since_base(operator).await?;
+            let message = format!(
+                "the current revision is {revision}, not the base {}; changed since:\n{changed}",
+                self.base
+            );
             return Err(Error::new(Kind::Conflict, message));
         }
         let old = Document::parse(head["text"].as_str().unwrap_or_default());
         Ok(old.diff(&new))
     }
 
-    async fn changes_since(&self, operator: &OperatorClient) -> Result<String> {
+    /// Formats the sections that were changed after the base.
+    async fn changes_since_base(&self, operator: &OperatorClient) -> Result<String> {
         let rows: Vec<Value> = operator.get(&format!("revisions?after={}", self.base)).await?;
         let lines = rows.iter().flat_map(|r| {
             let edits = r["edits"].as_array().cloned().unwrap_or_default();
@@ -103,7 +107,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// `BadConfig` with findings, `Conflict`, or `Io`.
+/// `BadConfig` with all errors in the file, `Conflict` if there is a newer revision, or `Io`.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
         let operator = OperatorClient::new(&args.router, &args.key)?;
