--- a/src/experiment/budget.rs
+++ b/src/experiment/budget.rs
@@ -1,4 +1,5 @@
-//! Budget policies under load and faults, judged by an oracle that sees everything.
+//! Compares budget policies under load and faults. An oracle that observes all requests determines
+//! which refusals were correct and whether a budget was overspent.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -18,41 +19,43 @@
 use crate::table::memory::Faults;
 use crate::table::{read_one, scan_all};
 
-/// Organisations in every workload.
+/// Number of organisations in every workload.
 const ORGANISATIONS: usize = 10;
-/// Answer tokens asked for.
+/// Maximum output tokens of a request.
 const MAX_TOKENS: u64 = 24;
-/// Bytes of each prompt.
-const PROMPT: usize = 40;
-/// Time for the ledger to settle at the end.
-const SETTLE: Duration = Duration::from_secs(12);
-/// How long a caller goes on after refusals other than for its budget.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Pause between kills.
-const KILL_EVERY: Duration = Duration::from_secs(4);
-
-/// A way to size grants, and whether routers lend to each other.
+/// Minimum length of a prompt, in bytes.
+const PROMPT_BYTES: usize = 40;
+/// Time after the load until all bills are written and grants are settled.
+const SETTLE_TIME: Duration = Duration::from_secs(12);
+/// Time for which a caller retries errors other than an exhausted budget.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval between kills of a router.
+const KILL_INTERVAL: Duration = Duration::from_secs(4);
+
+/// How grants are sized, and whether routers lend tokens to each other.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BudgetPolicy {
-    /// A table write for each request.
+    /// Each request reserves its tokens by a write to the table.
     PerRequest,
-    /// Every router gets an equal part at once.
+    /// Each router is granted an equal part of the budget.
     EqualSplit,
-    /// Grants of a fixed size.
+    /// Each grant has the same fixed size.
     Fixed,
-    /// By observed rate, with lending.
-    Ours,
-    /// Ours, with this share of each grant spendable without a witness, in per mille.
-    Solo(u32),
+    /// Grants are sized by the observed rate of spending, and routers lend to each other. This is the
+    /// policy of the router.
+    Adaptive,
+    /// As [`BudgetPolicy::Adaptive`], but this share of each grant, in per mille, may be spent
+    /// without confirmation by a witness.
+    AdaptiveUnwitnessed(u32),
 }
 
 impl BudgetPolicy {
-    /// All that are compared.
+    /// The policies that are compared under every workload.
     pub const ALL: [BudgetPolicy; 4] = [
         BudgetPolicy::PerRequest,
         BudgetPolicy::EqualSplit,
         BudgetPolicy::Fixed,
-        BudgetPolicy::Ours,
+        BudgetPolicy::Adaptive,
     ];
 
     fn name(self) -> String {
@@ -60,18 +63,18 @@
             BudgetPolicy::PerRequest => "write_per_request".into(),
             BudgetPolicy::EqualSplit => "equal_split".into(),
             BudgetPolicy::Fixed => "fixed_grants".into(),
-            BudgetPolicy::Ours => "ours".into(),
-            BudgetPolicy::Solo(n) => format!("ours_solo_{}", n / 10),
+            BudgetPolicy::Adaptive => "ours".into(),
+            BudgetPolicy::AdaptiveUnwitnessed(n) => format!("ours_solo_{}", n / 10),
         }
     }
 
     fn sizing(self) -> Option<Sizing> {
         match self {
             BudgetPolicy::PerRequest => Some(Sizing::PerRequest),
-            // Among the routers that are named to an organisation.
+            // The number of routers whose addresses are given to an organisation.
             BudgetPolicy::EqualSplit => Some(Sizing::EqualSplit(3)),
             BudgetPolicy::Fixed => Some(Sizing::Fixed(Tokens(2_000))),
-            BudgetPolicy::Ours | BudgetPolicy::Solo(_) => None,
+            BudgetPolicy::Adaptive | BudgetPolicy::AdaptiveUnwitnessed(_) => None,
         }
     }
 
@@ -80,98 +83,103 @@
     }
 }
 
-/// What happens during a run.
+/// The load of a run and the faults injected into it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Workload {
-    /// Nothing.
+    /// Constant rate without faults.
     Steady,
-    /// The whole crowd in a short time.
-    Crowd,
-    /// One organisation sends 60% of everything.
+    /// A short quiet phase, then three times the normal rate.
+    TrafficSpike,
+    /// One organisation sends 60% of all requests.
     Skew,
-    /// The table is away for a third of the run.
-    StoreAway,
-    /// One zone is cut off from the table and the other zones, while budgets are topped up.
-    ZoneCut,
-    /// The same, and a third of the callers is cut off with the zone.
-    ZoneCutInside,
-    /// A router is killed every few seconds, and replaced.
-    Kills,
+    /// The table is unavailable for a third of the run.
+    StoreOutage,
+    /// One zone is partitioned from the table and the other zones for a third of the run, and budgets
+    /// are topped up during that time.
+    ZonePartition,
+    /// As [`Workload::ZonePartition`], and a third of the requests can reach only routers in that
+    /// zone.
+    ZonePartitionWithCallers,
+    /// Every few seconds a router is killed and replaced.
+    RouterKills,
 }
 
 impl Workload {
-    /// All that are measured.
+    /// All workloads.
     pub const ALL: [Workload; 7] = [
         Workload::Steady,
-        Workload::Crowd,
+        Workload::TrafficSpike,
         Workload::Skew,
-        Workload::StoreAway,
-        Workload::ZoneCut,
-        Workload::ZoneCutInside,
-        Workload::Kills,
+        Workload::StoreOutage,
+        Workload::ZonePartition,
+        Workload::ZonePartitionWithCallers,
+        Workload::RouterKills,
     ];
 
     fn name(self) -> &'static str {
         match self {
             Workload::Steady => "steady",
-            Workload::Crowd => "crowd",
+            Workload::TrafficSpike => "crowd",
             Workload::Skew => "skew",
-            Workload::StoreAway => "store_away",
-            Workload::ZoneCut => "zone_cut_top_ups",
-            Workload::ZoneCutInside => "zone_cut_callers_inside",
-            Workload::Kills => "kills",
+            Workload::StoreOutage => "store_away",
+            Workload::ZonePartition => "zone_cut_top_ups",
+            Workload::ZonePartitionWithCallers => "zone_cut_callers_inside",
+            Workload::RouterKills => "kills",
         }
     }
 }
 
-/// One cell of the result.
+/// Result of one policy under one workload.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct Cell {
-    /// How grants were sized.
+    /// Name of the budget policy.
     pub policy: String,
-    /// What happened.
+    /// Name of the workload.
     pub workload: &'static str,
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Whole answers.
+    /// Requests with a complete answer.
     pub answered: usize,
-    /// Tokens billed past what was prepaid.
+    /// Tokens billed or spent beyond the prepaid amounts.
     pub overspend: u64,
-    /// Refusals although what was settled and honestly held left room.
+    /// Requests refused although the budget had room for them besides the tokens spent and the
+    /// largest cost of the requests in flight. This includes errors other than an exhausted budget.
     pub false_refusals: usize,
-    /// The same, as a share of all requests in percent.
+    /// False refusals in percent of all requests.
     pub false_percent: f64,
-    /// Refusals because there was no room.
+    /// Requests refused because the budget had no room for them.
     pub true_refusals: usize,
-    /// Tokens granted and neither billed nor given back at the end of the load.
+    /// Tokens that are granted but neither billed nor returned at the end of the load.
     pub stranded: u64,
     /// Table transactions per 1,000 requests.
     pub table_writes_per_1000: f64,
-    /// Time from arrival to the first token at the 99th percentile, less the fastest's, in
-    /// virtual microseconds.
+    /// 99th percentile of the time from arrival to the first token, less the minimum of that time,
+    /// in microseconds of virtual time.
     pub admission_p99_us: u64,
-    /// Requests billed more than once.
+    /// Surplus bills of requests that were billed more than once.
     pub duplicate_bills: usize,
 }
 
-/// What the oracle knows of one budget.
+/// The oracle's record of one budget.
 #[derive(Clone, Copy, Debug, Default)]
-struct Truth {
+struct OracleBudget {
     prepaid: Tokens,
     spent: Tokens,
-    held: Tokens,
+    /// Sum of the largest costs of the requests in flight that fitted into the budget.
+    in_flight_cost: Tokens,
 }
 
+/// Tracks all requests and their true cost.
 #[derive(Debug, Default)]
 struct Oracle {
-    budgets: BTreeMap<BudgetId, Truth>,
+    budgets: BTreeMap<BudgetId, OracleBudget>,
     answered: usize,
     false_refusals: usize,
     true_refusals: usize,
 }
 
-/// One run.
+/// Parameters of one run.
 struct Trial {
     policy: BudgetPolicy,
     workload: Workload,
@@ -180,27 +188,31 @@
     seed: u64,
 }
 
-/// Runs every policy under every workload whose `policy/workload` contains `only`.
+/// Runs all policies under all workloads, as far as their name `policy/workload` contains `only`.
+/// `on_cell` is called with each result.
 ///
 /// # Errors
-/// `BadConfig` for the experiment's own configuration.
+/// `BadConfig` if the configuration of the experiment is invalid.
 pub async fn run<F: FnMut(&Cell)>(
     requests: usize,
     seed: u64,
     only: &str,
-    mut show: F,
+    mut on_cell: F,
 ) -> Result<Vec<Cell>> {
     let mut out = Vec::new();
     for workload in Workload::ALL {
         let mut policies = BudgetPolicy::ALL.to_vec();
-        if matches!(workload, Workload::ZoneCutInside | Workload::Kills) {
-            policies.extend([BudgetPolicy::Solo(100), BudgetPolicy::Solo(300)]);
+        if matches!(workload, Workload::ZonePartitionWithCallers | Workload::RouterKills) {
+            policies.extend([
+                BudgetPolicy::AdaptiveUnwitnessed(100),
+                BudgetPolicy::AdaptiveUnwitnessed(300),
+            ]);
         }
         policies.retain(|p| format!("{}/{}", p.name(), workload.name()).contains(only));
         for policy in policies {
             let trial = Trial { policy, workload, requests, rate: 150.0, seed };
             let cell = trial.run().await?;
-            show(&cell);
+            on_cell(&cell);
             out.push(cell);
         }
     }
@@ -212,25 +224,26 @@
         format!("org{n}").parse().expect("a valid name")
     }
 
-    /// Every third budget runs out before the end.
+    /// Returns the prepaid tokens of an organisation. Every third budget is exhausted before the end
+    /// of the run.
     fn prepaid(&self, n: usize) -> u64 {
         let share = match self.workload {
             Workload::Skew if n == 0 => 0.6,
             Workload::Skew => 0.4 / (ORGANISATIONS - 1) as f64,
             _ => 1.0 / ORGANISATIONS as f64,
         };
-        // A prompt of ten tokens and half of the answer tokens that are asked for.
-        let use_up = self.requests as f64 * share * (14.0 + MAX_TOKENS as f64 / 2.0);
-        (use_up * if n.is_multiple_of(3) { 0.7 } else { 2.0 }) as u64
+        // A prompt has ten tokens, and an answer has on average half of its maximum.
+        let expected_use = self.requests as f64 * share * (14.0 + MAX_TOKENS as f64 / 2.0);
+        (expected_use * if n.is_multiple_of(3) { 0.7 } else { 2.0 }) as u64
     }
 
     fn config(&self) -> String {
-        let solo = match self.policy {
-            BudgetPolicy::Solo(n) => n / 10,
+        let unwitnessed_percent = match self.policy {
+            BudgetPolicy::AdaptiveUnwitnessed(n) => n / 10,
             _ => 0,
         };
         let mut text = format!(
-            "[fleet]\nsolo_share = {solo}%\nentry_lifetime = 1s\n[service chat]\nmodel = m\nbytes_per_token = 4\n"
+            "[fleet]\nsolo_share = {unwitnessed_percent}%\nentry_lifetime = 1s\n[service chat]\nmodel = m\nbytes_per_token = 4\n"
         );
         for n in 0..ORGANISATIONS {
             let key = Digest::of(format!("key{n}").as_bytes());
@@ -253,24 +266,24 @@
         let mut fleet = LocalFleet::start(setup).await?;
         let oracle = self.oracle(&fleet);
         let before = fleet.net.memory.counts();
-        let began = Instant::now();
-        let firsts = self.load(&mut fleet, &oracle, began).await?;
+        let started_at = Instant::now();
+        let first_token_times = self.load(&mut fleet, &oracle, started_at).await?;
         let stranded = self.stranded(&fleet).await?;
         let writes = fleet.net.memory.counts().txns - before.txns;
         fleet.net.mend();
         fleet.net.memory.set_faults(Faults::default());
-        sleep(SETTLE).await;
-        let cell = self.cell(&fleet, &oracle, &firsts, stranded, writes).await?;
+        sleep(SETTLE_TIME).await;
+        let cell = self.cell(&fleet, &oracle, &first_token_times, stranded, writes).await?;
         fleet.close();
         Ok(cell)
     }
 
     fn oracle(&self, fleet: &LocalFleet) -> Arc<Mutex<Oracle>> {
         let cfg = fleet.config();
-        let truth = |b: &crate::config::Budget| {
-            (b.id.clone(), Truth { prepaid: b.prepaid, ..Truth::default() })
+        let expected = |b: &crate::config::Budget| {
+            (b.id.clone(), OracleBudget { prepaid: b.prepaid, ..OracleBudget::default() })
         };
-        let budgets = cfg.budgets.iter().map(truth).collect();
+        let budgets = cfg.budgets.iter().map(expected).collect();
         Arc::new(Mutex::new(Oracle { budgets, ..Oracle::default() }))
     }
 
@@ -278,50 +291,53 @@
         &self,
         fleet: &mut LocalFleet,
         oracle: &Arc<Mutex<Oracle>>,
-        began: Instant,
+        started_at: Instant,
     ) -> Result<Vec<Duration>> {
         let mut rng = fastrand::Rng::with_seed(self.seed);
         fastrand::seed(self.seed);
         let mut caller = fleet.caller();
         let mut sent = JoinSet::new();
-        let mut due = began;
-        let mut next_kill = began + KILL_EVERY;
+        let mut next_arrival = started_at;
+        let mut next_kill = started_at + KILL_INTERVAL;
         for n in 0..self.requests {
-            let part = n as f64 / self.requests as f64;
-            due += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / self.rate_at(part));
-            sleep_until(due).await;
-            self.happen(fleet, n).await?;
-            if self.is_zone_cut() && n == self.requests / 2 {
+            let progress = n as f64 / self.requests as f64;
+            next_arrival +=
+                Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / self.rate_at(progress));
+            sleep_until(next_arrival).await;
+            self.inject_faults(fleet, n).await?;
+            if self.has_zone_partition() && n == self.requests / 2 {
                 top_up(fleet, oracle).await?;
             }
-            if self.workload == Workload::Kills && Instant::now() > next_kill {
-                next_kill += KILL_EVERY;
-                self.replace_one(fleet, &mut rng).await;
+            if self.workload == Workload::RouterKills && Instant::now() > next_kill {
+                next_kill += KILL_INTERVAL;
+                self.replace_router(fleet, &mut rng).await;
                 caller = fleet.caller();
             }
-            let org = self.choose(&mut rng);
+            let organisation_index = self.choose(&mut rng);
             let mut caller = caller.clone();
-            // A third of the callers stands in the zone that is cut off, and cannot leave it.
-            let inside = self.workload == Workload::ZoneCutInside && n.is_multiple_of(3);
-            caller.only = if inside && n > self.requests / 3 { Some("c".parse()?) } else { None };
-            sent.spawn(send(caller, oracle.clone(), org, n));
+            // A third of the requests comes from the partitioned zone and cannot leave it.
+            let is_in_cut_zone =
+                self.workload == Workload::ZonePartitionWithCallers && n.is_multiple_of(3);
+            caller.only =
+                if is_in_cut_zone && n > self.requests / 3 { Some("c".parse()?) } else { None };
+            sent.spawn(send(caller, oracle.clone(), organisation_index, n));
         }
-        let mut firsts = Vec::new();
+        let mut first_token_times = Vec::new();
         while let Some(first) = sent.join_next().await {
-            firsts.extend(first.ok().flatten());
+            first_token_times.extend(first.ok().flatten());
         }
-        Ok(firsts)
+        Ok(first_token_times)
     }
 
-    fn is_zone_cut(&self) -> bool {
-        matches!(self.workload, Workload::ZoneCut | Workload::ZoneCutInside)
+    fn has_zone_partition(&self) -> bool {
+        matches!(self.workload, Workload::ZonePartition | Workload::ZonePartitionWithCallers)
     }
 
-    fn rate_at(&self, part: f64) -> f64 {
+    fn rate_at(&self, progress: f64) -> f64 {
         match self.workload {
-            // A quiet time, then the crowd.
-            Workload::Crowd if part < 0.05 => self.rate / 5.0,
-            Workload::Crowd => self.rate * 3.0,
+            // A quiet phase, then the spike.
+            Workload::TrafficSpike if progress < 0.05 => self.rate / 5.0,
+            Workload::TrafficSpike => self.rate * 3.0,
             _ => self.rate,
         }
     }
@@ -334,32 +350,34 @@
         }
     }
 
-    async fn happen(&self, fleet: &mut LocalFleet, n: usize) -> Result<()> {
+    async fn inject_faults(&self, fleet: &mut LocalFleet, n: usize) -> Result<()> {
         let (third, two_thirds) = (self.requests / 3, self.requests * 2 / 3);
         let zone = |z: &str| z.parse::<ZoneId>();
         match self.workload {
-            Workload::StoreAway if n == third => {
+            Workload::StoreOutage if n == third => {
                 fleet.net.memory.set_faults(Faults { away: true, ..Faults::default() });
             }
-            Workload::StoreAway if n == two_thirds => {
+            Workload::StoreOutage if n == two_thirds => {
                 fleet.net.memory.set_faults(Faults::default())
             }
-            Workload::ZoneCut | Workload::ZoneCutInside if n == third => {
+            Workload::ZonePartition | Workload::ZonePartitionWithCallers if n == third => {
                 fleet.net.cut_platform(&zone("c")?);
                 fleet.net.cut(&zone("c")?, &zone("a")?);
                 fleet.net.cut(&zone("c")?, &zone("b")?);
             }
-            Workload::ZoneCut | Workload::ZoneCutInside if n == two_thirds => fleet.net.mend(),
+            Workload::ZonePartition | Workload::ZonePartitionWithCallers if n == two_thirds => {
+                fleet.net.mend()
+            }
             _ => {}
         }
         Ok(())
     }
 
-    async fn replace_one(&self, fleet: &mut LocalFleet, rng: &mut fastrand::Rng) {
+    async fn replace_router(&self, fleet: &mut LocalFleet, rng: &mut fastrand::Rng) {
         let up = fleet.up();
-        let victim = up[rng.usize(..up.len())];
-        let zone = fleet.places[victim].zone.clone();
-        fleet.kill(victim);
+        let killed_router = up[rng.usize(..up.len())];
+        let zone = fleet.places[killed_router].zone.clone();
+        fleet.kill(killed_router);
         fleet.add_router(&zone).await;
     }
 
@@ -378,7 +396,7 @@
         &self,
         fleet: &LocalFleet,
         oracle: &Arc<Mutex<Oracle>>,
-        firsts: &[Duration],
+        first_token_times: &[Duration],
         stranded: u64,
         writes: u64,
     ) -> Result<Cell> {
@@ -393,22 +411,23 @@
         let duplicate_bills = keys.windows(2).filter(|w| w[0] == w[1]).count();
         let mut overspend = 0;
         let o = oracle.lock().expect("never poisoned");
-        for (id, truth) in &o.budgets {
+        for (id, expected) in &o.budgets {
             let billed = bills.iter().filter(|b| b.budget == *id);
             let billed = billed.fold(Tokens::ZERO, |sum, b| sum.plus(b.cost));
-            let over = billed.0.max(truth.spent.0).saturating_sub(truth.prepaid.0);
+            let over = billed.0.max(expected.spent.0).saturating_sub(expected.prepaid.0);
             if over > 0 {
-                let (spent, prepaid) = (truth.spent, truth.prepaid);
+                let (spent, prepaid) = (expected.spent, expected.prepaid);
                 log::error!(
                     "experiment=overspend budget={id} billed={billed} spent={spent} prepaid={prepaid}"
                 );
             }
             overspend += over;
         }
-        let mut h: Histogram<u64> = Histogram::new(3).expect("three digits are in range");
-        let fastest = firsts.iter().min().copied().unwrap_or_default();
-        for f in firsts {
-            // Histograms resize by themselves; a record cannot fail.
+        let mut h: Histogram<u64> =
+            Histogram::new(3).expect("three significant digits are in range");
+        let fastest = first_token_times.iter().min().copied().unwrap_or_default();
+        for f in first_token_times {
+            // The histogram resizes automatically, so recording cannot fail.
             let _ = h.record((*f - fastest).as_micros() as u64);
         }
         Ok(Cell {
@@ -428,7 +447,7 @@
     }
 }
 
-/// Every budget gets a fifth more.
+/// Increases the prepaid tokens of every budget by a fifth.
 async fn top_up(fleet: &LocalFleet, oracle: &Arc<Mutex<Oracle>>) -> Result<()> {
     let cfg = fleet.config();
     let mut text = String::new();
@@ -438,38 +457,40 @@
     }
     fleet.submit_text(&text).await?;
     let mut o = oracle.lock().expect("never poisoned");
-    for (_, truth) in o.budgets.iter_mut() {
-        truth.prepaid = Tokens(truth.prepaid.0 + truth.prepaid.0 / 5);
+    for (_, expected) in o.budgets.iter_mut() {
+        expected.prepaid = Tokens(expected.prepaid.0 + expected.prepaid.0 / 5);
     }
     Ok(())
 }
 
-/// One request, with the oracle looking on. Time to the first token, if there was one.
+/// Sends one request and records it with the oracle. Returns the time to the first token, or `None`
+/// if the request was refused.
 async fn send(
     caller: LocalCaller,
     oracle: Arc<Mutex<Oracle>>,
-    org: usize,
+    organisation_index: usize,
     n: usize,
 ) -> Option<Duration> {
-    let organisation = Trial::organisation(org);
+    let organisation = Trial::organisation(organisation_index);
     let mut prompt = format!("request {n} ");
-    prompt.extend(std::iter::repeat_n('x', PROMPT.saturating_sub(prompt.len())));
+    prompt.extend(std::iter::repeat_n('x', PROMPT_BYTES.saturating_sub(prompt.len())));
     let id: BudgetId = format!("{organisation}/main").parse().expect("a valid name");
     let amount = Tokens((prompt.len() as u64).div_ceil(4) + MAX_TOKENS);
     let key = format!("k{n}").parse().expect("a valid name");
     let req = LocalRequest { organisation, key, prompt, max_tokens: MAX_TOKENS };
-    // From here on the request may hold its largest cost, and the oracle allows it that.
-    let had_room = {
+    // From here on the request may reserve its largest possible cost, so the oracle counts that cost
+    // as in flight.
+    let had_budget = {
         let mut o = oracle.lock().expect("never poisoned");
         let t = o.budgets.get_mut(&id)?;
-        let room = t.spent.plus(t.held).plus(amount) <= t.prepaid;
-        t.held = t.held.plus(if room { amount } else { Tokens::ZERO });
-        room
+        let fits = t.spent.plus(t.in_flight_cost).plus(amount) <= t.prepaid;
+        t.in_flight_cost = t.in_flight_cost.plus(if fits { amount } else { Tokens::ZERO });
+        fits
     };
-    let result = caller.send("chat", &req, PATIENCE).await;
+    let result = caller.send("chat", &req, RETRY_TIMEOUT).await;
     let mut o = oracle.lock().expect("never poisoned");
     let t = o.budgets.get_mut(&id)?;
-    t.held = t.held.minus(if had_room { amount } else { Tokens::ZERO });
+    t.in_flight_cost = t.in_flight_cost.minus(if had_budget { amount } else { Tokens::ZERO });
     match result {
         Ok(a) => {
             t.spent = t.spent.plus(Tokens(a.usage.prompt_tokens + a.usage.tokens));
@@ -477,8 +498,8 @@
             Some(a.first)
         }
         Err(e) => {
-            let has_room = t.spent.plus(t.held).plus(amount) <= t.prepaid;
-            let is_false = had_room && (has_room || e.kind != Kind::BudgetExhausted);
+            let has_budget = t.spent.plus(t.in_flight_cost).plus(amount) <= t.prepaid;
+            let is_false = had_budget && (has_budget || e.kind != Kind::BudgetExhausted);
             log::info!(
                 "experiment=refused n={n} kind={} false={is_false} error={:?}",
                 e.kind,
@@ -494,11 +515,12 @@
     }
 }
 
-/// Checks that a ledger adds up: committed is closed plus all grants.
+/// Returns whether the ledger of every budget is consistent: the committed tokens equal the closed
+/// ones plus all grants, and do not exceed the prepaid ones.
 ///
 /// # Errors
-/// `BadFormat` for a row that cannot be read.
-pub async fn ledger_adds_up(fleet: &LocalFleet) -> Result<bool> {
+/// `BadFormat` if a row cannot be decoded.
+pub async fn is_ledger_consistent(fleet: &LocalFleet) -> Result<bool> {
     let memory = &fleet.net.memory;
     let grants = scan_all(memory, "grant/").await?;
     for b in &fleet.config().budgets {
@@ -515,7 +537,7 @@
     Ok(true)
 }
 
-/// Runs one cell, for tests.
+/// Runs one policy under one workload, for tests.
 ///
 /// # Errors
 /// As [`run`].
--- a/src/experiment/capacity.rs
+++ b/src/experiment/capacity.rs
@@ -1,5 +1,5 @@
-//! What one router's work and state cost, over sizes, so that the cost at a larger size can be
-//! worked out as a slope. Real time on one core; no network.
+//! Measures time and memory of one router's operations at several sizes, from which the cost at
+//! larger sizes can be extrapolated. Runs in real time on one core, without network.
 
 use std::sync::{Arc, RwLock};
 use std::time::{Duration, Instant};
@@ -26,46 +26,46 @@
 use crate::table::memory::Memory;
 use crate::table::{Mutation, Table, Txn};
 
-/// One measured point.
+/// One measured value.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
-pub struct Point {
-    /// What was measured.
+pub struct Measurement {
+    /// Name of the measured quantity.
     pub what: &'static str,
-    /// The size it was measured at.
+    /// Size at which it was measured, such as the number of targets.
     pub size: u64,
-    /// The result.
+    /// Measured value.
     pub value: f64,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: &'static str,
 }
 
-fn point(what: &'static str, size: u64, value: f64, unit: &'static str) -> Point {
-    Point { what, size, value, unit }
+fn measurement(what: &'static str, size: u64, value: f64, unit: &'static str) -> Measurement {
+    Measurement { what, size, value, unit }
 }
 
-/// Measures everything.
+/// Takes all measurements and calls `on_measurement` with each of them.
 ///
 /// # Errors
-/// `BadConfig` for the experiment's own configuration.
-pub async fn run<F: FnMut(&Point)>(mut show: F) -> Result<()> {
+/// `BadConfig` if the configuration of the experiment is invalid.
+pub async fn run<F: FnMut(&Measurement)>(mut on_measurement: F) -> Result<()> {
     for n in [20, 200, 1_000, 2_000, 3_800] {
-        show(&point("target_choice", n, pick_nanos(n), "ns"));
+        on_measurement(&measurement("target_choice", n, pick_ns(n), "ns"));
     }
     for n in [6, 60, 235, 470] {
-        let (bytes, nanos) = gossip(n);
-        show(&point("heartbeat_bytes", n, bytes, "B"));
-        show(&point("heartbeat_merge", n, nanos, "ns"));
+        let (bytes, merge_ns) = heartbeat_cost(n);
+        on_measurement(&measurement("heartbeat_bytes", n, bytes, "B"));
+        on_measurement(&measurement("heartbeat_merge", n, merge_ns, "ns"));
     }
     for n in [10_000, 50_000, 100_000, 290_000] {
         for p in configuration(n)? {
-            show(&p);
+            on_measurement(&p);
         }
     }
     for n in [1, 100, 1_000, 10_000] {
         let (p50, p99) = admission(n).await?;
-        show(&point("admission_p50", n, p50, "us"));
-        show(&point("admission_p99", n, p99, "us"));
+        on_measurement(&measurement("admission_p50", n, p50, "us"));
+        on_measurement(&measurement("admission_p99", n, p99, "us"));
     }
     Ok(())
 }
@@ -74,8 +74,8 @@
     format!("zone-{n}").parse().expect("a valid name")
 }
 
-/// One choice among `n` targets.
-fn pick_nanos(n: u64) -> f64 {
+/// Measures the mean time of one choice among `n` targets, in nanoseconds.
+fn pick_ns(n: u64) -> f64 {
     const PICKS: u32 = 20_000;
     let now = Millis(1_000_000);
     let mut picker = Picker::new(Policy::Sampled, zone(0), 7);
@@ -91,16 +91,17 @@
         let report = LoadReport { slots: 16, serves: vec!["m".into()], ..LoadReport::default() };
         picker.reported(now, &l.id, report);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     for i in 0..PICKS {
         std::hint::black_box(picker.pick(now, "m", u64::from(i) + 1, &[]));
     }
-    began.elapsed().as_nanos() as f64 / f64::from(PICKS)
+    started_at.elapsed().as_nanos() as f64 / f64::from(PICKS)
 }
 
-/// Bytes of one heartbeat among `n` routers, and the time to take one.
-fn gossip(n: u64) -> (f64, f64) {
-    const BEATS: u32 = 2_000;
+/// Measures a heartbeat in a fleet of `n` routers: its size in bytes, and the mean time to create,
+/// encode and merge it in nanoseconds.
+fn heartbeat_cost(n: u64) -> (f64, f64) {
+    const HEARTBEATS: u32 = 2_000;
     let entry = |i: u64| Entry {
         incarnation: format!("entry-{i}@0123456789abcdef").parse().expect("a valid name"),
         zone: zone(i % 22),
@@ -116,23 +117,25 @@
     view.merge(now, (1..n).map(entry).collect());
     let mut other = View::new(entry(n), Millis(2_000));
     let mut bytes = 0;
-    let began = Instant::now();
-    for _ in 0..BEATS {
+    let started_at = Instant::now();
+    for _ in 0..HEARTBEATS {
         let entries = view.beat(now);
         bytes = encode(&Ask::Beat(entries.clone())).len();
         other.merge(now, entries);
     }
-    (bytes as f64, began.elapsed().as_nanos() as f64 / f64::from(BEATS))
+    (bytes as f64, started_at.elapsed().as_nanos() as f64 / f64::from(HEARTBEATS))
 }
 
-fn resident() -> f64 {
+/// Returns the resident memory of this process.
+fn resident_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: f64 = text.split(' ').nth(1).and_then(|p| p.parse().ok()).unwrap_or(0.0);
     pages * 4_096.0
 }
 
-/// A configuration of `n` budgets: text, memory, the time of a whole parse and of one edit.
-fn configuration(n: u64) -> Result<Vec<Point>> {
+/// Measures a configuration of `n` budgets: size of its text and in memory, and the times to parse
+/// it and to apply one edit.
+fn configuration(n: u64) -> Result<Vec<Measurement>> {
     const EDITS: u32 = 50;
     let mut text = String::from("[service m]\nmodel = m\n");
     let organisations = (n / 12).max(1);
@@ -142,15 +145,15 @@
     for i in 0..n {
         text += &format!("[budget org{}/b{i}]\nprepaid = {}\n", i % organisations, 1_000_000 + i);
     }
-    let before = resident();
-    let began = Instant::now();
-    let bad = |f: Vec<_>| crate::config::ini::findings_error("capacity", &f);
-    let mut cfg: Config = parse(&text).map_err(bad)?;
-    let parsed = began.elapsed();
+    let before = resident_bytes();
+    let started_at = Instant::now();
+    let to_error = |f: Vec<_>| crate::config::ini::findings_error("capacity", &f);
+    let mut cfg: Config = parse(&text).map_err(to_error)?;
+    let parsed = started_at.elapsed();
     let mut doc = Document::parse(&text);
-    let memory = resident() - before;
+    let memory = resident_bytes() - before;
     let mut edit_bytes = 0;
-    let began = Instant::now();
+    let started_at = Instant::now();
     for i in 0..EDITS {
         let header = format!("budget org{}/b{i}", u64::from(i) % organisations).into();
         let edits = [Edit { header, body: Some(format!("prepaid = {}\n", 5_000_000 + i)) }];
@@ -158,26 +161,28 @@
         doc.apply(&edits);
         cfg.apply(&edits)?;
     }
-    let edit = began.elapsed() / EDITS;
+    let edit = started_at.elapsed() / EDITS;
     std::hint::black_box((&cfg, &doc));
     Ok(vec![
-        point("config_text", n, text.len() as f64, "B"),
-        point("config_memory", n, memory, "B"),
-        point("config_parse", n, parsed.as_secs_f64() * 1_000.0, "ms"),
-        point("config_edit_apply", n, edit.as_secs_f64() * 1_000.0, "ms"),
-        point("config_edit_bytes", n, edit_bytes as f64, "B"),
+        measurement("config_text", n, text.len() as f64, "B"),
+        measurement("config_memory", n, memory, "B"),
+        measurement("config_parse", n, parsed.as_secs_f64() * 1_000.0, "ms"),
+        measurement("config_edit_apply", n, edit.as_secs_f64() * 1_000.0, "ms"),
+        measurement("config_edit_bytes", n, edit_bytes as f64, "B"),
     ])
 }
 
+/// Ignores all events.
 #[derive(Clone, Copy, Debug)]
-struct Nowhere;
+struct NullListener;
 
-impl GrantListener for Nowhere {
+impl GrantListener for NullListener {
     fn recorded(&self, _: Vec<HoldId>) {}
     fn fenced(&self) {}
 }
 
-/// Time of a hold out of a grant that is there, through the keeper, with `n` budgets in use.
+/// Measures the time to hold tokens of an existing grant through the grant actor, with `n` budgets
+/// in use. Returns the 50th and 99th percentile in microseconds.
 async fn admission(n: u64) -> Result<(f64, f64)> {
     const HOLDS: u64 = 20_000;
     let memory = Memory::default();
@@ -198,36 +203,38 @@
     for i in 0..n {
         text += &format!("[budget o/b{i}]\nprepaid = 1G\n");
     }
-    let bad = |f: Vec<_>| crate::config::ini::findings_error("capacity", &f);
-    let cfg = Arc::new(RwLock::new(parse(&text).map_err(bad)?));
-    let keeper = GrantActor::spawn(GrantActorArgs {
+    let to_error = |f: Vec<_>| crate::config::ini::findings_error("capacity", &f);
+    let cfg = Arc::new(RwLock::new(parse(&text).map_err(to_error)?));
+    let grant_actor = GrantActor::spawn(GrantActorArgs {
         table: memory.clone(),
         committer: Committer::start(memory, &incarnation, Duration::from_millis(5)),
         incarnation,
         version: crate::table::Version(1),
         cfg,
         clock: Clock::start(),
-        grant_listener: Nowhere,
+        grant_listener: NullListener,
         sizing: Some(crate::budget::sizing::Sizing::Fixed(Tokens(1_000_000))),
         holders: 1,
     });
-    let mut h: Histogram<u64> = Histogram::new(3).expect("three digits are in range");
+    let mut latencies: Histogram<u64> =
+        Histogram::new(3).expect("three significant digits are in range");
     for round in 0..2 {
         for i in 0..HOLDS.max(n) {
             let budget = format!("o/b{}", i % n).parse()?;
-            let began = Instant::now();
-            let held =
-                keeper.ask(RequestHold { budget, amount: Tokens(10), wait_for_grant: true }).await;
+            let started_at = Instant::now();
+            let result = grant_actor
+                .ask(RequestHold { budget, amount: Tokens(10), wait_for_grant: true })
+                .await;
             if round == 1 {
-                // Histograms resize by themselves; a record cannot fail.
-                let _ = h.record(began.elapsed().as_nanos() as u64);
+                // The histogram resizes automatically, so recording cannot fail.
+                let _ = latencies.record(started_at.elapsed().as_nanos() as u64);
             }
-            if let Ok(hold) = held {
-                // A keeper that is gone would show in the next answer.
-                let _ = keeper.tell(CancelHold(hold)).await;
+            if let Ok(hold) = result {
+                // If the actor has stopped, the next request fails.
+                let _ = grant_actor.tell(CancelHold(hold)).await;
             }
         }
     }
-    let us = |q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
+    let us = |q: f64| latencies.value_at_quantile(q) as f64 / 1_000.0;
     Ok((us(0.5), us(0.99)))
 }
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: the project's decisions measured against simpler ones.
+//! Experiments that compare the design of the router with simpler alternatives.
 
 pub mod budget;
 pub mod capacity;
--- a/src/experiment/overhead.rs
+++ b/src/experiment/overhead.rs
@@ -1,4 +1,5 @@
-//! What a router adds to a request, against calling the target directly, in one run.
+//! Measures the latency that a router adds to a request, compared with direct calls of the target in
+//! the same run.
 
 use std::time::{Duration, Instant};
 
@@ -14,35 +15,35 @@
 use crate::standin::platform::PlatformLimits;
 use crate::standin::target::TargetSetup;
 
-/// Requests before the first that counts.
-const WARM_UP: usize = 50;
-/// Answer tokens of each request.
-const TOKENS: u64 = 8;
+/// Number of requests of each kind before the measurement starts.
+const WARM_UP_REQUESTS: usize = 50;
+/// Maximum output tokens of a request.
+const OUTPUT_TOKENS: u64 = 8;
 
-/// Times of whole answers, in microseconds.
+/// Times until the answer is complete, in microseconds.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct Overhead {
-    /// Requests that counted, of each kind.
+    /// Number of measured requests of each kind.
     pub requests: usize,
-    /// Straight to the target, median.
+    /// Median of direct calls.
     pub direct_p50_us: u64,
-    /// Straight to the target, 99th percentile.
+    /// 99th percentile of direct calls.
     pub direct_p99_us: u64,
-    /// Through a router with a witness, median.
+    /// Median of calls through a router with a witness.
     pub routed_p50_us: u64,
-    /// Through a router with a witness, 99th percentile.
+    /// 99th percentile of calls through a router with a witness.
     pub routed_p99_us: u64,
-    /// Ratio of the medians.
+    /// Ratio of the medians, routed to direct.
     pub ratio_p50: f64,
-    /// Ratio of the 99th percentiles.
+    /// Ratio of the 99th percentiles, routed to direct.
     pub ratio_p99: f64,
 }
 
-/// Sends requests in turn, one directly and one through a router.
+/// Sends requests alternately to the target and through a router.
 ///
 /// # Errors
-/// `Io` when the fleet cannot be started.
+/// `Io` if the fleet cannot be started, or the error of a request.
 pub async fn run(requests: usize) -> Result<Overhead> {
     let platform = PlatformHost::start(PlatformLimits::default()).await?;
     let zones: [ZoneId; 2] = ["a".parse()?, "b".parse()?];
@@ -65,12 +66,13 @@
     let caller = Caller::new(vec![routers[0].api.to_string()], "key", None)?;
     let engine = HttpEngine::new()?;
     let addr = target.served.addr.to_string();
-    let mut direct: Histogram<u64> = Histogram::new(3).expect("three digits are in range");
+    let mut direct: Histogram<u64> =
+        Histogram::new(3).expect("three significant digits are in range");
     let mut routed = direct.clone();
-    for n in 0..requests + WARM_UP {
+    for n in 0..requests + WARM_UP_REQUESTS {
         let (a, b) = (call_direct(&engine, &addr, n).await?, call_routed(&caller, n).await?);
-        if n >= WARM_UP {
-            // Histograms resize by themselves; a record cannot fail.
+        if n >= WARM_UP_REQUESTS {
+            // The histogram resizes automatically, so recording cannot fail.
             let _ = direct.record(a.as_micros() as u64);
             let _ = routed.record(b.as_micros() as u64);
         }
@@ -99,26 +101,26 @@
         run: format!("direct-{n}").parse()?,
         model: "m".into(),
         prompt: format!("user: {}\n", content(n)),
-        max_tokens: TOKENS,
+        max_tokens: OUTPUT_TOKENS,
         priority: crate::api::DEFAULT_PRIORITY,
         so_far: Vec::new(),
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut parts = engine.start(addr, &run).await?;
     while parts.next().await?.is_some() {}
-    Ok(began.elapsed())
+    Ok(started_at.elapsed())
 }
 
 async fn call_routed(caller: &Caller, n: usize) -> Result<Duration> {
     let call = ChatCall {
         model: "chat".into(),
         content: content(n),
-        max_tokens: TOKENS,
+        max_tokens: OUTPUT_TOKENS,
         key: format!("k{n}").parse()?,
         priority: crate::api::DEFAULT_PRIORITY,
         retry_timeout: Duration::from_secs(10),
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     caller.chat(&call, |_| {}).await?;
-    Ok(began.elapsed())
+    Ok(started_at.elapsed())
 }
--- a/src/experiment/plot.rs
+++ b/src/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of experiments as SVG: one line for each series over the size of the fleet.
+//! SVG plots of experiments, with one line per series over the size of the fleet.
 
 use std::path::Path;
 
@@ -6,15 +6,15 @@
 
 use crate::error::{Error, Kind, Result};
 
-/// Size of a plot, pixels.
+/// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 500);
 
-/// One series: its name and its points, in the order of x.
+/// One line of a plot.
 #[derive(Clone, Debug)]
 pub struct Series {
-    /// What it is called.
+    /// Name in the legend.
     pub name: String,
-    /// Points: size of the fleet, and the figure.
+    /// Points in ascending order of x. x is the number of routers, y the measured value.
     pub points: Vec<(f64, f64)>,
 }
 
@@ -34,8 +34,8 @@
     limit: Option<f64>,
 ) -> std::result::Result<(), Box<dyn std::error::Error>> {
     let points = || series.iter().flat_map(|s| &s.points);
-    let most_x = points().map(|p| p.0).fold(1.0, f64::max);
-    let most_y = points().map(|p| p.1).chain(limit).fold(1.0, f64::max) * 1.1;
+    let max_x = points().map(|p| p.0).fold(1.0, f64::max);
+    let max_y = points().map(|p| p.1).chain(limit).fold(1.0, f64::max) * 1.1;
     let root = SVGBackend::new(file, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -43,7 +43,7 @@
         .margin(16)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..most_x, 0.0..most_y)?;
+        .build_cartesian_2d(0.0..max_x, 0.0..max_y)?;
     chart.configure_mesh().x_desc("routers").draw()?;
     for (i, s) in series.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
@@ -53,7 +53,7 @@
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], color));
     }
     if let Some(limit) = limit {
-        let ends = [(0.0, limit), (most_x, limit)];
+        let ends = [(0.0, limit), (max_x, limit)];
         chart
             .draw_series(LineSeries::new(ends, &BLACK))?
             .label("bound")
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -6,7 +6,7 @@
 use kingcupwall::budget::ledger::Bill;
 use kingcupwall::budget::witness::HoldCopy;
 use kingcupwall::error::Kind;
-use kingcupwall::experiment::budget::{BudgetPolicy, Workload, ledger_adds_up, run_one};
+use kingcupwall::experiment::budget::{BudgetPolicy, Workload, is_ledger_consistent, run_one};
 use kingcupwall::ids::{Digest, Incarnation, OrganisationId, RequestKey, Tokens};
 use kingcupwall::membership::wire::{Ask, Mesh};
 use kingcupwall::request::stage::Repeatable;
@@ -70,7 +70,7 @@
 /// Waits until the ledger has settled, then checks that it adds up.
 async fn settled(f: &LocalFleet) {
     sleep(Duration::from_secs(20)).await;
-    assert!(ledger_adds_up(f).await.unwrap());
+    assert!(is_ledger_consistent(f).await.unwrap());
 }
 
 #[tokio::test(start_paused = true)]
@@ -301,13 +301,13 @@
 }
 
 #[rstest]
-#[case::steady(BudgetPolicy::Ours, Workload::Steady)]
-#[case::crowd(BudgetPolicy::Ours, Workload::Crowd)]
-#[case::store_away(BudgetPolicy::Ours, Workload::StoreAway)]
-#[case::zone_cut(BudgetPolicy::Ours, Workload::ZoneCut)]
-#[case::zone_cut_solo(BudgetPolicy::Solo(300), Workload::ZoneCutInside)]
-#[case::kills(BudgetPolicy::Ours, Workload::Kills)]
-#[case::kills_solo(BudgetPolicy::Solo(300), Workload::Kills)]
+#[case::steady(BudgetPolicy::Adaptive, Workload::Steady)]
+#[case::crowd(BudgetPolicy::Adaptive, Workload::TrafficSpike)]
+#[case::store_away(BudgetPolicy::Adaptive, Workload::StoreOutage)]
+#[case::zone_cut(BudgetPolicy::Adaptive, Workload::ZonePartition)]
+#[case::zone_cut_solo(BudgetPolicy::AdaptiveUnwitnessed(300), Workload::ZonePartitionWithCallers)]
+#[case::kills(BudgetPolicy::Adaptive, Workload::RouterKills)]
+#[case::kills_solo(BudgetPolicy::AdaptiveUnwitnessed(300), Workload::RouterKills)]
 #[tokio::test(start_paused = true)]
 async fn overspend_workloads(#[case] policy: BudgetPolicy, #[case] workload: Workload) {
     let cell = run_one(policy, workload, 900, 7).await.unwrap();
