--- a/src/experiment/cold_start.rs
+++ b/src/experiment/cold_start.rs
@@ -1,7 +1,7 @@
-//! Targets of one zone come back cold while callers wait, before fleets of several sizes: how many
-//! requests a target gets in its worst second, how much of what it bears is used, and how long
-//! callers wait. Pace, meters and owners are the real ones; routers, callers and datagrams are a
-//! model in steps of [`STEP`].
+//! Simulates targets of one zone that return cold while callers wait, in fleets of several sizes.
+//! Measures how many requests a target gets in its worst second, how much of the targets' capacity
+//! is used, and how long callers wait. Admission limits, admission windows and the choice of owners
+//! are the production code. Routers, callers and datagrams are simulated in steps of [`STEP`].
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -18,122 +18,126 @@
     pick_owner,
 };
 
-/// Resolution of the model.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(1);
-/// How long the targets stay cold, which is how long a play lasts.
-const COLD: Duration = Duration::from_secs(3);
-/// Routers of the fleets.
-const SIZES: [usize; 4] = [6, 79, 195, 470];
-/// Cold targets.
-const TARGETS: usize = 20;
-/// Requests a second that a cold target bears, and the operator's bound for it.
-const PER_S: f64 = 11.0;
-const BOUND: ColdRateLimit = ColdRateLimit { rate_factor: 1.5, slack: 5.0 };
-/// Requests a second for each target: more than all of them bear.
-const WANTED: f64 = 30.0;
-/// How long a caller waits before it is refused.
-const PATIENCE: Duration = Duration::from_millis(600);
-/// A datagram to the owner and its answer, and how many of them are lost, per cent.
+/// How long the targets are cold, which is also the simulated time.
+const COLD_DURATION: Duration = Duration::from_secs(3);
+/// Numbers of routers in the simulated fleets.
+const FLEET_SIZES: [usize; 4] = [6, 79, 195, 470];
+/// Number of cold targets.
+const COLD_TARGETS: usize = 20;
+/// Requests per second that a cold target can process.
+const COLD_REQUESTS_PER_S: f64 = 11.0;
+/// The operator's limit on the rate of requests to a cold target.
+const COLD_RATE_LIMIT: ColdRateLimit = ColdRateLimit { rate_factor: 1.5, slack: 5.0 };
+/// Offered requests per second and target, which is more than the targets can process.
+const OFFERED_REQUESTS_PER_S: f64 = 30.0;
+/// Maximum wait of a caller. After it the request is refused.
+const MAX_CALLER_WAIT: Duration = Duration::from_millis(600);
+/// Time for a datagram to a target's owner and its answer.
 const ROUND_TRIP: Duration = Duration::from_millis(2);
+/// Share of exchanges with an owner that are lost, in percent.
 const LOST_PERCENT: u8 = 1;
-/// How long a target is left alone whose owner did not answer.
-const SILENT: Duration = Duration::from_millis(200);
-/// One router in so many is large, and the large ones take most of the callers.
+/// How long a router does not try a target whose owner did not answer.
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
+/// One of this many routers is large.
 const LARGE_EVERY: usize = 13;
+/// Share of requests that arrive at the large routers, in percent.
 const LARGE_PERCENT: u8 = 85;
 
-/// How routers keep to the bound.
+/// How routers enforce the limit on requests to a cold target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// Not at all.
+    /// They do not enforce it.
     Nothing,
-    /// Each has an equal share of it.
+    /// Each router may use an equal share of the limit.
     Shares,
-    /// Each target has an owner, which sends its own requests only.
+    /// Each target has one router as owner, and only requests of the owner are sent to it.
     Owner,
-    /// The owner admits the requests of all others, too.
+    /// The owner of a target also admits requests of other routers.
     OwnerAdmits,
 }
 
-/// What routers believe of one another.
+/// Which routers each router knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Views {
-    /// All have the same list.
+    /// All routers have the same list.
     Alike,
-    /// Half of them have a list in which the largest routers are missing.
+    /// Half of the routers have a list without the large routers.
     Split,
 }
 
-/// The outcome of one play.
+/// Result of one simulation.
 #[derive(Clone, Copy, Debug)]
 #[derive(Serialize)]
 pub struct Cell {
-    /// How routers keep to the bound.
+    /// How routers enforced the limit.
     pub mechanism: Mechanism,
-    /// What routers believe of one another.
+    /// Which routers each router knew.
     pub views: Views,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// The most requests that one target got in any second.
+    /// Maximum number of requests that one target got in any second.
     pub most_in_second: usize,
-    /// The bound.
+    /// Permitted number of requests to one target in any second.
     pub bound: f64,
-    /// Requests sent, against what the targets bear, per cent.
+    /// Sent requests in percent of the targets' capacity.
     pub used_percent: u64,
-    /// Wait of the callers that were served, at the median and at 95 of 100, ms.
+    /// Median wait of the callers whose request was sent, in milliseconds.
     pub wait_p50_ms: u64,
-    /// See `wait_p50_ms`.
+    /// 95th percentile of that wait, in milliseconds.
     pub wait_p95_ms: u64,
-    /// Callers that were refused, per cent.
+    /// Refused requests in percent of all requests.
     pub refused_percent: u64,
 }
 
-struct Waiting {
+struct WaitingRequest {
     router: usize,
-    since: Instant,
-    next: Instant,
+    waiting_since: Instant,
+    next_attempt: Instant,
 }
 
-struct Play {
+struct Simulation {
     cell: Cell,
     rng: Rng,
-    pace: AdmissionLimit,
+    admission_limit: AdmissionLimit,
     routers: Vec<OwnerCandidate>,
-    /// The list of those that lack the largest.
-    old_list: Vec<OwnerCandidate>,
-    /// By router and target.
-    meters: Vec<AdmissionWindow>,
-    /// Until when a router leaves a target alone.
-    closed: Vec<Option<Instant>>,
-    /// When requests reached each target.
-    sent: Vec<VecDeque<Instant>>,
-    /// Requests that left, and reach their target later.
-    on_the_way: VecDeque<(Instant, usize)>,
+    /// The list without the large routers.
+    stale_list: Vec<OwnerCandidate>,
+    /// Indexed by `router * COLD_TARGETS + target`.
+    admission_windows: Vec<AdmissionWindow>,
+    /// When a router may try a target again. Indexed as `admission_windows`.
+    retry_at: Vec<Option<Instant>>,
+    /// Times at which requests reached each target within the last second.
+    recent_arrivals: Vec<VecDeque<Instant>>,
+    /// Requests that have been sent, with the time at which they reach their target.
+    in_transit: VecDeque<(Instant, usize)>,
     waits_ms: Vec<u64>,
     refused: usize,
 }
 
-/// Plays every cell; `show` gets each.
-pub fn run(seed: u64, only: &str, mut show: impl FnMut(&Cell)) {
+/// Runs the simulations whose name `mechanism/views/routers` contains `only`, and calls `on_cell`
+/// with each result.
+pub fn run(seed: u64, only: &str, mut on_cell: impl FnMut(&Cell)) {
     let mechanisms =
         [Mechanism::Nothing, Mechanism::Shares, Mechanism::Owner, Mechanism::OwnerAdmits];
     for views in [Views::Alike, Views::Split] {
-        for (mechanism, routers) in mechanisms.iter().flat_map(|m| SIZES.map(|n| (*m, n))) {
+        for (mechanism, routers) in mechanisms.iter().flat_map(|m| FLEET_SIZES.map(|n| (*m, n))) {
             if format!("{mechanism:?}/{views:?}/{routers}").contains(only) {
-                show(&Play::new(mechanism, views, routers, seed).play());
+                on_cell(&Simulation::new(mechanism, views, routers, seed).simulate());
             }
         }
     }
 }
 
-/// Plots the worst second by size, one line for each mechanism and view.
+/// Plots the maximum requests in a second by fleet size, with one line for each mechanism and view.
 ///
 /// # Errors
-/// Those of writing the file.
+/// `Io` if the file cannot be written.
 pub fn plot(cells: &[Cell], file: &Path) -> error::Result<()> {
     let mut series: Vec<Series> = Vec::new();
     for c in cells {
@@ -148,8 +152,8 @@
     plot::write(file, "most requests at one cold target in any second", &series, bound)
 }
 
-impl Play {
-    fn new(mechanism: Mechanism, views: Views, routers: usize, seed: u64) -> Play {
+impl Simulation {
+    fn new(mechanism: Mechanism, views: Views, routers: usize, seed: u64) -> Simulation {
         let router = |n: usize| OwnerCandidate {
             instance: format!("r{n}").into(),
             zone: "z".into(),
@@ -157,73 +161,79 @@
             capacity: if n.is_multiple_of(LARGE_EVERY) { 200 } else { 48 },
         };
         let all: Vec<OwnerCandidate> = (0..routers).map(router).collect();
-        let mut pace = AdmissionLimit::for_warm_up(
-            WarmUp { cold_duration: COLD, requests_per_s: PER_S },
-            BOUND,
+        let mut admission_limit = AdmissionLimit::for_warm_up(
+            WarmUp { cold_duration: COLD_DURATION, requests_per_s: COLD_REQUESTS_PER_S },
+            COLD_RATE_LIMIT,
         );
         if mechanism == Mechanism::Shares {
-            let share = PER_S / routers as f64;
-            pace = AdmissionLimit::for_warm_up(
-                WarmUp { cold_duration: COLD, requests_per_s: share },
+            let share = COLD_REQUESTS_PER_S / routers as f64;
+            admission_limit = AdmissionLimit::for_warm_up(
+                WarmUp { cold_duration: COLD_DURATION, requests_per_s: share },
                 ColdRateLimit { rate_factor: 2.0, slack: 0.0 },
             );
         }
-        Play {
+        Simulation {
             cell: Cell {
                 mechanism,
                 views,
                 routers,
                 most_in_second: 0,
-                bound: PER_S * BOUND.rate_factor + BOUND.slack,
+                bound: COLD_REQUESTS_PER_S * COLD_RATE_LIMIT.rate_factor + COLD_RATE_LIMIT.slack,
                 used_percent: 0,
                 wait_p50_ms: 0,
                 wait_p95_ms: 0,
                 refused_percent: 0,
             },
             rng: Rng::with_seed(seed),
-            pace,
-            old_list: all.iter().filter(|r| r.capacity < 200).cloned().collect(),
-            meters: (0..routers * TARGETS).map(|_| AdmissionWindow::default()).collect(),
-            closed: vec![None; routers * TARGETS],
+            admission_limit,
+            stale_list: all.iter().filter(|r| r.capacity < 200).cloned().collect(),
+            admission_windows: (0..routers * COLD_TARGETS)
+                .map(|_| AdmissionWindow::default())
+                .collect(),
+            retry_at: vec![None; routers * COLD_TARGETS],
             routers: all,
-            sent: vec![VecDeque::new(); TARGETS],
-            on_the_way: VecDeque::new(),
+            recent_arrivals: vec![VecDeque::new(); COLD_TARGETS],
+            in_transit: VecDeque::new(),
             waits_ms: Vec::new(),
             refused: 0,
         }
     }
 
-    fn play(mut self) -> Cell {
+    fn simulate(mut self) -> Cell {
         let start = Instant::now();
-        let mut waiting: Vec<Waiting> = Vec::new();
+        let mut waiting: Vec<WaitingRequest> = Vec::new();
         let mut now = start;
-        while now < start + COLD {
-            let mut wanted = WANTED * TARGETS as f64 * STEP.as_secs_f64();
-            while self.rng.f64() < wanted {
-                waiting.push(Waiting { router: self.any_router(), since: now, next: now });
-                wanted -= 1.0;
+        while now < start + COLD_DURATION {
+            let mut offered = OFFERED_REQUESTS_PER_S * COLD_TARGETS as f64 * STEP.as_secs_f64();
+            while self.rng.f64() < offered {
+                waiting.push(WaitingRequest {
+                    router: self.random_router(),
+                    waiting_since: now,
+                    next_attempt: now,
+                });
+                offered -= 1.0;
             }
-            let mut left = Vec::new();
-            for mut w in waiting.drain(..) {
-                if w.next > now {
-                    left.push(w);
-                } else if now - w.since >= PATIENCE {
+            let mut still_waiting = Vec::new();
+            for mut request in waiting.drain(..) {
+                if request.next_attempt > now {
+                    still_waiting.push(request);
+                } else if now - request.waiting_since >= MAX_CALLER_WAIT {
                     self.refused += 1;
-                } else if let Some(room_in) = self.try_send(w.router, now) {
-                    w.next = now + room_in.max(STEP);
-                    left.push(w);
+                } else if let Some(retry_in) = self.try_send(request.router, now) {
+                    request.next_attempt = now + retry_in.max(STEP);
+                    still_waiting.push(request);
                 } else {
-                    self.waits_ms.push((now - w.since).as_millis() as u64);
+                    self.waits_ms.push((now - request.waiting_since).as_millis() as u64);
                 }
             }
-            waiting = left;
+            waiting = still_waiting;
             now += STEP;
-            self.arrive(now);
+            self.deliver(now);
         }
         self.finish()
     }
 
-    fn any_router(&mut self) -> usize {
+    fn random_router(&mut self) -> usize {
         let n = self.routers.len();
         if self.rng.u8(..100) < LARGE_PERCENT {
             return self.rng.usize(..n.div_ceil(LARGE_EVERY)) * LARGE_EVERY;
@@ -231,73 +241,86 @@
         self.rng.usize(..n)
     }
 
-    /// Sends a request of a router to a cold target. Returns when to try again if there is no room.
+    /// Sends a request of `router` to a cold target. If no target admits it, returns the delay until
+    /// the next attempt.
     fn try_send(&mut self, router: usize, now: Instant) -> Option<Duration> {
-        let mut soonest = PATIENCE;
-        let first = self.rng.usize(..TARGETS);
-        for target in (0..TARGETS).map(|n| (first + n) % TARGETS) {
-            let at = router * TARGETS + target;
-            if let Some(open) = self.closed[at].filter(|t| *t > now) {
-                soonest = soonest.min(open - now);
+        let mut min_delay = MAX_CALLER_WAIT;
+        let first = self.rng.usize(..COLD_TARGETS);
+        for target in (0..COLD_TARGETS).map(|n| (first + n) % COLD_TARGETS) {
+            let at = router * COLD_TARGETS + target;
+            if let Some(retry_time) = self.retry_at[at].filter(|t| *t > now) {
+                min_delay = min_delay.min(retry_time - now);
                 continue;
             }
             match self.admit(router, target, now) {
                 Ok(delay) => {
-                    self.on_the_way.push_back((now + delay, target));
+                    self.in_transit.push_back((now + delay, target));
                     return None;
                 }
-                Err(room_in) => {
-                    self.closed[at] = Some(now + room_in);
-                    soonest = soonest.min(room_in);
+                Err(retry_in) => {
+                    self.retry_at[at] = Some(now + retry_in);
+                    min_delay = min_delay.min(retry_in);
                 }
             }
         }
-        Some(soonest)
+        Some(min_delay)
     }
 
-    /// How long after its admission the request leaves.
+    /// Decides whether a request is admitted. Returns the delay until it is sent, or else the delay
+    /// until the next attempt.
     fn admit(&mut self, router: usize, target: usize, now: Instant) -> Result<Duration, Duration> {
-        let by = match self.cell.mechanism {
+        let admitting_router = match self.cell.mechanism {
             Mechanism::Nothing => return Ok(Duration::ZERO),
             Mechanism::Shares => router,
-            Mechanism::Owner | Mechanism::OwnerAdmits => self.owner_by(router, target),
+            Mechanism::Owner | Mechanism::OwnerAdmits => self.owner_in_list_of(router, target),
         };
-        let asks = by != router;
-        if asks && self.cell.mechanism == Mechanism::Owner {
-            return Err(SILENT);
+        let is_remote = admitting_router != router;
+        if is_remote && self.cell.mechanism == Mechanism::Owner {
+            return Err(UNANSWERED_BACKOFF);
         }
-        let is_lost = asks && self.rng.u8(..100) < LOST_PERCENT;
-        // Who is asked admits only what it owns by its own list.
-        if is_lost || asks && self.owner_by(by, target) != by {
-            return Err(SILENT);
+        let is_lost = is_remote && self.rng.u8(..100) < LOST_PERCENT;
+        // The queried router admits requests only if it owns the target according to its own list.
+        if is_lost
+            || is_remote && self.owner_in_list_of(admitting_router, target) != admitting_router
+        {
+            return Err(UNANSWERED_BACKOFF);
         }
-        self.meters[by * TARGETS + target].admit(now, self.pace)?;
-        Ok(if asks {
+        self.admission_windows[admitting_router * COLD_TARGETS + target]
+            .admit(now, self.admission_limit)?;
+        Ok(if is_remote {
             self.rng.u32(..=ADMISSION_TTL.as_millis() as u32 / 2) * STEP + ROUND_TRIP
         } else {
             Duration::ZERO
         })
     }
 
-    fn owner_by(&self, router: usize, target: usize) -> usize {
-        let has_old = self.cell.views == Views::Split && router.is_multiple_of(2);
-        let list =
-            if has_old && !self.old_list.is_empty() { &self.old_list } else { &self.routers };
-        let found = pick_owner(list, &format!("t{target}"), "z").expect("there are routers");
-        self.routers.iter().position(|r| r.instance == found.instance).expect("it is one of them")
+    /// Returns the owner of `target` according to the list of `router`.
+    fn owner_in_list_of(&self, router: usize, target: usize) -> usize {
+        let has_stale_list = self.cell.views == Views::Split && router.is_multiple_of(2);
+        let list = if has_stale_list && !self.stale_list.is_empty() {
+            &self.stale_list
+        } else {
+            &self.routers
+        };
+        let found = pick_owner(list, &format!("t{target}"), "z").expect("the list is not empty");
+        self.routers
+            .iter()
+            .position(|r| r.instance == found.instance)
+            .expect("the owner is in the list")
     }
 
-    fn arrive(&mut self, now: Instant) {
-        let (there, on): (VecDeque<_>, VecDeque<_>) =
-            std::mem::take(&mut self.on_the_way).into_iter().partition(|(t, _)| *t <= now);
-        self.on_the_way = on;
-        for (at, target) in there {
-            let sent = &mut self.sent[target];
-            while sent.front().is_some_and(|t| *t + Duration::from_secs(1) <= at) {
-                sent.pop_front();
+    /// Counts the requests that have reached their target by `now`.
+    fn deliver(&mut self, now: Instant) {
+        let (arrived, remaining): (VecDeque<_>, VecDeque<_>) =
+            std::mem::take(&mut self.in_transit).into_iter().partition(|(t, _)| *t <= now);
+        self.in_transit = remaining;
+        for (at, target) in arrived {
+            let recent_arrivals = &mut self.recent_arrivals[target];
+            while recent_arrivals.front().is_some_and(|t| *t + Duration::from_secs(1) <= at) {
+                recent_arrivals.pop_front();
             }
-            sent.push_back(at);
-            self.cell.most_in_second = self.cell.most_in_second.max(sent.len());
+            recent_arrivals.push_back(at);
+            self.cell.most_in_second = self.cell.most_in_second.max(recent_arrivals.len());
         }
     }
 
@@ -305,9 +328,9 @@
         self.waits_ms.sort_unstable();
         let served = self.waits_ms.len();
         let at = |percent: usize| self.waits_ms.get(served * percent / 100).copied().unwrap_or(0);
-        let bears = PER_S * TARGETS as f64 * COLD.as_secs_f64();
+        let cold_capacity = COLD_REQUESTS_PER_S * COLD_TARGETS as f64 * COLD_DURATION.as_secs_f64();
         Cell {
-            used_percent: (served as f64 / bears * 100.0) as u64,
+            used_percent: (served as f64 / cold_capacity * 100.0) as u64,
             wait_p50_ms: at(50),
             wait_p95_ms: at(95),
             refused_percent: (self.refused * 100 / (served + self.refused).max(1)) as u64,
--- a/src/experiment/quarantine.rs
+++ b/src/experiment/quarantine.rs
@@ -1,7 +1,7 @@
-//! A request that ends each target which runs it, before fleets of several sizes: how many targets it
-//! ends, what breaks off with them, and who is held back without being the cause. Routers are
-//! the real [`Quarantine`]; targets, callers and messages between routers are a model in steps of
-//! [`STEP_MS`].
+//! Simulates a request that crashes every target which executes it, in fleets of several sizes.
+//! Measures how many targets it crashes, how many other requests are interrupted, and which of these
+//! are quarantined although they are not the cause. Routers use the production [`Quarantine`];
+//! targets, callers and messages between routers are simulated in steps of [`STEP_MS`].
 
 use fastrand::Rng;
 use serde::Serialize;
@@ -10,79 +10,84 @@
 use crate::gateway::quarantine::{Completion, Crash, CrashReport, Incarnation, Quarantine, Source};
 use crate::rows::StoreMs;
 
-/// Resolution of the model, ms.
+/// Time step of the simulation, in milliseconds.
 const STEP_MS: u64 = 10;
-/// Length of a play, ms.
-const PLAY_MS: u64 = 30_000;
-/// Routers of the fleets.
-const SIZES: [usize; 3] = [6, 60, 195];
-/// Targets for each router.
+/// Simulated time, in milliseconds.
+const SIMULATED_MS: u64 = 30_000;
+/// Numbers of routers in the simulated fleets.
+const FLEET_SIZES: [usize; 3] = [6, 60, 195];
+/// Number of targets per router.
 const TARGETS_PER_ROUTER: usize = 2;
-/// Requests a second at each router, and how long each runs, ms.
-const RATE: u64 = 20;
-const RUN_MS: u64 = 1_000;
-/// Pause between two attempts of the cause at the whole fleet, and how long each runs, ms.
-const CAUSE_EVERY_MS: u64 = 250;
+/// Requests per second that arrive at each router.
+const REQUESTS_PER_S: u64 = 20;
+/// Maximum execution time of such a request, in milliseconds. The minimum is a quarter of it.
+const MAX_RUN_MS: u64 = 1_000;
+/// Interval at which the crashing request is sent to some router of the fleet, in milliseconds.
+const CAUSE_INTERVAL_MS: u64 = 250;
+/// Time from the start of the crashing request until its target crashes, in milliseconds.
 const CAUSE_RUN_MS: u64 = 100;
-/// The cause itself.
+/// The request that crashes its targets.
 const CAUSE: Fingerprint = Fingerprint(1);
-/// Attempts of any other request, in all.
-const ATTEMPTS: u32 = 3;
-/// How long a target that has ended is down, ms.
+/// Maximum number of attempts of any other request.
+const MAX_ATTEMPTS: u32 = 3;
+/// How long a crashed target is unavailable, in milliseconds.
 const DOWN_MS: u64 = 3_000;
-/// Datagrams that are lost, per cent.
+/// Share of datagrams that are lost, in percent.
 const LOST_PERCENT: u8 = 1;
-/// Pause between two readings of all rows, and how late a row follows a crash, ms.
-const READ_MS: u64 = 2_000;
-const WRITE_MS: u64 = 500;
+/// Interval at which a router reads the rows of all routers, in milliseconds.
+const READ_INTERVAL_MS: u64 = 2_000;
+/// Maximum delay between a crash and the write of the router's row, in milliseconds.
+const WRITE_DELAY_MS: u64 = 500;
 
-/// How routers share what they see.
+/// How routers share their records of crashes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Sharing {
-    /// Nothing is remembered of requests.
+    /// Crashes are not recorded.
     Nothing,
-    /// Each router remembers for itself.
+    /// Each router records only its own requests.
     Alone,
-    /// By rows that all read.
+    /// Routers write rows to the store, which all routers read.
     Rows,
-    /// By rows, and at once by datagram.
+    /// Rows as above, and in addition a datagram to each router at once.
     RowsAndDatagrams,
 }
 
-/// What happens beside the usual requests.
+/// What happens besides the normal requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Trouble {
-    /// The cause comes again and again.
+pub enum Scenario {
+    /// The crashing request is sent repeatedly.
     Cause,
-    /// The same, and rows are neither written nor read.
+    /// As [`Scenario::Cause`], while the store is unavailable.
     CauseWithoutStore,
-    /// No cause; a third of the targets ends every few seconds, and callers come back at once.
+    /// There is no crashing request. A third of the targets crashes every few seconds for other
+    /// reasons, and callers retry immediately.
     Waves,
 }
 
-/// The outcome of one play.
+/// Result of one simulation.
 #[derive(Clone, Copy, Debug)]
 #[derive(Serialize)]
 pub struct Cell {
-    /// How routers share.
+    /// How routers shared their records of crashes.
     pub sharing: Sharing,
-    /// What happens.
-    pub trouble: Trouble,
-    /// Routers.
+    /// What happened besides the normal requests.
+    pub trouble: Scenario,
+    /// Number of routers.
     pub routers: usize,
-    /// Targets that the cause ended.
+    /// Targets that the crashing request crashed.
     pub ended: u64,
-    /// Other requests' runs that broke off.
+    /// Interrupted runs of other requests.
     pub broken: u64,
-    /// The most targets that ended under another request without a good end in between.
+    /// Maximum number of targets that crashed while executing the same other request, without a
+    /// completed run of it in between.
     pub most_under_other: usize,
-    /// Attempts of other requests that were held back.
+    /// Attempts of other requests that were rejected because of quarantine.
     pub others_held_back: u64,
-    /// Bytes of datagrams that one router sent, on average.
+    /// Mean size of all datagrams that one router sent, in bytes.
     pub told_bytes: u64,
 }
 
@@ -92,20 +97,20 @@
     router: usize,
     target: usize,
     began: u64,
-    over: u64,
+    ends_at: u64,
 }
 
 struct Target {
     incarnation: u64,
-    back: u64,
+    available_at: u64,
 }
 
-struct Play {
+struct Simulation {
     sharing: Sharing,
-    trouble: Trouble,
+    trouble: Scenario,
     rng: Rng,
     routers: Vec<Quarantine>,
-    /// Each router's row, and when it is written next.
+    /// Each router's row, and the time at which it is written again.
     rows: Vec<(CrashReport, u64)>,
     targets: Vec<Target>,
     running: Vec<Run>,
@@ -114,23 +119,24 @@
     cell: Cell,
 }
 
-/// Plays every cell; `show` gets each.
-pub fn run(seed: u64, only: &str, mut show: impl FnMut(&Cell)) {
+/// Runs the simulations whose name `sharing/scenario/routers` contains `only`, and calls `on_cell`
+/// with each result.
+pub fn run(seed: u64, only: &str, mut on_cell: impl FnMut(&Cell)) {
     let sharings = [Sharing::Nothing, Sharing::Alone, Sharing::Rows, Sharing::RowsAndDatagrams];
-    for trouble in [Trouble::Cause, Trouble::CauseWithoutStore, Trouble::Waves] {
-        for (sharing, routers) in sharings.iter().flat_map(|s| SIZES.map(|n| (*s, n))) {
+    for trouble in [Scenario::Cause, Scenario::CauseWithoutStore, Scenario::Waves] {
+        for (sharing, routers) in sharings.iter().flat_map(|s| FLEET_SIZES.map(|n| (*s, n))) {
             if format!("{sharing:?}/{trouble:?}/{routers}").contains(only) {
-                show(&Play::new(sharing, trouble, routers, seed).play());
+                on_cell(&Simulation::new(sharing, trouble, routers, seed).simulate());
             }
         }
     }
 }
 
-impl Play {
-    fn new(sharing: Sharing, trouble: Trouble, routers: usize, seed: u64) -> Play {
+impl Simulation {
+    fn new(sharing: Sharing, trouble: Scenario, routers: usize, seed: u64) -> Simulation {
         let targets = routers * TARGETS_PER_ROUTER;
-        let target = |n: usize| Target { incarnation: n as u64, back: 0 };
-        Play {
+        let target = |n: usize| Target { incarnation: n as u64, available_at: 0 };
+        Simulation {
             sharing,
             trouble,
             rng: Rng::with_seed(seed),
@@ -153,75 +159,76 @@
         }
     }
 
-    fn play(mut self) -> Cell {
-        for now in (0..PLAY_MS).step_by(STEP_MS as usize) {
-            self.send_new(now);
-            self.end_targets(now);
-            self.end_well(now);
-            self.share_rows(now);
+    fn simulate(mut self) -> Cell {
+        for now in (0..SIMULATED_MS).step_by(STEP_MS as usize) {
+            self.send_arrivals(now);
+            self.crash_targets(now);
+            self.complete_runs(now);
+            self.exchange_rows(now);
         }
         self.cell.told_bytes /= self.routers.len() as u64;
         self.cell
     }
 
-    fn send_new(&mut self, now: u64) {
+    fn send_arrivals(&mut self, now: u64) {
         for router in 0..self.routers.len() {
-            if self.rng.u64(..1_000) < RATE * STEP_MS {
+            if self.rng.u64(..1_000) < REQUESTS_PER_S * STEP_MS {
                 let request = Fingerprint(self.next_request);
                 self.next_request += 1;
-                let over = now + self.rng.u64(RUN_MS / 4..RUN_MS);
-                self.send(request, 1, router, now, over);
+                let ends_at = now + self.rng.u64(MAX_RUN_MS / 4..MAX_RUN_MS);
+                self.send(request, 1, router, now, ends_at);
             }
         }
-        if self.trouble != Trouble::Waves && now.is_multiple_of(CAUSE_EVERY_MS) {
+        if self.trouble != Scenario::Waves && now.is_multiple_of(CAUSE_INTERVAL_MS) {
             let router = self.rng.usize(..self.routers.len());
             self.send(CAUSE, 1, router, now, now + CAUSE_RUN_MS);
         }
     }
 
-    fn send(&mut self, request: Fingerprint, attempt: u32, router: usize, now: u64, over: u64) {
+    fn send(&mut self, request: Fingerprint, attempt: u32, router: usize, now: u64, ends_at: u64) {
         if self.routers[router].quarantined_until(request, StoreMs(now)).is_some() {
             self.cell.others_held_back += u64::from(request != CAUSE);
             return;
         }
-        let up: Vec<usize> =
-            (0..self.targets.len()).filter(|t| self.targets[*t].back <= now).collect();
-        let Some(target) = self.rng.choice(up) else { return };
-        self.running.push(Run { request, attempt, router, target, began: now, over });
+        let available: Vec<usize> =
+            (0..self.targets.len()).filter(|t| self.targets[*t].available_at <= now).collect();
+        let Some(target) = self.rng.choice(available) else { return };
+        self.running.push(Run { request, attempt, router, target, began: now, ends_at });
     }
 
-    fn end_targets(&mut self, now: u64) {
-        let of_cause = |r: &&Run| r.request == CAUSE && r.over <= now;
-        let mut ending: Vec<usize> =
-            self.running.iter().filter(of_cause).map(|r| r.target).collect();
-        ending.sort_unstable();
-        ending.dedup();
-        self.cell.ended += ending.len() as u64;
-        if self.trouble == Trouble::Waves && now % 4_000 == 3_000 {
+    fn crash_targets(&mut self, now: u64) {
+        let is_finished_cause = |r: &&Run| r.request == CAUSE && r.ends_at <= now;
+        let mut crashing: Vec<usize> =
+            self.running.iter().filter(is_finished_cause).map(|r| r.target).collect();
+        crashing.sort_unstable();
+        crashing.dedup();
+        self.cell.ended += crashing.len() as u64;
+        if self.trouble == Scenario::Waves && now % 4_000 == 3_000 {
             let rng = &mut self.rng;
-            ending.extend((0..self.targets.len()).filter(|_| rng.u8(..3) == 0));
+            crashing.extend((0..self.targets.len()).filter(|_| rng.u8(..3) == 0));
         }
-        if ending.is_empty() {
+        if crashing.is_empty() {
             return;
         }
-        let (broken, running) =
-            std::mem::take(&mut self.running).into_iter().partition(|r| ending.contains(&r.target));
+        let (broken, running) = std::mem::take(&mut self.running)
+            .into_iter()
+            .partition(|r| crashing.contains(&r.target));
         self.running = running;
-        self.note_broken(&broken, now);
-        for target in ending {
+        self.record_broken_runs(&broken, now);
+        for target in crashing {
             self.targets[target] =
-                Target { incarnation: self.next_incarnation, back: now + DOWN_MS };
+                Target { incarnation: self.next_incarnation, available_at: now + DOWN_MS };
             self.next_incarnation += 1;
         }
-        // Callers come back at once.
-        for run in broken.iter().filter(|r| r.request != CAUSE && r.attempt < ATTEMPTS) {
+        // Callers retry immediately.
+        for run in broken.iter().filter(|r| r.request != CAUSE && r.attempt < MAX_ATTEMPTS) {
             let router = self.rng.usize(..self.routers.len());
-            let over = now + self.rng.u64(RUN_MS / 4..RUN_MS);
-            self.send(run.request, run.attempt + 1, router, now, over);
+            let ends_at = now + self.rng.u64(MAX_RUN_MS / 4..MAX_RUN_MS);
+            self.send(run.request, run.attempt + 1, router, now, ends_at);
         }
     }
 
-    fn note_broken(&mut self, broken: &[Run], now: u64) {
+    fn record_broken_runs(&mut self, broken: &[Run], now: u64) {
         for run in broken {
             self.cell.broken += u64::from(run.request != CAUSE);
             if self.sharing == Sharing::Nothing {
@@ -235,16 +242,19 @@
             };
             self.routers[run.router].record_crash(crash, Source::Own);
             let row = &mut self.rows[run.router];
-            row.1 = row.1.min(now + WRITE_MS);
-            self.tell(run.router, &CrashReport { crashes: vec![crash], ended_well: Vec::new() });
+            row.1 = row.1.min(now + WRITE_DELAY_MS);
+            self.send_report(
+                run.router,
+                &CrashReport { crashes: vec![crash], ended_well: Vec::new() },
+            );
             if run.request != CAUSE {
-                let under = self.routers[run.router].crash_count(run.request);
-                self.cell.most_under_other = self.cell.most_under_other.max(under);
+                let count = self.routers[run.router].crash_count(run.request);
+                self.cell.most_under_other = self.cell.most_under_other.max(count);
             }
         }
     }
 
-    fn tell(&mut self, from: usize, report: &CrashReport) {
+    fn send_report(&mut self, from: usize, report: &CrashReport) {
         if self.sharing != Sharing::RowsAndDatagrams {
             return;
         }
@@ -258,28 +268,31 @@
         }
     }
 
-    fn end_well(&mut self, now: u64) {
-        let (over, running): (Vec<Run>, Vec<Run>) =
-            std::mem::take(&mut self.running).into_iter().partition(|r| r.over <= now);
+    fn complete_runs(&mut self, now: u64) {
+        let (ends_at, running): (Vec<Run>, Vec<Run>) =
+            std::mem::take(&mut self.running).into_iter().partition(|r| r.ends_at <= now);
         self.running = running;
-        for run in over {
-            let well = Completion { request: run.request, at: StoreMs(now) };
-            if self.routers[run.router].record_completion(well, Source::Own) {
-                self.tell(run.router, &CrashReport { crashes: Vec::new(), ended_well: vec![well] });
+        for run in ends_at {
+            let completion = Completion { request: run.request, at: StoreMs(now) };
+            if self.routers[run.router].record_completion(completion, Source::Own) {
+                self.send_report(
+                    run.router,
+                    &CrashReport { crashes: Vec::new(), ended_well: vec![completion] },
+                );
             }
         }
     }
 
-    fn share_rows(&mut self, now: u64) {
+    fn exchange_rows(&mut self, now: u64) {
         let has_rows = matches!(self.sharing, Sharing::Rows | Sharing::RowsAndDatagrams);
-        if !has_rows || self.trouble == Trouble::CauseWithoutStore {
+        if !has_rows || self.trouble == Scenario::CauseWithoutStore {
             return;
         }
         let n = self.routers.len();
         for router in 0..n {
-            // Routers read at different moments.
-            let reads = (now + READ_MS * router as u64 / n as u64) / STEP_MS * STEP_MS;
-            let is_due = reads.is_multiple_of(READ_MS) || self.rows[router].1 <= now;
+            // Routers read the rows at different times.
+            let read_time = (now + READ_INTERVAL_MS * router as u64 / n as u64) / STEP_MS * STEP_MS;
+            let is_due = read_time.is_multiple_of(READ_INTERVAL_MS) || self.rows[router].1 <= now;
             if !is_due {
                 continue;
             }
--- a/tests/test_explain.rs
+++ b/tests/test_explain.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause.
+//! Selection of the log lines that explain the outcome of a request.
 
 use kingcupwall::explain::explain;
 
@@ -16,6 +16,8 @@
 
 #[test]
 fn explain_request() {
+    // Lines of a request whose id merely starts with the same text, and state lines after the first
+    // line of the request, must not be shown.
     let found = explain("q1", LOG);
     let times: Vec<&str> =
         found.iter().map(|l| l.split(' ').find(|f| f.starts_with("t_ms")).unwrap()).collect();
--- a/tests/test_gateway_quarantine.rs
+++ b/tests/test_gateway_quarantine.rs
@@ -1,6 +1,6 @@
 //! Quarantine decisions, tested without sockets, and fingerprints of requests.
 
-use kingcupwall::experiment::quarantine::{Sharing, Trouble, run};
+use kingcupwall::experiment::quarantine::{Scenario, Sharing, run};
 use kingcupwall::gateway::fingerprint::Fingerprint;
 use kingcupwall::gateway::quarantine::{
     CRASH_RETENTION_MS, CRASHES_TO_QUARANTINE, Completion, Crash, CrashReport, Incarnation,
@@ -263,7 +263,7 @@
         assert_eq!(c.sharing, Sharing::RowsAndDatagrams);
         assert_eq!(c.others_held_back, 0);
         assert!(c.ended <= 2 * CRASHES_TO_QUARANTINE as u64, "{c:?}");
-        assert!(c.trouble == Trouble::Waves || c.ended >= CRASHES_TO_QUARANTINE as u64, "{c:?}");
+        assert!(c.trouble == Scenario::Waves || c.ended >= CRASHES_TO_QUARANTINE as u64, "{c:?}");
     });
 }
 
--- a/tests/test_oplog.rs
+++ b/tests/test_oplog.rs
@@ -1,4 +1,4 @@
-//! The structured log: bounded, and never in the way.
+//! The structured log: its limits, and that writing a line never blocks.
 
 use std::time::Duration;
 
@@ -8,6 +8,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn log_limits_each_kind() {
+    // A kind of event that is logged very often must not displace the lines of other kinds.
     let log = Log::new();
     for n in 0..1_000 {
         log.routine("placed", format_args!("n={n}"));
@@ -24,8 +25,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn log_full_pipe() {
-    // The reader of the log has stalled, and every request hangs with it.
-    // A full pipe must hold up the writing task alone; lines are dropped and counted.
+    // Requests must not block when the reader of the log has stalled and the pipe is full. Only the
+    // writing task may wait, and lines beyond the limit are dropped and counted.
     LocalSet::new()
         .run_until(async {
             let log = Log::new();
