--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -75,7 +75,7 @@
 
 impl IntoResponse for Error {
     fn into_response(self) -> Response {
-        let answer = self.kind.properties();
+        let answer = self.kind.attrs();
         let status = StatusCode::from_u16(answer.status).expect("the table holds valid codes");
         let mut resp = (status, Json(error_body(&self))).into_response();
         if answer.retry_after > 0 {
@@ -87,7 +87,7 @@
 
 /// An error as JSON.
 pub fn error_body(e: &Error) -> serde_json::Value {
-    let answer = e.kind.properties();
+    let answer = e.kind.attrs();
     let not_run = match answer.not_run {
         NotRun::Yes => json!(true),
         NotRun::No => json!(false),
--- a/src/client.rs
+++ b/src/client.rs
@@ -206,7 +206,7 @@
                         ..PartialAnswer::default()
                     }
                 }
-                Ok(Err(e)) if !e.kind.properties().retryable || e.kind == Kind::BudgetExhausted => {
+                Ok(Err(e)) if !e.kind.attrs().retryable || e.kind == Kind::BudgetExhausted => {
                     return Err(e);
                 }
                 Ok(Err(e)) => last = e,
@@ -292,7 +292,7 @@
             };
             match outcome {
                 Ok(resp) => return Ok((resp.status().as_u16(), resp.text().await?)),
-                Err(e) if !e.kind.properties().retryable => return Err(e),
+                Err(e) if !e.kind.attrs().retryable => return Err(e),
                 Err(e) => last = e,
             }
             self.expire_cached_addresses();
--- a/src/error.rs
+++ b/src/error.rs
@@ -68,7 +68,7 @@
 
 /// How an error of some kind is reported to callers and operators.
 #[derive(Clone, Copy, Debug)]
-pub struct ErrorProperties {
+pub struct ErrorAttributes {
     /// Name in JSON bodies and logs.
     pub name: &'static str,
     /// HTTP status code.
@@ -83,7 +83,7 @@
     pub exit: u8,
 }
 
-/// Positional constructor for the table in [`Kind::properties`].
+/// Positional constructor for the table in [`Kind::attrs`].
 const fn row(
     name: &'static str,
     status: u16,
@@ -91,8 +91,8 @@
     not_run: NotRun,
     retry_after: u32,
     exit: u8,
-) -> ErrorProperties {
-    ErrorProperties { name, status, retryable, not_run, retry_after, exit }
+) -> ErrorAttributes {
+    ErrorAttributes { name, status, retryable, not_run, retry_after, exit }
 }
 
 impl Kind {
@@ -121,7 +121,7 @@
     ];
 
     /// Returns how errors of this kind are reported.
-    pub const fn properties(self) -> ErrorProperties {
+    pub const fn attrs(self) -> ErrorAttributes {
         use NotRun::{No, Unknown, Yes};
         match self {
             Kind::BadRequest => row("bad_request", 400, false, Yes, 0, 2),
@@ -150,7 +150,7 @@
 
 impl fmt::Display for Kind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.properties().name)
+        f.write_str(self.attrs().name)
     }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -65,6 +65,6 @@
 fn main() -> ExitCode {
     let Err(report) = run(&options().run()) else { return ExitCode::SUCCESS };
     eprintln!("kingcupwall: {report:#}");
-    let exit = report.downcast_ref::<Error>().map_or(1, |e| e.kind.properties().exit);
+    let exit = report.downcast_ref::<Error>().map_or(1, |e| e.kind.attrs().exit);
     ExitCode::from(exit)
 }
--- a/src/request/runs.rs
+++ b/src/request/runs.rs
@@ -164,7 +164,7 @@
     }
 
     fn failed_retryable(&self) -> bool {
-        matches!(&self.lock().end, Some(RunEnd::Failed(e)) if e.kind.properties().retryable)
+        matches!(&self.lock().end, Some(RunEnd::Failed(e)) if e.kind.attrs().retryable)
     }
 }
 
--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -405,9 +405,7 @@
                 match self.send_to(i, service, req).await {
                     Ok(a) => return Ok(LocalAnswer { attempts, ..a }),
                     Err(e) if e.kind == Kind::BudgetExhausted => return Err(e),
-                    Err(e) if e.kind != Kind::Io && !e.kind.properties().retryable => {
-                        return Err(e);
-                    }
+                    Err(e) if e.kind != Kind::Io && !e.kind.attrs().retryable => return Err(e),
                     Err(e) => last = e,
                 }
                 if attempts >= MAX_TRIES {
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -226,8 +226,8 @@
         }
     }
 
-    /// The metrics page in the OpenMetrics text format.
-    pub fn render(&self) -> String {
+    /// Encodes all metrics in the OpenMetrics text format, for the metrics page.
+    pub fn to_openmetrics(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
--- a/tests/test_api.rs
+++ b/tests/test_api.rs
@@ -187,9 +187,9 @@
 #[test]
 fn answer_table_is_closed() {
     // Every kind has a name of its own and a status that a caller can act on.
-    let mut names: Vec<&str> = Kind::ALL.iter().map(|k| k.properties().name).collect();
+    let mut names: Vec<&str> = Kind::ALL.iter().map(|k| k.attrs().name).collect();
     names.sort();
     names.dedup();
     assert_eq!(names.len(), Kind::ALL.len());
-    assert!(Kind::ALL.iter().all(|k| (400..600).contains(&k.properties().status)));
+    assert!(Kind::ALL.iter().all(|k| (400..600).contains(&k.attrs().status)));
 }
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -98,7 +98,7 @@
         assert!(log.contains(expected), "{log}");
         let expected = "event=notice target=t1 id=q2 status=200 leaving=true retry_after=None";
         assert!(log.contains(expected), "{log}");
-        let page = fleet.router.gw.stats.render();
+        let page = fleet.router.gw.stats.to_openmetrics();
         assert!(page.contains(r#"kingcupwall_target_notices_total{reason="leaving"} 1"#), "{page}");
     });
 }
