--- a/src/experiment/budget.rs
+++ b/src/experiment/budget.rs
@@ -280,10 +280,10 @@
 
     fn oracle(&self, fleet: &LocalFleet) -> Arc<Mutex<Oracle>> {
         let cfg = fleet.config();
-        let expected = |b: &crate::config::Budget| {
+        let oracle_budget = |b: &crate::config::Budget| {
             (b.id.clone(), OracleBudget { prepaid: b.prepaid, ..OracleBudget::default() })
         };
-        let budgets = cfg.budgets.iter().map(expected).collect();
+        let budgets = cfg.budgets.iter().map(oracle_budget).collect();
         Arc::new(Mutex::new(Oracle { budgets, ..Oracle::default() }))
     }
 
@@ -411,12 +411,12 @@
         let duplicate_bills = keys.windows(2).filter(|w| w[0] == w[1]).count();
         let mut overspend = 0;
         let o = oracle.lock().expect("never poisoned");
-        for (id, expected) in &o.budgets {
+        for (id, oracle_budget) in &o.budgets {
             let billed = bills.iter().filter(|b| b.budget == *id);
             let billed = billed.fold(Tokens::ZERO, |sum, b| sum.plus(b.cost));
-            let over = billed.0.max(expected.spent.0).saturating_sub(expected.prepaid.0);
+            let over = billed.0.max(oracle_budget.spent.0).saturating_sub(oracle_budget.prepaid.0);
             if over > 0 {
-                let (spent, prepaid) = (expected.spent, expected.prepaid);
+                let (spent, prepaid) = (oracle_budget.spent, oracle_budget.prepaid);
                 log::error!(
                     "experiment=overspend budget={id} billed={billed} spent={spent} prepaid={prepaid}"
                 );
@@ -457,8 +457,8 @@
     }
     fleet.submit_text(&text).await?;
     let mut o = oracle.lock().expect("never poisoned");
-    for (_, expected) in o.budgets.iter_mut() {
-        expected.prepaid = Tokens(expected.prepaid.0 + expected.prepaid.0 / 5);
+    for (_, oracle_budget) in o.budgets.iter_mut() {
+        oracle_budget.prepaid = Tokens(oracle_budget.prepaid.0 + oracle_budget.prepaid.0 / 5);
     }
     Ok(())
 }
--- a/src/experiment/cold_start.rs
+++ b/src/experiment/cold_start.rs
@@ -1,7 +1,7 @@
 //! Simulates targets of one zone that return cold while callers wait, in fleets of several sizes.
 //! Measures how many requests a target gets in its worst second, how much of the targets' capacity
 //! is used, and how long callers wait. Admission limits, admission windows and the choice of owners
-//! are the production code. Routers, callers and datagrams are simulated in steps of [`STEP`].
+//! are the production code. Routers, callers and datagrams are simulated in steps of `STEP`.
 
 use std::collections::VecDeque;
 use std::path::Path;
--- a/src/experiment/quarantine.rs
+++ b/src/experiment/quarantine.rs
@@ -1,7 +1,7 @@
 //! Simulates a request that crashes every target which executes it, in fleets of several sizes.
 //! Measures how many targets it crashes, how many other requests are interrupted, and which of these
 //! are quarantined although they are not the cause. Routers use the production [`Quarantine`];
-//! targets, callers and messages between routers are simulated in steps of [`STEP_MS`].
+//! targets, callers and messages between routers are simulated in steps of `STEP_MS`.
 
 use fastrand::Rng;
 use serde::Serialize;
@@ -87,7 +87,7 @@
     pub most_under_other: usize,
     /// Attempts of other requests that were rejected because of quarantine.
     pub others_held_back: u64,
-    /// Mean size of all datagrams that one router sent, in bytes.
+    /// Total size of the datagrams that a router sent, averaged over all routers, in bytes.
     pub told_bytes: u64,
 }
 
@@ -269,10 +269,10 @@
     }
 
     fn complete_runs(&mut self, now: u64) {
-        let (ends_at, running): (Vec<Run>, Vec<Run>) =
+        let (completed, running): (Vec<Run>, Vec<Run>) =
             std::mem::take(&mut self.running).into_iter().partition(|r| r.ends_at <= now);
         self.running = running;
-        for run in ends_at {
+        for run in completed {
             let completion = Completion { request: run.request, at: StoreMs(now) };
             if self.routers[run.router].record_completion(completion, Source::Own) {
                 self.send_report(
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -14,8 +14,8 @@
 }
 
 /// Returns the lines of the log `text` that belong to request `id`, each marked with `>`. Also
-/// returned are the last state lines before the first of these: one of each event in
-/// [`STATE_EVENTS`], and one of each target that the request was sent to.
+/// returned are the last lines before the first of these that report the state of the router, one of
+/// each kind of event, and of each target that the request was sent to.
 ///
 /// The result is empty if no line belongs to the request.
 pub fn explain(id: &str, text: &str) -> Vec<String> {
