--- a/src/gateway/backend.rs
+++ b/src/gateway/backend.rs
@@ -226,7 +226,8 @@
     pub fn begin(backend: &Rc<Backend>, plan: &PlacementPlan, now: Instant) -> InFlight {
         let mut load = backend.load.borrow_mut();
         load.in_flight_requests += 1;
-        let prompt_number = plan.engine.then(|| load.add_prefill(duration_from_ms(plan.prefill_ms), now));
+        let prompt_number =
+            plan.engine.then(|| load.add_prefill(duration_from_ms(plan.prefill_ms), now));
         drop(load);
         InFlight { backend: backend.clone(), sent_at: now, plan: *plan, prompt_number }
     }
@@ -260,7 +261,10 @@
         let mut timing = self.backend.timing.borrow_mut();
         let mut load = self.backend.load.borrow_mut();
         let base_ms = timing.estimate().map_or(0.0, |e| e.base_ms) * load.slowdown.get();
-        load.finish_prefill(number, now.checked_sub(duration_from_ms(base_ms)).unwrap_or(now).max(self.sent_at),);
+        load.finish_prefill(
+            number,
+            now.checked_sub(duration_from_ms(base_ms)).unwrap_or(now).max(self.sent_at),
+        );
         // A mispredicted wait does not tell anything about the engine's speed.
         let without_wait_ms = took_ms - self.plan.wait_ms;
         if without_wait_ms > self.plan.wait_ms {
--- a/src/gateway/crash_attribution.rs
+++ b/src/gateway/crash_attribution.rs
@@ -96,7 +96,8 @@
         if self.gw.crashes.is_empty() {
             return;
         }
-        let completed = Completion { request: self.fingerprint(), at: self.gw.budget_shares.store_now() };
+        let completed =
+            Completion { request: self.fingerprint(), at: self.gw.budget_shares.store_now() };
         self.gw.crashes.record_completion(completed);
     }
 }
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -34,9 +34,10 @@
                 tokio::task::spawn_local(serve_connection(gw.clone(), io));
             }
             // Closing at once lets the caller try another router; making it wait would delay it.
-            Ok(_) => gw
-                .log
-                .note("accept", format_args!("outcome=too_many open={}", gw.open_connections.get()),),
+            Ok(_) => gw.log.note(
+                "accept",
+                format_args!("outcome=too_many open={}", gw.open_connections.get()),
+            ),
             Err(e) => {
                 gw.log.note("accept", format_args!("outcome=failed error={e}"));
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -235,7 +236,8 @@
         Err(response) => {
             count_request_end(&gw.stats, kind, response.reason);
             let (route, org) = (Some(job.route.name.clone()), job.org.clone());
-            write_refusal(gw, conn, head, &id, &RejectedRequest { response, route, org }, started).await
+            write_refusal(gw, conn, head, &id, &RejectedRequest { response, route, org }, started)
+                .await
         }
     }
 }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -13,7 +13,7 @@
 use super::notice::{Notice, RetryAfter};
 use super::outcome::SendOutcome;
 use super::pool::{TargetConn, dial};
-use super::reply::{RemainingBody,Reply, StreamProgress};
+use super::reply::{RemainingBody, Reply, StreamProgress};
 use super::request::{AddedHeaders, HeaderNames, encode_request};
 use super::state::Platform;
 use super::stats::count_notice;
@@ -87,7 +87,9 @@
                 if !ended.may_have_run() {
                     self.send_counts.runs -= 1;
                     self.may_have_run.set(ran_before);
-                    if let Some(reservation) = self.reservation.as_mut().filter(|_| self.send_counts.runs == 0) {
+                    if let Some(reservation) =
+                        self.reservation.as_mut().filter(|_| self.send_counts.runs == 0)
+                    {
                         reservation.set_cost(Tokens(0));
                     }
                     target_conn.return_to(&mut backend.pool.borrow_mut());
@@ -145,11 +147,16 @@
         plan: &PlacementPlan,
     ) -> Result<ResponseHead, SendOutcome> {
         let outcome = async {
-            target_conn.conn.write_until_answered(bytes).await.map_err(|_| SendOutcome::NoAnswer)?;
+            target_conn
+                .conn
+                .write_until_answered(bytes)
+                .await
+                .map_err(|_| SendOutcome::NoAnswer)?;
             self.read_matching_head(target_conn).await
         };
         match self.answer_timeout(plan) {
-            Some(answer_timeout) => { timeout(answer_timeout, outcome).await.map_err(|_| SendOutcome::Silent)?
+            Some(answer_timeout) => {
+                timeout(answer_timeout, outcome).await.map_err(|_| SendOutcome::Silent)?
             }
             None => outcome.await,
         }
@@ -158,7 +165,8 @@
     /// How long to wait for an answer before the request is sent to another target; `None` if it
     /// may not be sent again.
     fn answer_timeout(&self, plan: &PlacementPlan) -> Option<Duration> {
-        let may = self.route.kind.allows_repeats() && self.send_counts.runs < self.route.max_attempts;
+        let may =
+            self.route.kind.allows_repeats() && self.send_counts.runs < self.route.max_attempts;
         let predicted = Duration::from_secs_f64(plan.predicted_ms / 1_000.0);
         may.then(|| self.route.aim.mul_f64(ANSWER_TIMEOUT_FACTOR) + predicted)
     }
@@ -166,26 +174,28 @@
     /// Reads response heads until one echoes this request's id. Other answers belong to earlier
     /// requests on the same connection and are skipped with their bodies; otherwise one caller's
     /// answer would reach another caller.
-    async fn read_matching_head(&self,
-        target_conn: &mut TargetConn,) -> Result<ResponseHead, SendOutcome> {
+    async fn read_matching_head(
+        &self,
+        target_conn: &mut TargetConn,
+    ) -> Result<ResponseHead, SendOutcome> {
         let header_names = self.header_names();
         for _ in 0..=MAX_STRAY_ANSWERS {
             let head =
                 target_conn.conn.read_response(MAX_RESPONSE_HEAD_BYTES).await.map_err(|e| {
-                let id = &self.meta.id;
-                let used = target_conn.used;
-                let cause = match e {
-                    HeadError::Closed => "closed",
-                    HeadError::Broken(_) => "broken",
-                    HeadError::Invalid(_) => "not_http",
-                    HeadError::TooLong => "head_too_long",
-                };
-                self.gw.log.note(
-                    "answer",
-                    format_args!("id={id} outcome=unreadable cause={cause} kept={used}"),
-                );
-                SendOutcome::NoAnswer
-            })?;
+                    let id = &self.meta.id;
+                    let used = target_conn.used;
+                    let cause = match e {
+                        HeadError::Closed => "closed",
+                        HeadError::Broken(_) => "broken",
+                        HeadError::Invalid(_) => "not_http",
+                        HeadError::TooLong => "head_too_long",
+                    };
+                    self.gw.log.note(
+                        "answer",
+                        format_args!("id={id} outcome=unreadable cause={cause} kept={used}"),
+                    );
+                    SendOutcome::NoAnswer
+                })?;
             self.apply_notice(&head);
             let echoed = header(&head.headers, &header_names.request_id);
             let is_ours = echoed == Some(self.meta.id.as_str());
@@ -221,7 +231,8 @@
     /// another request.
     fn apply_notice(&self, head: &ResponseHead) {
         let notice = Notice::read(self.header_names(), head);
-        let Some(backend) = self.current_target.as_ref().filter(|_| notice != Notice::default()) else {
+        let Some(backend) = self.current_target.as_ref().filter(|_| notice != Notice::default())
+        else {
             return;
         };
         count_notice(&self.gw.stats, notice);
@@ -277,7 +288,11 @@
         let stream =
             remaining.stream.as_mut().expect("a reply to a stream request has its progress set");
         loop {
-            let piece = remaining.conn.read_piece(&mut remaining.body).await.map_err(|_| SendOutcome::Truncated)?;
+            let piece = remaining
+                .conn
+                .read_piece(&mut remaining.body)
+                .await
+                .map_err(|_| SendOutcome::Truncated)?;
             let Some(piece) = piece else { return Ok(Bytes::new()) };
             if let Some(events) = stream.push(&piece)? {
                 let took = in_flight.record_first_event();
@@ -311,7 +326,12 @@
 async fn buffer_answer(remaining: &mut RemainingBody) -> Result<Bytes, SendOutcome> {
     let mut first_bytes = BytesMut::new();
     while first_bytes.len() < MAX_BUFFERED_ANSWER_BYTES {
-        match remaining.conn.read_piece(&mut remaining.body).await.map_err(|_| SendOutcome::Truncated)? {
+        match remaining
+            .conn
+            .read_piece(&mut remaining.body)
+            .await
+            .map_err(|_| SendOutcome::Truncated)?
+        {
             Some(piece) => first_bytes.extend_from_slice(&piece),
             None => {
                 // A body that is delimited by the end of its connection is complete now.
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -133,7 +133,11 @@
             removed_targets.pop_front();
         }
         let born = b.info.borrow().started_at;
-        removed_targets.push_back(RemovedTarget { id: b.id(), born, standing: b.self_reported.clone(), });
+        removed_targets.push_back(RemovedTarget {
+            id: b.id(),
+            born,
+            standing: b.self_reported.clone(),
+        });
     }
 
     /// The notices that a target sent before its entry was removed.
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -363,8 +363,8 @@
         let mut fleet = Fleet::start().await;
         fleet.routers[0].platform.rows.set_fault(Fault::Late(late));
         fleet.send_fatal(0).await;
-        let reported =
-            |r: &GatewayHost| { r.gw.crashes.report(r.gw.budget_shares.store_now()).crashes.len() == 1
+        let reported = |r: &GatewayHost| {
+            r.gw.crashes.report(r.gw.budget_shares.store_now()).crashes.len() == 1
         };
         eventually("recording the crash", || reported(&fleet.routers[0])).await;
         // By then the write of the row has been sent.
