--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -77,7 +77,7 @@
 
 impl IntoResponse for Error {
     fn into_response(self) -> Response {
-        let answer = self.kind.answer();
+        let answer = self.kind.attrs();
         let status =
             StatusCode::from_u16(answer.status).expect("all answers have valid status codes");
         let mut resp = (status, Json(error_body(&self))).into_response();
@@ -90,7 +90,7 @@
 
 /// Returns the JSON body for an error.
 pub fn error_body(e: &Error) -> serde_json::Value {
-    let answer = e.kind.answer();
+    let answer = e.kind.attrs();
     let not_run = match answer.not_run {
         NotRun::Yes => json!(true),
         NotRun::No => json!(false),
--- a/src/gateway/backend.rs
+++ b/src/gateway/backend.rs
@@ -41,7 +41,7 @@
 
 /// The digest that identifies a target in messages between routers.
 pub fn target_digest(id: &str) -> u64 {
-    Digest::of(id.as_bytes()).word()
+    Digest::of(id.as_bytes()).first_u64()
 }
 
 /// The entry of a target in the store.
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -87,7 +87,7 @@
 
 async fn serve_connection<P: Platform>(gw: Rc<Gateway<P>>, io: TcpStream) {
     let _counted = CountGuard::connection(&gw);
-    gw.stats.accepted.inc();
+    gw.stats.accepted_connections.inc();
     let accepted = Instant::now();
     let Ok(mut conn) = Conn::new(io, UNACKED_TIMEOUT) else { return };
     let mut phase = gw.phase.subscribe();
@@ -244,7 +244,7 @@
 
 /// Logs that a caller disconnected before its answer began.
 fn log_caller_left<P: Platform>(gw: &Gateway<P>, id: &str, started: Instant, sent: bool) {
-    gw.stats.left.inc();
+    gw.stats.caller_disconnects.inc();
     let ms = started.elapsed().as_millis();
     gw.log.routine("left", format_args!("id={id} at_ms={ms} sent={sent}"));
 }
@@ -288,9 +288,9 @@
     }
     count_request_end(&gw.stats, route_kind_label(job.route.kind), outcome);
     let took = job.started.elapsed();
-    gw.stats.answer.observe(took.as_secs_f64());
+    gw.stats.answer_seconds.observe(took.as_secs_f64());
     let cost = job.reservation.as_ref().map_or(0, |h| h.spent().0);
-    gw.stats.tokens.inc_by(cost);
+    gw.stats.tokens_charged.inc_by(cost);
     let fields = format_args!(
         "id={} route={} org={} target={target} status={status} outcome={outcome} config={} runs={} sends={} tokens={cost} ms={}",
         job.meta.id,
--- a/src/gateway/stats.rs
+++ b/src/gateway/stats.rs
@@ -2,11 +2,11 @@
 
 use super::notice::{Notice, RetryAfter};
 use super::outcome::SendOutcome;
-use crate::stats::{EndLabels, Reason, Stats};
+use crate::stats::{OutcomeLabels, ReasonLabel, Stats};
 
 /// Counts a finished request by route kind and outcome.
 pub fn count_request_end(stats: &Stats, kind: &'static str, outcome: &'static str) {
-    stats.requests.get_or_create(&EndLabels { kind, outcome }).inc();
+    stats.requests.get_or_create(&OutcomeLabels { kind, outcome }).inc();
 }
 
 /// Counts a failed send by its reason.
@@ -21,13 +21,13 @@
         SendOutcome::Failed => "failed",
         SendOutcome::Truncated => "truncated",
     };
-    stats.sends.get_or_create(&Reason { reason }).inc();
+    stats.sends.get_or_create(&ReasonLabel { reason }).inc();
 }
 
 /// Counts what an answer reports about its target.
 pub fn count_notice(stats: &Stats, notice: Notice) {
     let count = |reason| {
-        stats.notices.get_or_create(&Reason { reason }).inc();
+        stats.target_notices.get_or_create(&ReasonLabel { reason }).inc();
     };
     if notice.leaving {
         count("leaving");
--- a/src/membership/selection.rs
+++ b/src/membership/selection.rs
@@ -6,7 +6,7 @@
 /// Rendezvous hashing score of a router for an organisation. Every router computes the same score,
 /// and it does not change when other routers join or leave.
 fn rank(organisation: &OrganisationId, e: &RouterInfo) -> u64 {
-    Digest::of(format!("{organisation}\n{}", e.incarnation).as_bytes()).word()
+    Digest::of(format!("{organisation}\n{}", e.incarnation).as_bytes()).first_u64()
 }
 
 /// The routers that serve an organisation: `width` of those that are not draining, by rendezvous
@@ -58,7 +58,7 @@
 /// there is none, the one with the highest score in the same zone.
 pub fn select_witness<'a>(live: &'a [RouterInfo], router: &RouterInfo) -> Option<&'a RouterInfo> {
     let hash_weight = |e: &RouterInfo| {
-        Digest::of(format!("{}\n{}", router.incarnation, e.incarnation).as_bytes()).word()
+        Digest::of(format!("{}\n{}", router.incarnation, e.incarnation).as_bytes()).first_u64()
     };
     let others = live.iter().filter(|e| e.incarnation != router.incarnation && !e.leaving);
     others.max_by_key(|e| (e.zone != router.zone, hash_weight(e)))
@@ -73,7 +73,7 @@
     witness: &RouterInfo,
 ) -> Option<&'a RouterInfo> {
     let hash_weight = |e: &RouterInfo| {
-        Digest::of(format!("{}\n{}", e.incarnation, router.incarnation).as_bytes()).word()
+        Digest::of(format!("{}\n{}", e.incarnation, router.incarnation).as_bytes()).first_u64()
     };
     let is_eligible = |e: &&RouterInfo| {
         ![&router.incarnation, &witness.incarnation].contains(&&e.incarnation) && !e.leaving
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -67,7 +67,7 @@
     if prompt.len() < AFFINITY_PREFIX_BYTES / 4 {
         0
     } else {
-        Digest::of(&prompt.as_bytes()[..prompt.len().min(AFFINITY_PREFIX_BYTES)]).word()
+        Digest::of(&prompt.as_bytes()[..prompt.len().min(AFFINITY_PREFIX_BYTES)]).first_u64()
     }
 }
 
--- a/src/standin/batch.rs
+++ b/src/standin/batch.rs
@@ -85,12 +85,12 @@
 /// The token that this engine generates at an index of the answer. It depends on the prompt alone,
 /// so any caller can check that an answer belongs to its prompt and is complete.
 pub fn expected_token(prompt: &str, index: u64) -> CompactString {
-    token(Digest::of(prompt.as_bytes()).word(), index)
+    token(Digest::of(prompt.as_bytes()).first_u64(), index)
 }
 
 /// Number of tokens that this engine generates for a prompt, between 1 and `max_tokens`.
 pub fn natural_length(prompt: &str, max_tokens: u64) -> u64 {
-    let word = Digest::of(prompt.as_bytes()).word();
+    let word = Digest::of(prompt.as_bytes()).first_u64();
     (1 + word % max_tokens.max(1)).min(max_tokens)
 }
 
@@ -141,7 +141,7 @@
         let cached = self.cache_prefix(&req.prompt);
         let run = Run {
             id: req.run.clone(),
-            seed: Digest::of(req.prompt.as_bytes()).word(),
+            seed: Digest::of(req.prompt.as_bytes()).first_u64(),
             priority: req.priority,
             state: RunState::Queued,
             prefill_left: prompt_tokens.saturating_sub(cached) + req.so_far.len() as u64,
