--- a/src/allowance/account.rs
+++ b/src/allowance/account.rs
@@ -99,7 +99,7 @@
     /// Tokens of running requests that their callers have received, and that are therefore spent
     /// for certain.
     proven: Tokens,
-    held: Tokens,
+    reserved_cost: Tokens,
     demand: Demand,
     /// When the grant was written last.
     granted_at: Instant,
@@ -124,7 +124,7 @@
             finished_cost: Tokens(0),
             unproven: Tokens(0),
             proven: Tokens(0),
-            held: Tokens(0),
+            reserved_cost: Tokens(0),
             demand: Demand::new(now),
             granted_at: now,
             reported: SpendingReport::default(),
@@ -144,7 +144,7 @@
 
     /// Upper bound of the tokens spent, including the reservations of running requests.
     pub fn charged(&self) -> Tokens {
-        Tokens(self.finished_cost.0 + self.held.0)
+        Tokens(self.finished_cost.0 + self.reserved_cost.0)
     }
 
     /// Tokens spent for certain.
@@ -212,7 +212,7 @@
     /// `Spent` only if the settled amounts in the stored ledger prove it; `NoneHere` otherwise.
     pub fn reserve_tokens(&mut self, max_cost: Tokens, now: Instant) -> Result<(), Denied> {
         if self.charged().0 + max_cost.0 <= self.allowed(now).0 {
-            self.held.0 += max_cost.0;
+            self.reserved_cost.0 += max_cost.0;
             self.demand.record_covered(max_cost, now);
             return Ok(());
         }
@@ -263,7 +263,7 @@
     /// Settles a request that reserved `max_cost` and cost `actual`, of which `proven` was already
     /// proven.
     pub fn settle(&mut self, max_cost: Tokens, actual: Tokens, proven: Tokens) {
-        self.held.0 -= max_cost.0;
+        self.reserved_cost.0 -= max_cost.0;
         self.proven.0 -= proven.0;
         self.finished_cost.0 += actual.0.max(proven.0).min(max_cost.0);
     }
--- a/src/allowance/account/grants.rs
+++ b/src/allowance/account/grants.rs
@@ -132,7 +132,7 @@
 
     pub(super) fn is_idle(&self, now: Instant) -> bool {
         let idle = now.saturating_duration_since(self.demand.idle_since());
-        self.held.0 == 0 && idle >= IDLE_RELEASE_AFTER && self.demand.wanted(now) == 0
+        self.reserved_cost.0 == 0 && idle >= IDLE_RELEASE_AFTER && self.demand.wanted(now) == 0
     }
 
     /// Tokens that this router should have left: enough to bridge a store outage, but no more than
--- a/src/allowance/calls.rs
+++ b/src/allowance/calls.rs
@@ -521,8 +521,9 @@
         }
     }
 
-    /// Writes that this process has spent nothing that is left to close, so that its successor has
-    /// no work. If the write fails, the successor finds no grants for the spending that it closes.
+    /// Removes this process's spending from the endpoint's row at a planned stop, so that its
+    /// successor has nothing to close. If the write fails, the successor reads spending for which
+    /// the ledgers have no grants any more, and closes nothing.
     /// A grant whose write is unresolved may still take effect, and no process would close it once
     /// the row is cleared; the row is left as it is then.
     pub(super) async fn clear_spending(&self) {
--- a/src/allowance/demand.rs
+++ b/src/allowance/demand.rs
@@ -80,7 +80,7 @@
         self.unmet = Some((max_cost, now));
     }
 
-    /// Forgets the uncovered request, because it may be covered now.
+    /// Drops the uncovered request, because it may be covered now.
     pub(super) fn clear_unmet(&mut self) {
         self.unmet = None;
     }
--- a/src/allowance/lenders.rs
+++ b/src/allowance/lenders.rs
@@ -12,15 +12,15 @@
 
 use crate::ids::Digest;
 
-/// A zone has one lender for this many routers, rounded up. Answering an ask takes a lender some 50
-/// µs, and there is one ask for each request of its zone, so one lender could serve some 30
-/// routers. With more lenders a crash affects fewer organisations; with fewer lenders the ledgers
-/// have fewer writers.
+/// A zone has one lender for this many routers, rounded up. Answering a loan request takes a lender
+/// some 50 µs, and there is one loan request for each request of its zone, so one lender could
+/// serve some 30 routers. With more lenders a crash affects fewer organisations; with fewer lenders
+/// the ledgers have fewer writers.
 const ROUTERS_PER_LENDER: usize = 16;
 /// Minimum number of lenders in a zone, so that a second one can take over if the first is
 /// unavailable.
 const MIN_LENDERS_PER_ZONE: usize = 2;
-/// Maximum number of other routers that are asked for one request. Each ask takes 2 ms.
+/// Maximum number of other routers that are asked for one request. Each loan request takes 2 ms.
 const MAX_LENDERS_ASKED: usize = 5;
 
 /// A router that may lend.
--- a/src/allowance/lending.rs
+++ b/src/allowance/lending.rs
@@ -1,4 +1,4 @@
-//! Lending between routers: sending asks, answering them, and reporting the use of loans.
+//! Lending between routers: sending loan requests, answering them, and reporting the use of loans.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,13 +11,13 @@
 use super::loans::{LentLoans, LoanChange, LoanId};
 use super::manager::{BudgetManager, Shortfall};
 use super::peers::Outgoing;
-use super::wire::{Answer, Ask, Envelope, LoanUse, MAX_USES, Message};
+use super::wire::{Answer, Envelope, LoanRequest, LoanUse, MAX_USES, Message};
 use crate::ids::Tokens;
 use crate::rows::RowStore;
 
-/// An unanswered ask is sent again after this time, because datagrams are lost now and then. An
-/// answer takes 2 ms, or 20 ms if the lender has to write both of its rows first.
-const ASK_RETRY_AFTER: Duration = Duration::from_millis(22);
+/// An unanswered loan request is sent again after this time, because datagrams are lost now and
+/// then. An answer takes 2 ms, or 20 ms if the lender has to write both of its rows first.
+const LOAN_REQUEST_RETRY_AFTER: Duration = Duration::from_millis(22);
 /// Fraction of a borrower's timeout for which its lender waits for the store. A lender that answers
 /// too late counts as unresponsive and is skipped for a while.
 const LENDER_WAIT_RATIO: (u32, u32) = (2, 3);
@@ -57,13 +57,13 @@
         let prepaid = self.with_account(org, |a| a.prepaid())?;
         let (number, mut answer) = self.peers.register();
         self.peers.borrowed.borrow_mut().add_loan(number, addr, max_cost);
-        let mut pending = PendingAsk { manager: self, number, is_answered: false };
+        let mut pending = PendingLoanRequest { manager: self, number, is_answered: false };
         let until = Instant::now() + self.settings.patience;
-        let ask = Message::Ask(Ask { number, org: org.into(), max_cost, prepaid });
+        let loan_request = Message::Ask(LoanRequest { number, org: org.into(), max_cost, prepaid });
         let mut retry_at = Instant::now();
         let answered = loop {
-            self.send_message(addr, ask.clone());
-            retry_at += ASK_RETRY_AFTER;
+            self.send_message(addr, loan_request.clone());
+            retry_at += LOAN_REQUEST_RETRY_AFTER;
             match timeout_at(retry_at.min(until), &mut answer).await {
                 Ok(answer) => break answer.ok(),
                 Err(_) if Instant::now() >= until => break None,
@@ -157,7 +157,7 @@
         self.peers.mark_responsive(from);
         let process = envelope.from;
         match envelope.message {
-            Message::Ask(ask) => self.handle_ask(from, process, ask),
+            Message::Ask(loan_request) => self.handle_loan_request(from, process, loan_request),
             Message::Answer(number, answer) => self.handle_answer(from, process, number, answer),
             Message::Uses(uses) => {
                 let acknowledged =
@@ -171,15 +171,20 @@
         }
     }
 
-    fn handle_ask(self: &Rc<Self>, from: SocketAddr, borrower: u64, ask: Ask) {
-        let id: LoanId = (borrower, ask.number);
-        let answer = |answer| self.send_message(from, Message::Answer(ask.number, answer));
+    fn handle_loan_request(
+        self: &Rc<Self>,
+        from: SocketAddr,
+        borrower: u64,
+        loan_request: LoanRequest,
+    ) {
+        let id: LoanId = (borrower, loan_request.number);
+        let answer = |answer| self.send_message(from, Message::Answer(loan_request.number, answer));
         if self.peers.lent.borrow().contains(id) {
             return answer(Answer::Lent);
         }
         let now = Instant::now();
-        // A duplicate ask must not reserve tokens a second time, because no borrower would return
-        // them.
+        // A duplicate loan request must not reserve tokens a second time, because no borrower would
+        // return them.
         let is_duplicate =
             |lent: &mut LentLoans| lent.is_waiting(id) || lent.ended_recently(id, now);
         if is_duplicate(&mut self.peers.lent.borrow_mut()) {
@@ -188,38 +193,57 @@
         if self.lending_stopped.get() || self.stopped.get() {
             return answer(Answer::NoneHere(None));
         }
-        let reserved = self.with_account(&ask.org, |a| {
-            a.set_prepaid(ask.prepaid);
-            a.reserve_tokens(ask.max_cost, now)
+        let reserved = self.with_account(&loan_request.org, |a| {
+            a.set_prepaid(loan_request.prepaid);
+            a.reserve_tokens(loan_request.max_cost, now)
         });
         match reserved {
             None => answer(Answer::NoneHere(None)),
             Some(Ok(())) => {
-                self.peers.lent.borrow_mut().add_loan(id, from, &ask.org, ask.max_cost, now);
+                self.peers.lent.borrow_mut().add_loan(
+                    id,
+                    from,
+                    &loan_request.org,
+                    loan_request.max_cost,
+                    now,
+                );
                 answer(Answer::Lent);
             }
             Some(Err(Denied::Spent)) => answer(Answer::Spent),
             Some(Err(Denied::NoneHere)) => {
-                // A write to the store may still provide the tokens. Other asks are handled in the
-                // meantime.
+                // A write to the store may still provide the tokens. Other loan requests are
+                // handled in the meantime.
                 self.peers.lent.borrow_mut().begin_wait(id);
-                spawn_local(self.clone().lend_after_waiting(from, id, ask));
+                spawn_local(self.clone().lend_after_waiting(from, id, loan_request));
             }
         }
     }
 
-    async fn lend_after_waiting(self: Rc<Self>, from: SocketAddr, id: LoanId, ask: Ask) {
+    async fn lend_after_waiting(
+        self: Rc<Self>,
+        from: SocketAddr,
+        id: LoanId,
+        loan_request: LoanRequest,
+    ) {
         let patience = self.settings.patience * LENDER_WAIT_RATIO.0 / LENDER_WAIT_RATIO.1;
-        let lent = self.reserve_own(&ask.org, ask.max_cost, patience).await;
+        let lent = self.reserve_own(&loan_request.org, loan_request.max_cost, patience).await;
         let still_wanted = self.peers.lent.borrow_mut().end_wait(id);
         let answer = match lent {
             Ok(()) if !still_wanted => {
                 let zero = Tokens(0);
-                return self.update_account(&ask.org, |a| a.settle(ask.max_cost, zero, zero));
+                return self.update_account(&loan_request.org, |a| {
+                    a.settle(loan_request.max_cost, zero, zero)
+                });
             }
             Ok(()) => {
                 let now = Instant::now();
-                self.peers.lent.borrow_mut().add_loan(id, from, &ask.org, ask.max_cost, now);
+                self.peers.lent.borrow_mut().add_loan(
+                    id,
+                    from,
+                    &loan_request.org,
+                    loan_request.max_cost,
+                    now,
+                );
                 Answer::Lent
             }
             Err(Shortfall::Spent) => Answer::Spent,
@@ -228,7 +252,7 @@
                 Answer::NoneHere(ms)
             }
         };
-        self.send_message(from, Message::Answer(ask.number, answer));
+        self.send_message(from, Message::Answer(loan_request.number, answer));
     }
 
     fn handle_answer(&self, from: SocketAddr, process: u64, number: u64, answer: Answer) {
@@ -287,18 +311,18 @@
     }
 }
 
-/// An ask that waits for its answer. Dropping it cancels the ask and reports that nothing was spent
-/// of a loan that may have been given.
-struct PendingAsk<'a, S: RowStore> {
+/// A loan request that waits for its answer. Dropping it cancels the loan request and reports that
+/// nothing was spent of a loan that may have been given.
+struct PendingLoanRequest<'a, S: RowStore> {
     manager: &'a BudgetManager<S>,
     number: u64,
     is_answered: bool,
 }
 
-impl<S: RowStore> Drop for PendingAsk<'_, S> {
+impl<S: RowStore> Drop for PendingLoanRequest<'_, S> {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.manager.peers.cancel_ask(self.number);
+            self.manager.peers.cancel_loan_request(self.number);
             self.manager.end_loan(self.number, Tokens(0), Tokens(0));
         }
     }
--- a/src/allowance/loans.rs
+++ b/src/allowance/loans.rs
@@ -15,11 +15,11 @@
 /// it. Longer than any request may take, so that a router that was partitioned from the others for
 /// a while can still report the cost.
 const LOAN_EXPIRY: Duration = Duration::from_secs(90);
-/// How long a lender remembers the number of an ended loan. Longer than a datagram takes to arrive.
+/// How long a lender keeps the number of an ended loan. Longer than a datagram takes to arrive.
 const ENDED_LOAN_TTL: Duration = Duration::from_secs(5);
 /// A lender that has received no report of a loan for this time sends its borrower a reminder. A
-/// duplicate ask that arrives after the loan's end creates a loan that the borrower does not know
-/// of.
+/// duplicate loan request that arrives after the loan's end creates a loan that is unknown to the
+/// borrower.
 const REMINDER_INTERVAL: Duration = Duration::from_secs(3);
 /// Interval between two reports of a loan's end until one is acknowledged: the minimum, and the
 /// divisor of the time since the end. The interval grows so that a lender that is down for long
@@ -62,9 +62,9 @@
 #[derive(Debug, Default)]
 pub(super) struct LentLoans {
     loans: Vec<LentLoan>,
-    /// Asks that wait for tokens.
+    /// Loan requests that wait for tokens.
     waiting: Vec<LoanId>,
-    /// Loans that ended recently, to detect duplicates of their asks.
+    /// Loans that ended recently, to detect duplicates of their loan requests.
     ended: VecDeque<(LoanId, Instant)>,
 }
 
@@ -93,18 +93,18 @@
         self.loans.is_empty()
     }
 
-    /// Whether an ask waits for tokens.
+    /// Whether a loan request waits for tokens.
     pub(super) fn is_waiting(&self, id: LoanId) -> bool {
         self.waiting.contains(&id)
     }
 
-    /// Records that an ask waits for tokens.
+    /// Records that a loan request waits for tokens.
     pub(super) fn begin_wait(&mut self, id: LoanId) {
         self.waiting.push(id);
     }
 
-    /// Records that an ask no longer waits. Returns false if the borrower has cancelled it in the
-    /// meantime.
+    /// Records that a loan request no longer waits. Returns false if the borrower has cancelled it
+    /// in the meantime.
     pub(super) fn end_wait(&mut self, id: LoanId) -> bool {
         let found = self.waiting.iter().position(|w| *w == id);
         found.map(|i| self.waiting.swap_remove(i)).is_some()
@@ -140,7 +140,7 @@
     }
 
     /// Applies a borrower's report. Reported amounts never shrink. Reports of unknown loans change
-    /// nothing but end a waiting ask.
+    /// nothing but end a waiting loan request.
     pub(super) fn apply_use(
         &mut self,
         borrower: u64,
@@ -225,8 +225,8 @@
         Some(&mut self.0[i])
     }
 
-    /// Adds a loan for an ask; `number` must be higher than all before. Until the ask is answered,
-    /// the loan has to be cancelled if the request gives up.
+    /// Adds the loan of a loan request; `number` must be higher than all before. Until the loan
+    /// request is answered, the loan has to be cancelled if the request gives up.
     pub(super) fn add_loan(&mut self, number: u64, lender: SocketAddr, max_cost: Tokens) {
         let zero = Tokens(0);
         self.0.push(BorrowedLoan {
@@ -242,14 +242,14 @@
         });
     }
 
-    /// Records that the process `lender` granted the ask.
+    /// Records that the process `lender` granted the loan request.
     pub(super) fn record_lender(&mut self, number: u64, lender: u64) {
         if let Some(loan) = self.get(number) {
             loan.lender_process = lender;
         }
     }
 
-    /// Removes a loan whose ask was refused.
+    /// Removes a loan whose loan request was refused.
     pub(super) fn remove(&mut self, number: u64) {
         self.0.retain(|loan| loan.number != number);
     }
@@ -283,7 +283,7 @@
 
     /// Whether nothing was or will be spent from the loan that the process `lender` refers to.
     /// Either the loan is from another process by now, or the lender has acknowledged its end and
-    /// the message is old or answers a duplicate ask. A loan that has ended without an
+    /// the message is old or answers a duplicate loan request. A loan that has ended without an
     /// acknowledgement does not count as unused: the lender still needs its cost.
     pub(super) fn is_unused(&mut self, number: u64, lender: u64) -> bool {
         self.get(number)
--- a/src/allowance/manager.rs
+++ b/src/allowance/manager.rs
@@ -39,8 +39,8 @@
 
 /// Maximum time for which a request waits until a spending limit allows it. At the start of a store
 /// outage the limits of nearly spent budgets do not open at once. A refused caller would come back
-/// no sooner, and might be refused again. The mean worth of 30 days was 0.695 with 1,000 ms and
-/// 0.699 with 1,500 ms.
+/// no sooner, and might be refused again. The mean score (`worth`) of 30 days was 0.695 with 1,000
+/// ms and 0.699 with 1,500 ms.
 const MAX_LIMIT_WAIT: Duration = Duration::from_millis(1_500);
 /// Minimum pause between two attempts of a request that waits for a spending limit: the resolution
 /// of the timer.
@@ -133,7 +133,7 @@
         self.sent_at.is_none() && self.not_before <= now
     }
 
-    /// Forgets that no router had tokens, because that may have changed.
+    /// Clears the record that no router had tokens, because that may have changed.
     pub(super) fn clear_unavailable(&mut self) {
         self.unavailable = None;
     }
@@ -161,7 +161,7 @@
     /// State of this endpoint's row.
     pub(super) spending_row: RefCell<SpendingRow>,
     pub(super) store_time: Cell<Option<ObservedStoreTime>>,
-    /// The first store time that this process learnt.
+    /// The first store time that this process received.
     pub(super) first_store_time: Cell<Option<StoreMs>>,
     /// Number of store calls in flight.
     pub(super) calls_in_flight: Cell<usize>,
--- a/src/allowance/peers.rs
+++ b/src/allowance/peers.rs
@@ -22,7 +22,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// The number of a pending ask, and the channel for its answer.
+/// The number of a pending loan request, and the channel for its answer.
 type Waiter = (u64, oneshot::Sender<Answer>);
 
 /// State of lending and borrowing.
@@ -32,9 +32,9 @@
     pub(super) lent: RefCell<LentLoans>,
     /// Loans that this router has taken.
     pub(super) borrowed: RefCell<BorrowedLoans>,
-    /// Number of the latest ask.
+    /// Number of the latest loan request.
     last_number: Cell<u64>,
-    pending_asks: RefCell<Vec<Waiter>>,
+    pending_loans: RefCell<Vec<Waiter>>,
     /// Routers that did not answer recently, and until when they are skipped.
     unresponsive: RefCell<Vec<(SocketAddr, Instant)>>,
     outbox: RefCell<Vec<Outgoing>>,
@@ -45,31 +45,31 @@
 }
 
 impl Peers {
-    /// Allocates the number of an ask and the channel on which its answer will arrive.
+    /// Allocates the number of a loan request and the channel on which its answer will arrive.
     pub(super) fn register(&self) -> (u64, oneshot::Receiver<Answer>) {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
         let (tx, rx) = oneshot::channel();
-        self.pending_asks.borrow_mut().push((number, tx));
+        self.pending_loans.borrow_mut().push((number, tx));
         (number, rx)
     }
 
-    /// Whether a request still waits for the answer to an ask.
+    /// Whether a request still waits for the answer to a loan request.
     pub(super) fn is_pending(&self, number: u64) -> bool {
-        self.pending_asks.borrow().iter().any(|(n, tx)| *n == number && !tx.is_closed())
+        self.pending_loans.borrow().iter().any(|(n, tx)| *n == number && !tx.is_closed())
     }
 
     /// Passes an answer to the request that waits for it. Returns false if none does (any more).
     pub(super) fn deliver_answer(&self, number: u64, answer: Answer) -> bool {
-        let mut pending_asks = self.pending_asks.borrow_mut();
-        let Some(i) = pending_asks.iter().position(|(n, _)| *n == number) else { return false };
-        let (_, tx) = pending_asks.swap_remove(i);
+        let mut pending_loans = self.pending_loans.borrow_mut();
+        let Some(i) = pending_loans.iter().position(|(n, _)| *n == number) else { return false };
+        let (_, tx) = pending_loans.swap_remove(i);
         tx.send(answer).is_ok()
     }
 
-    /// Removes a pending ask.
-    pub(super) fn cancel_ask(&self, number: u64) {
-        self.pending_asks.borrow_mut().retain(|(n, _)| *n != number);
+    /// Removes a pending loan request.
+    pub(super) fn cancel_loan_request(&self, number: u64) {
+        self.pending_loans.borrow_mut().retain(|(n, _)| *n != number);
     }
 
     /// Whether to skip a router. Once its time is up one request tries the router, and the others
--- a/src/allowance/wire.rs
+++ b/src/allowance/wire.rs
@@ -1,8 +1,8 @@
 //! Messages between routers about budgets: one CBOR-encoded message in each datagram.
 //!
-//! Messages may be lost, delayed or duplicated. The number of an ask is never reused by its sender,
-//! so a lender gives one loan for duplicate asks. Reports are cumulative, and the last report of a
-//! loan is sent until it is acknowledged.
+//! Messages may be lost, delayed or duplicated. The number of a loan request is never reused by its
+//! sender, so a lender gives one loan for duplicate loan requests. Reports are cumulative, and the
+//! last report of a loan is sent until it is acknowledged.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -15,10 +15,10 @@
 /// Maximum number of reports in one datagram. At 50 bytes each they fit into a usual packet.
 pub const MAX_USES: usize = 20;
 
-/// An ask for tokens of a budget.
+/// A request of one router for tokens of another.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Ask {
+pub struct LoanRequest {
     /// Number of the loan, unique within the sender's process.
     pub number: u64,
     /// The organisation.
@@ -30,16 +30,16 @@
     pub prepaid: Tokens,
 }
 
-/// Answer to an ask.
+/// Answer to a loan request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Answer {
     /// The sender may spend the tokens it asked for.
     Lent,
-    /// The lender has too little left. The time in ms until its spending limit covers the ask, if
-    /// known.
+    /// The lender has too little left. The time in ms until its spending limit covers the loan
+    /// request, if known.
     NoneHere(Option<u32>),
-    /// The organisation's ledger proves that the ask exceeds what is left of the budget.
+    /// The organisation's ledger proves that the loan request exceeds what is left of the budget.
     Spent,
 }
 
@@ -63,9 +63,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Message {
-    /// Ask, sent to a lender.
-    Ask(Ask),
-    /// Answer of a lender to the ask with this number.
+    /// Loan request, sent to a lender.
+    Ask(LoanRequest),
+    /// Answer of a lender to the loan request with this number.
     Answer(u64, Answer),
     /// Reports on loans, sent to their lender.
     Uses(Vec<LoanUse>),
--- a/src/gateway/backend.rs
+++ b/src/gateway/backend.rs
@@ -18,14 +18,14 @@
 use super::timing::{FirstTokenModel, PrefillWork};
 use crate::ids::Digest;
 
-/// Number of consecutive failures after which a target is doubtful, that is, used only if no other
-/// target is left.
-const DOUBT_AFTER_FAILURES: u32 = 2;
-/// How long a target is doubtful after it reaches [`DOUBT_AFTER_FAILURES`]; doubled with each
+/// Number of consecutive failures after which a target is unhealthy, that is, used only if no
+/// other target is left.
+const UNHEALTHY_AFTER_FAILURES: u32 = 2;
+/// How long a target is unhealthy after it reaches [`UNHEALTHY_AFTER_FAILURES`]; doubled with each
 /// further failure.
-const FIRST_DOUBT: Duration = Duration::from_millis(400);
-/// Upper limit of a target's doubtful time, after which a request tries the target again.
-const MAX_DOUBT: Duration = Duration::from_secs(3);
+const FIRST_UNHEALTHY_TIME: Duration = Duration::from_millis(400);
+/// Maximum time for which a target is unhealthy. After that, requests are sent to it again.
+const MAX_UNHEALTHY_TIME: Duration = Duration::from_secs(3);
 /// How long a target that rejected a request gets no further ones, unless it asks for longer. A
 /// step of an engine takes about 10 ms, and a slot becomes free every few steps.
 const REJECTION_PAUSE: Duration = Duration::from_millis(120);
@@ -190,14 +190,15 @@
     pub fn record_failure(&self) {
         let mut load = self.load.borrow_mut();
         load.failures += 1;
-        if load.failures >= DOUBT_AFTER_FAILURES {
-            let doubled = FIRST_DOUBT * 2_u32.pow((load.failures - DOUBT_AFTER_FAILURES).min(4));
-            load.unhealthy_until = Some(Instant::now() + doubled.min(MAX_DOUBT));
+        if load.failures >= UNHEALTHY_AFTER_FAILURES {
+            let doubled =
+                FIRST_UNHEALTHY_TIME * 2_u32.pow((load.failures - UNHEALTHY_AFTER_FAILURES).min(4));
+            load.unhealthy_until = Some(Instant::now() + doubled.min(MAX_UNHEALTHY_TIME));
         }
     }
 
     /// Records that connecting failed or that another target uses the address now. This counts as
-    /// two failures, so that the target is doubtful at once, and closes the idle connections.
+    /// two failures, so that the target is unhealthy at once, and closes the idle connections.
     pub fn record_unreachable(&self) {
         self.load.borrow_mut().failures += 1;
         self.record_failure();
@@ -265,7 +266,7 @@
             number,
             now.checked_sub(duration_from_ms(base_ms)).unwrap_or(now).max(self.sent_at),
         );
-        // A mispredicted wait does not tell anything about the engine's speed.
+        // A mispredicted wait shows nothing about the speed of the engine.
         let without_wait_ms = took_ms - self.plan.wait_ms;
         if without_wait_ms > self.plan.wait_ms {
             let slowdown = load.slowdown.get();
@@ -309,7 +310,7 @@
     pub cache_tokens: u64,
 }
 
-/// Converts a computed time in ms. A value that is not a valid duration, such asan estimate
+/// Converts a computed time in ms. A value that is not a valid duration, such as an estimate
 /// without any answers, becomes zero.
 pub(super) fn duration_from_ms(ms: f64) -> Duration {
     Duration::try_from_secs_f64(ms / 1_000.0).unwrap_or_default()
--- a/src/gateway/feed.rs
+++ b/src/gateway/feed.rs
@@ -47,7 +47,7 @@
 /// Reads tables and tracks the availability of the store.
 pub struct StoreReader<P: RowStore> {
     rows: P,
-    keeper: Rc<BudgetManager<P>>,
+    budget_shares: Rc<BudgetManager<P>>,
     log: Log,
     stats: Stats,
     store_status: Cell<StoreStatus>,
@@ -127,10 +127,15 @@
 
 impl<P: RowStore> StoreReader<P> {
     /// A reader of a store that has not answered yet.
-    pub fn new(rows: P, keeper: Rc<BudgetManager<P>>, log: Log, stats: Stats) -> StoreReader<P> {
+    pub fn new(
+        rows: P,
+        budget_shares: Rc<BudgetManager<P>>,
+        log: Log,
+        stats: Stats,
+    ) -> StoreReader<P> {
         let store_status =
             Cell::new(StoreStatus { last_answer: None, recovered_at: None, unavailable: true });
-        StoreReader { rows, keeper, log, stats, store_status }
+        StoreReader { rows, budget_shares, log, stats, store_status }
     }
 
     /// Availability of the store.
@@ -172,7 +177,7 @@
         match outcome {
             Ok(page) => {
                 self.record_read(read, page);
-                self.keeper.observe_store_time(page.now);
+                self.budget_shares.observe_store_time(page.now);
                 if before.unavailable {
                     let ms = before.last_answer.map(|t| (now - t).as_millis());
                     self.log.note(
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -111,7 +111,7 @@
         Ok((catalog, route, org))
     };
     match lookup() {
-        Err(own) if own.status != 503 => {
+        Err(response) if response.status != 503 => {
             if !confirm_config(gw).await {
                 return Err(RouterResponse::refusal(
                     "configuration_not_confirmed",
@@ -204,8 +204,8 @@
         if matches!(taken, Err(Refusal::Spent)) && confirm_config(self.gw).await {
             taken = budget_shares.reserve_by(org, max_cost, self.answer_deadline).await;
             if matches!(taken, Err(Refusal::Spent)) {
-                let own = RouterResponse::new(402, "budget_spent");
-                return Err(self.log_budget_refusal(org, LenderSearch::default(), own));
+                let response = RouterResponse::new(402, "budget_spent");
+                return Err(self.log_budget_refusal(org, LenderSearch::default(), response));
             }
         }
         match taken {
@@ -214,15 +214,15 @@
                 Ok(())
             }
             Err(refusal) => {
-                let asked = match refusal {
-                    Refusal::NoneHere(asked) => asked,
+                let search = match refusal {
+                    Refusal::NoneHere(search) => search,
                     Refusal::Spent => LenderSearch::default(),
                 };
-                let after = asked.available_in.unwrap_or(BUDGET_RETRY_AFTER);
+                let after = search.available_in.unwrap_or(BUDGET_RETRY_AFTER);
                 let after = after.clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER);
                 Err(self.log_budget_refusal(
                     org,
-                    asked,
+                    search,
                     RouterResponse::refusal("budget_not_here", after),
                 ))
             }
@@ -232,8 +232,8 @@
     fn log_budget_refusal(
         &self,
         org: &str,
-        asked: LenderSearch,
-        own: RouterResponse,
+        search: LenderSearch,
+        response: RouterResponse,
     ) -> RouterResponse {
         let state = self.gw.budget_shares.describe(org);
         let (id, max_cost) = (&self.meta.id, self.meta.max_cost());
@@ -241,10 +241,10 @@
             "budget",
             format_args!(
                 "id={id} route={} org={org} most={max_cost} short={} silent={} {state} config={} outcome={}",
-                self.route.name, asked.insufficient, asked.unresponsive, self.catalog.version, own.reason
+                self.route.name, search.insufficient, search.unresponsive, self.catalog.version, response.reason
             ),
         );
-        own
+        response
     }
 
     pub(super) fn header_names(&self) -> &HeaderNames {
@@ -300,8 +300,8 @@
         loop {
             // Checked before every send, not only the first: the previous send may have crashed a
             // target, and retries that the id and the service would allow could crash the next one.
-            if let Err(own) = self.check_quarantine() {
-                return failure_reply.ok_or(self.map_refusal(own));
+            if let Err(resp) = self.check_quarantine() {
+                return failure_reply.ok_or(self.map_refusal(resp));
             }
             let (backend, plan) = match self.choose_target() {
                 Ok(chosen) => chosen,
@@ -312,7 +312,7 @@
                 Err(Unplaced::Cold { room_in }) => {
                     return failure_reply.ok_or(self.map_refusal(cold_refusal(room_in)));
                 }
-                Err(Unplaced::Refused(own)) => return failure_reply.ok_or(self.map_refusal(own)),
+                Err(Unplaced::Refused(resp)) => return failure_reply.ok_or(self.map_refusal(resp)),
             };
             if self.answer_deadline - Instant::now() < MIN_TIME_LEFT {
                 return failure_reply.ok_or(
@@ -365,7 +365,9 @@
     /// to another one. Its `Retry-After` says when a target is expected to accept requests again.
     fn rejected_by_targets(&self) -> RouterResponse {
         match self.choose_target() {
-            Err(Unplaced::Refused(own)) => RouterResponse { reason: "target_refused", ..own },
+            Err(Unplaced::Refused(response)) => {
+                RouterResponse { reason: "target_refused", ..response }
+            }
             Err(Unplaced::Cold { room_in }) => cold_refusal(room_in),
             Ok(_) => RouterResponse::refusal("target_refused", DEFAULT_RETRY_AFTER),
         }
@@ -373,11 +375,11 @@
 
     /// Turns 503 into 502 once a target may have run the request, because 503 promises that it did
     /// not run.
-    fn map_refusal(&self, own: RouterResponse) -> RouterResponse {
-        if self.may_have_run.get() && own.status == 503 {
-            RouterResponse::new(502, own.reason)
+    fn map_refusal(&self, response: RouterResponse) -> RouterResponse {
+        if self.may_have_run.get() && response.status == 503 {
+            RouterResponse::new(502, response.reason)
         } else {
-            own
+            response
         }
     }
 
--- a/src/gateway/liveness.rs
+++ b/src/gateway/liveness.rs
@@ -68,10 +68,10 @@
         }
         let began = Instant::now();
         match dial(addr).await {
-            Ok(link) => {
+            Ok(target_conn) => {
                 self.mark_alive();
                 *last_connect = Some(began);
-                link.return_to(&mut pool.borrow_mut());
+                target_conn.return_to(&mut pool.borrow_mut());
             }
             Err(e) => self.connect_failed(&e),
         }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -13,11 +13,11 @@
 use super::state::{Gateway, Platform};
 use super::timing::PrefillWork;
 
-/// Sends the outgoing messages of the budget keeper. Never returns.
+/// Sends the outgoing messages of the budget manager. Never returns.
 pub async fn send_budget_messages<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
     loop {
         for out in gw.budget_shares.outgoing().await {
-            // Not retried here: the keeper repeats messages that were lost.
+            // Not retried here: the budget manager repeats lost messages.
             if let Err(e) = socket.try_send_to(&Topic::Budgets.frame(&out.bytes), out.to) {
                 gw.log.routine("peer", format_args!("to={} outcome=unsent cause={e}", out.to));
             }
@@ -50,7 +50,7 @@
                 gw.zones.merge_newer(&gw.zones.parse(payload), "peer")
             }
             Some((Topic::Cold, payload)) => {
-                gw.cold.handle_datagram(from, payload, |w| cold_target(&gw, w))
+                gw.cold.handle_datagram(from, payload, |digest| cold_target(&gw, digest))
             }
             None => gw.log.note("peer", format_args!("from={from} bytes={n} error=unknown_topic")),
         }
@@ -65,14 +65,14 @@
     accepts_early_order || known.binary_search(&from).is_ok()
 }
 
-/// Id, zone and admission rate of a target that another router asks about.
+/// Id, zone and admission limit of the target that another router queries.
 fn cold_target<P: Platform>(
     gw: &Gateway<P>,
-    word: u64,
+    digest: u64,
 ) -> Option<(CompactString, CompactString, AdmissionLimit)> {
-    let backend = gw.targets.by_digest(word)?;
+    let backend = gw.targets.by_digest(digest)?;
     let info = backend.info.borrow();
-    Some((info.id.clone(), info.zone.clone(), gw.cold_pace(&info.service)?))
+    Some((info.id.clone(), info.zone.clone(), gw.admission_limit(&info.service)?))
 }
 
 /// Records the prompts that other routers sent to targets.
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -46,16 +46,16 @@
 /// `CallerLeft` if the caller disconnected or accepted no bytes for `CALLER_WRITE_TIMEOUT`.
 pub async fn write_router_response(
     caller: &mut Conn,
-    own: &RouterResponse,
+    response: &RouterResponse,
     keep_alive: bool,
 ) -> Result<(), RelayOutcome> {
     use std::io::Write;
-    let body = format!("{{\"error\":\"{}\"}}", own.reason);
+    let body = format!("{{\"error\":\"{}\"}}", response.reason);
     let mut out = Vec::with_capacity(256);
     // Writing into a vector cannot fail.
-    let _ = write!(out, "HTTP/1.1 {} {}\r\n", own.status, reason_phrase(own.status));
+    let _ = write!(out, "HTTP/1.1 {} {}\r\n", response.status, reason_phrase(response.status));
     out.extend_from_slice(b"Content-Type: application/json\r\n");
-    if let Some(after) = own.retry_after {
+    if let Some(after) = response.retry_after {
         let _ = write!(out, "Retry-After: {:.3}\r\n", after.as_secs_f64());
     }
     if !keep_alive {
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -44,8 +44,8 @@
         self.current_target = Some(backend.clone());
         self.sent_at = Instant::now();
         let in_flight = InFlight::begin(backend, plan, self.sent_at);
-        let kept = backend.pool.borrow_mut().take();
-        let mut target_conn = match kept {
+        let pooled = backend.pool.borrow_mut().take();
+        let mut target_conn = match pooled {
             Some(target_conn) => target_conn,
             None => match dial(backend.addr()).await {
                 Ok(target_conn) => {
@@ -121,12 +121,12 @@
             // that only later. This is checked here and not when the order arrives, because neither
             // the target nor the configuration need be known then.
             let now = Instant::now();
-            if let Some(since) = self.gw.zones.taken_back_for(&zone, now) {
+            if let Some(since) = self.gw.zones.in_service_for(&zone, now) {
                 backend.extend_cold(warm_up.cold_duration.saturating_sub(since));
             }
             if backend.is_cold(now) {
-                let pace = AdmissionLimit::for_warm_up(warm_up, self.gw.settings.cold);
-                if let Err(room_in) = self.gw.cold.admit(&id, &zone, pace).await {
+                let limit = AdmissionLimit::for_warm_up(warm_up, self.gw.settings.cold);
+                if let Err(room_in) = self.gw.cold.admit(&id, &zone, limit).await {
                     backend.set_no_room(room_in);
                     return Err(SendOutcome::HeldOff);
                 }
--- a/src/gateway/sse.rs
+++ b/src/gateway/sse.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Returns the offset behind the next blank line, which ends an event.
+/// Returns the offset after the next blank line, which ends an event.
 fn find_event_end(buf: &[u8]) -> Option<usize> {
     let lf = buf.windows(2).position(|w| w == b"\n\n").map(|i| i + 2);
     let crlf = buf.windows(4).position(|w| w == b"\r\n\r\n").map(|i| i + 4);
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -96,7 +96,8 @@
 pub enum Phase {
     /// The router serves requests normally.
     Up,
-    /// The router is no longer listed in entry answers, but still serves callers that know it.
+    /// The router is no longer listed in entry answers, but still serves callers that connect to
+    /// it.
     Leaving,
     /// The router accepts no new requests.
     Finishing,
@@ -152,24 +153,15 @@
     pub body_bytes: Cell<u64>,
     /// Notified when the last active request has ended.
     pub no_active_requests: Notify,
-    /// Name under which this process holds shares of budgets.
-    pub holder_name: ProcessId,
+    /// Id under which this process holds grants of budgets.
+    pub process_id: ProcessId,
 }
 
 impl<P: Platform> Gateway<P> {
     /// Creates a router without configuration, targets and peers.
-    pub fn new(
-        platform: P,
-        settings: Settings,
-        holder_name: ProcessId,
-        log: Log,
-    ) -> Rc<Gateway<P>> {
-        let budget_shares = BudgetManager::new(
-            platform.clone(),
-            holder_name.clone(),
-            settings.budgets,
-            log.clone(),
-        );
+    pub fn new(platform: P, settings: Settings, process_id: ProcessId, log: Log) -> Rc<Gateway<P>> {
+        let budget_shares =
+            BudgetManager::new(platform.clone(), process_id.clone(), settings.budgets, log.clone());
         let budget_shares = Rc::new(budget_shares);
         let stats = Stats::new();
         Rc::new(Gateway {
@@ -202,7 +194,7 @@
             open_connections: Cell::new(0),
             body_bytes: Cell::new(0),
             no_active_requests: Notify::new(),
-            holder_name,
+            process_id,
         })
     }
 
@@ -222,8 +214,8 @@
         self.catalog.borrow().as_ref().map(|c| c.limits).unwrap_or_default()
     }
 
-    /// The request rate limit for cold targets of a service; `None` if they need none.
-    pub fn cold_pace(&self, service: &str) -> Option<AdmissionLimit> {
+    /// The admission limit for cold targets of a service; `None` if they need no warm-up.
+    pub fn admission_limit(&self, service: &str) -> Option<AdmissionLimit> {
         let warm_up = self.catalog.borrow().as_ref().and_then(|c| c.warm_up(service))?;
         Some(AdmissionLimit::for_warm_up(warm_up, self.settings.cold))
     }
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -1,4 +1,4 @@
-//! All targets that this router knows, and the candidates for a request.
+//! All targets known to this router, and the candidates for a request.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -40,8 +40,8 @@
 #[derive(Debug)]
 struct RemovedTarget {
     id: CompactString,
-    born: Option<StartedMs>,
-    standing: Availability,
+    started_at: Option<StartedMs>,
+    self_reported: Availability,
 }
 
 /// All targets, sorted by id.
@@ -92,8 +92,8 @@
         let i = match all.binary_search_by(|b| b.info.borrow().id.cmp(&info.id)) {
             Ok(i) => i,
             Err(i) => {
-                let standing = self.recall_standing(&info);
-                all.insert(i, self.backend(info, standing));
+                let self_reported = self.take_kept_notices(&info);
+                all.insert(i, self.backend(info, self_reported));
                 return Change::New;
             }
         };
@@ -105,9 +105,9 @@
         if restarted || known.service != info.service || known.addr != info.addr {
             // Another service or address alone does not discard the notices that the target has
             // sent.
-            let standing =
+            let self_reported =
                 if restarted { Availability::default() } else { all[i].self_reported.clone() };
-            all[i] = self.backend(info, standing);
+            all[i] = self.backend(info, self_reported);
             return Change::Restarted;
         }
         info.started_at = info.started_at.or(known.started_at);
@@ -118,13 +118,13 @@
         if changed { Change::State } else { Change::Same }
     }
 
-    fn backend(&self, info: TargetInfo, standing: Availability) -> Rc<Backend> {
+    fn backend(&self, info: TargetInfo, self_reported: Availability) -> Rc<Backend> {
         let first_token_model = self.first_token_model(&info.service);
-        Rc::new(Backend::new(info, standing, first_token_model))
+        Rc::new(Backend::new(info, self_reported, first_token_model))
     }
 
     /// Keeps the notices of a target whose entry was removed, while they still apply.
-    fn remember_standing(&self, b: &Backend) {
+    fn keep_notices(&self, b: &Backend) {
         if !b.self_reported.is_unavailable(Instant::now()) {
             return;
         }
@@ -132,20 +132,23 @@
         if removed_targets.len() >= MAX_REMOVED_TARGETS {
             removed_targets.pop_front();
         }
-        let born = b.info.borrow().started_at;
+        let started_at = b.info.borrow().started_at;
         removed_targets.push_back(RemovedTarget {
             id: b.id(),
-            born,
-            standing: b.self_reported.clone(),
+            started_at,
+            self_reported: b.self_reported.clone(),
         });
     }
 
     /// The notices that a target sent before its entry was removed.
-    fn recall_standing(&self, info: &TargetInfo) -> Availability {
+    fn take_kept_notices(&self, info: &TargetInfo) -> Availability {
         let mut removed_targets = self.removed_targets.borrow_mut();
         let found = removed_targets.iter().rposition(|p| p.id == info.id);
         let known = found.and_then(|i| removed_targets.remove(i));
-        known.filter(|p| !info.started_after(p.born)).map(|p| p.standing).unwrap_or_default()
+        known
+            .filter(|p| !info.started_after(p.started_at))
+            .map(|p| p.self_reported)
+            .unwrap_or_default()
     }
 
     /// The shared first-token model of a service's engines.
@@ -167,14 +170,15 @@
         let found = all.binary_search_by(|b| b.info.borrow().id.as_str().cmp(id));
         let Ok(i) = found else { return false };
         let gone = all.remove(i);
-        self.remember_standing(&gone);
+        self.keep_notices(&gone);
         // Requests in flight keep the `Backend` alive until they end.
         gone.info.borrow_mut().state = TargetState::Draining;
         true
     }
 
-    /// Marks a target whose entry is missing, perhaps only because the store was unavailable. It is
-    /// used only if no other target is left, until the entry reappears or the grace period ends.
+    /// Marks a target as lapsed because its entry is missing, perhaps only because the store was
+    /// unavailable. It is used only if no other target is left, until the entry reappears or the
+    /// grace period ends.
     pub fn lapse(&self, id: &str) {
         let all = self.all.borrow();
         if let Ok(i) = all.binary_search_by(|b| b.info.borrow().id.as_str().cmp(id)) {
@@ -187,21 +191,21 @@
         let mut all = self.all.borrow_mut();
         let (gone, left): (Vec<_>, Vec<_>) = all.drain(..).partition(|b| b.entry_lapsed.get());
         *all = left;
-        gone.iter().for_each(|b| self.remember_standing(b));
+        gone.iter().for_each(|b| self.keep_notices(b));
         gone.iter().map(|b| b.id()).collect()
     }
 
-    /// Records that another router sent a prompt to the target with the digest `word`.
+    /// Records that another router sent a prompt to the target with this digest.
     /// `cache_tokens` returns the cache size of a service's engines, in tokens.
     pub fn apply_hint(
         &self,
-        word: u64,
+        digest: u64,
         work: PrefillWork,
         parts: &[PromptPart],
         cache_tokens: impl Fn(&str) -> u64,
     ) {
         let all = self.all.borrow();
-        let Some(b) = all.iter().find(|b| b.id_digest == word) else { return };
+        let Some(b) = all.iter().find(|b| b.id_digest == digest) else { return };
         let now = Instant::now();
         let mut load = b.load.borrow_mut();
         let estimate = b.timing.borrow().estimate();
@@ -227,9 +231,9 @@
         self.all.borrow().iter().filter(|b| b.is_cold(now)).count()
     }
 
-    /// The target with the digest `word`.
-    pub fn by_digest(&self, word: u64) -> Option<Rc<Backend>> {
-        self.all.borrow().iter().find(|b| b.id_digest == word).cloned()
+    /// The target with this digest.
+    pub fn by_digest(&self, digest: u64) -> Option<Rc<Backend>> {
+        self.all.borrow().iter().find(|b| b.id_digest == digest).cloned()
     }
 
     /// All targets.
--- a/src/gateway/timing.rs
+++ b/src/gateway/timing.rs
@@ -1,5 +1,5 @@
-//! Learns the time to first token of engines from the answers that a router sees. Pure: no clock,
-//! no I/O.
+//! Estimates the time to first token of engines from the answers that a router receives. Pure: no
+//! clock, no I/O.
 //!
 //! Engines differ by a factor of ten and more between deployments, so no property of an engine is a
 //! constant here. Nothing is predicted before the first answer.
@@ -9,13 +9,13 @@
 /// seconds.
 const DECAY: f64 = 0.98;
 /// Weighted number of answers from which outliers are clamped to the usual deviation. Outliers are
-/// caused by faults or by queues that this router does not know of. Without clamping, 5% of such
+/// caused by faults or by queues that are unknown to this router. Without clamping, 5% of such
 /// answers would determine the slope.
 const OUTLIER_MIN_ANSWERS: f64 = 8.0;
 /// Distance from the estimate beyond which an answer is an outlier, in mean deviations.
 const OUTLIER_DEVIATIONS: f64 = 4.0;
 /// Fraction of the time to first token that is attributed to prefill while all prompts were of
-/// similar size, so that base time and prefill cannot be told apart.
+/// similar size, so that base time and prefill cannot be distinguished.
 const ASSUMED_PREFILL_SHARE: f64 = 0.5;
 /// Minimum standard deviation of prompt sizes, as a fraction of their mean, for fitting a slope.
 const MIN_SIZE_SPREAD: f64 = 0.2;
--- a/src/gateway/warmup.rs
+++ b/src/gateway/warmup.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum AdmissionMessage {
-    /// Asks for the admission of one request to a target.
+    /// Query whether one request may be sent to a target.
     Ask {
         /// Number of the query.
         number: u64,
@@ -92,7 +92,7 @@
     /// [`ADMISSION_TTL`].
     ///
     /// # Errors
-    /// The time after which to ask again.
+    /// The time after which to try again.
     pub async fn admit(
         &self,
         target: &str,
--- a/src/gateway/zone_orders.rs
+++ b/src/gateway/zone_orders.rs
@@ -74,7 +74,7 @@
 
     /// Time since this router received the order that returned a zone to service. `None` if no
     /// order for the zone is known or the zone is emptied.
-    pub fn taken_back_for(&self, zone: &str, now: Instant) -> Option<Duration> {
+    pub fn in_service_for(&self, zone: &str, now: Instant) -> Option<Duration> {
         let known = &self.known[self.find(zone).ok()?];
         (!known.order.emptied).then(|| now.saturating_duration_since(known.received_at))
     }
@@ -88,8 +88,8 @@
     /// service.
     pub fn missing_from(&self, listed: &[CompactString], ver: Ver) -> Vec<ZoneOrder> {
         let gone = |k: &&KnownOrder| k.order.emptied && !listed.contains(&k.order.zone);
-        let taken_back = |k: &KnownOrder| ZoneOrder { ver, emptied: false, ..k.order.clone() };
-        self.known.iter().filter(gone).map(taken_back).collect()
+        let restored = |k: &KnownOrder| ZoneOrder { ver, emptied: false, ..k.order.clone() };
+        self.known.iter().filter(gone).map(restored).collect()
     }
 
     fn find(&self, zone: &str) -> Result<usize, usize> {
--- a/src/gateway/zones.rs
+++ b/src/gateway/zones.rs
@@ -73,10 +73,10 @@
         self.orders.borrow().is_emptied(zone)
     }
 
-    /// Time since this router learned that a zone was returned to service (`taken_back` in the
-    /// log). `None` if no order for the zone is known or the zone is emptied.
-    pub fn taken_back_for(&self, zone: &str, now: Instant) -> Option<Duration> {
-        self.orders.borrow().taken_back_for(zone, now)
+    /// Time since this router received the order that returned a zone to service (`taken_back` in
+    /// the log). `None` if no order for the zone is known or the zone is emptied.
+    pub fn in_service_for(&self, zone: &str, now: Instant) -> Option<Duration> {
+        self.orders.borrow().in_service_for(zone, now)
     }
 
     /// Merges the orders of a snapshot of the whole table. Emptied zones that the snapshot does not
--- a/tests/test_gateway.rs
+++ b/tests/test_gateway.rs
@@ -1,4 +1,4 @@
-//! End- to- end tests of the gateway with real sockets, stand-in targets and an in-memory row store.
+//! End-to-end tests of the gateway with real sockets, stand-in targets and an in-memory row store.
 
 use std::time::Duration;
 
--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -169,11 +169,11 @@
             hosts.push(GatewayHost::start(&platform, &name, "zone-1", 1).await.unwrap());
         }
         for r in &hosts {
-            eventually("discovery ofthe other routers", || {
+            eventually("discovery of the other routers", || {
                 r.gw.peers.borrow().len() + 1 >= routers
             })
             .await;
-            eventually("discovery of thetargets", || r.gw.targets.count().0 == warm + cold).await;
+            eventually("discovery of the targets", || r.gw.targets.count().0 == warm + cold).await;
         }
         // By then every router has read its own row, and its startup delay is over.
         sleep(Duration::from_millis(2_300)).await;
@@ -183,7 +183,7 @@
             fleet.platform.register_cold(target, "ready", Duration::from_secs(3));
         }
         for r in &fleet.routers {
-            eventually("the warm-up of thetargets", || r.gw.targets.count_cold() == cold).await;
+            eventually("the warm-up of the targets", || r.gw.targets.count_cold() == cold).await;
         }
         fleet
     }
--- a/tests/test_gateway_decisions.rs
+++ b/tests/test_gateway_decisions.rs
@@ -189,8 +189,8 @@
 #[case::minimum_delay(1, 150, 300)]
 fn backoff_refusal_jitter(#[case] retry_after_ms: u64, #[case] from_ms: u128, #[case] to_ms: u128) {
     let after = || {
-        let own = backoff_refusal(Duration::from_millis(retry_after_ms));
-        own.retry_after.unwrap().as_millis()
+        let refusal = backoff_refusal(Duration::from_millis(retry_after_ms));
+        refusal.retry_after.unwrap().as_millis()
     };
     fastrand::seed(1);
     let times: Vec<u128> = (0..100).map(|_| after()).collect();
@@ -215,18 +215,18 @@
     let mut fleet: Vec<ServiceRetryBudgets> =
         (0..routers).map(|_| ServiceRetryBudgets::new(allowance)).collect();
     fleet.iter_mut().for_each(|r| r.set_routers(routers));
-    let mut allows_repeats = Vec::new();
+    let mut retries = Vec::new();
     for n in 0..6_000_usize {
         let router = &mut fleet[n % routers as usize];
         router.earn("api");
         // No failures at first, then every request fails.
-        allows_repeats.push(u32::from(n > 2_000 && router.take("api")));
+        retries.push(u32::from(n > 2_000 && router.take("api")));
     }
-    for window in allows_repeats.windows(400) {
+    for window in retries.windows(400) {
         let sum: u32 = window.iter().sum();
         assert!(f64::from(sum) <= 0.2 * 400.0 + 52.0, "{sum}");
     }
-    assert!(allows_repeats.iter().sum::<u32>() > 600);
+    assert!(retries.iter().sum::<u32>() > 600);
 }
 
 #[test]
--- a/tests/test_gateway_fatal.rs
+++ b/tests/test_gateway_fatal.rs
@@ -56,7 +56,7 @@
     }
 
     /// Fills the first router's retry budget.
-    async fn earn_retries(&self) {
+    async fn fill_retry_budget(&self) {
         for n in 0..20 {
             let call = Call::get("/safe/warm").body(&format!("warm {n}"));
             assert_eq!(call.send(self.routers[0].front).await.status(), 200);
@@ -229,7 +229,7 @@
     // it, although each time the next target answers it completely.
     run_local(async {
         let fleet = Fleet::start().await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         let front = fleet.routers[0].front;
         fleet.targets.iter().for_each(|t| t.set_event_gap(Duration::from_millis(10)));
         for n in 0..MAX_ENDED_TARGETS {
@@ -251,7 +251,7 @@
     // own retry follows the third crash at once, before it is known to be a crash.
     run_local(async {
         let fleet = Fleet::start().await;
-        fleet.earn_retries().await;
+        fleet.fill_retry_budget().await;
         for n in 0..2 * MAX_ENDED_TARGETS {
             let call = Call::get("/safe/fatal").id(&format!("f{n}")).body("fatal");
             let status = call.send(fleet.routers[0].front).await.status();
@@ -379,10 +379,10 @@
 
 #[test]
 fn connect_failed_ended_only_if_refused() {
-    let life = Liveness::default();
-    life.connect_failed(&std::io::ErrorKind::TimedOut.into());
-    life.connect_failed(&std::io::ErrorKind::HostUnreachable.into());
-    assert!(!life.has_ended());
-    life.connect_failed(&std::io::ErrorKind::ConnectionRefused.into());
-    assert!(life.has_ended());
+    let liveness = Liveness::default();
+    liveness.connect_failed(&std::io::ErrorKind::TimedOut.into());
+    liveness.connect_failed(&std::io::ErrorKind::HostUnreachable.into());
+    assert!(!liveness.has_ended());
+    liveness.connect_failed(&std::io::ErrorKind::ConnectionRefused.into());
+    assert!(liveness.has_ended());
 }
--- a/tests/test_gateway_homes.rs
+++ b/tests/test_gateway_homes.rs
@@ -11,16 +11,16 @@
 use crate::gateway_fleet::{Call, eventually, run_local};
 
 /// The default configuration, with the first route and the organisation restricted to regions.
-fn bound(route: &[&str], org: &[&str]) -> CatalogParts {
-    let own = |names: &[&str]| names.iter().map(|n| (*n).into()).collect();
+fn restricted_parts(route: &[&str], org: &[&str]) -> CatalogParts {
+    let to_names = |names: &[&str]| names.iter().map(|n| (*n).into()).collect();
     let mut p = parts(1, 1_000_000);
-    p.routes[0].homes = own(route);
-    p.organisations.as_mut().unwrap()[0].homes = own(org);
+    p.routes[0].homes = to_names(route);
+    p.organisations.as_mut().unwrap()[0].homes = to_names(org);
     p
 }
 
 #[rstest]
-#[case::unbound(&[], &[], 200)]
+#[case::unrestricted(&[], &[], 200)]
 #[case::route_near(&["south"], &[], 200)]
 #[case::route_far(&["north"], &[], 200)]
 #[case::org_far(&[], &["north"], 200)]
@@ -35,7 +35,7 @@
     // Guards against a request body that reaches a target outside the allowed regions.
     run_local(async {
         let platform = LocalPlatform::new();
-        platform.configure(bound(route, org));
+        platform.configure(restricted_parts(route, org));
         let mut targets = Vec::new();
         for zone in ["zone-1", "zone-3"] {
             let target = StandinTarget::start(zone, "model", zone).await.unwrap();
@@ -43,7 +43,7 @@
             targets.push(target);
         }
         let router = GatewayHost::start(&platform, "r1", "zone-1", 1).await.unwrap();
-        eventually("all targets are known", || router.gw.targets.count().0 == 2).await;
+        eventually("discovery of all targets", || router.gw.targets.count().0 == 2).await;
         for n in 0..6 {
             let call = Call::get("/safe/a").id(&format!("q{n}")).body(&format!("private {n}"));
             assert_eq!(call.send(router.front).await.status(), status);
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -319,15 +319,16 @@
         let admission = async {
             let mut buf = [0; 256];
             let (n, from) = other.recv_from(&mut buf).await.unwrap();
-            let (_, word) = Topic::parse(&buf[..n]).unwrap();
-            let AdmissionMessage::Ask { number, .. } = ciborium::from_reader(word).unwrap() else {
+            let (_, payload) = Topic::parse(&buf[..n]).unwrap();
+            let AdmissionMessage::Ask { number, .. } = ciborium::from_reader(payload).unwrap()
+            else {
                 panic!()
             };
             gw.targets.all()[0].self_reported.apply_notice(notice, Instant::now());
-            let mut word = Vec::new();
+            let mut payload = Vec::new();
             let answer = AdmissionMessage::Answer { number, room_in_ms: None };
-            ciborium::into_writer(&answer, &mut word).unwrap();
-            other.send_to(&Topic::Cold.frame(&word), from).await.unwrap();
+            ciborium::into_writer(&answer, &mut payload).unwrap();
+            other.send_to(&Topic::Cold.frame(&payload), from).await.unwrap();
         };
         let call = Call::get("/once/a");
         let (got, ()) = tokio::join!(call.send(fleet.router.front), admission);
--- a/tests/test_gateway_orders.rs
+++ b/tests/test_gateway_orders.rs
@@ -73,13 +73,13 @@
     #[case] zone: &str,
     #[case] expected: Option<ExclusionReason>,
 ) {
-    let own = |names: &[&str]| names.iter().map(|n| (*n).into()).collect::<Vec<_>>();
+    let to_names = |names: &[&str]| names.iter().map(|n| (*n).into()).collect::<Vec<_>>();
     let regions = ZoneRegions::new(vec![
         ("a".into(), "south".into()),
         ("b".into(), "south".into()),
         ("c".into(), "north".into()),
     ]);
-    let (emptied, route, org) = (own(emptied), own(route), own(org));
+    let (emptied, route, org) = (to_names(emptied), to_names(route), to_names(org));
     let zone_filter = ZoneFilter { emptied: &emptied, homes: [&route, &org], regions: &regions };
     assert_eq!(zone_filter.exclusion_reason(zone), expected);
 }
@@ -107,8 +107,11 @@
             fleet.add_router(n, 1).await;
         }
         for r in &fleet.routers {
-            eventually("all targets are known", || r.gw.targets.count().0 == 2).await;
-            eventually("the others are known", || r.gw.peers.borrow().len() + 1 >= routers).await;
+            eventually("discovery of all targets", || r.gw.targets.count().0 == 2).await;
+            eventually("discovery of the other routers", || {
+                r.gw.peers.borrow().len() + 1 >= routers
+            })
+            .await;
         }
         fleet
     }
@@ -136,7 +139,7 @@
 
     async fn wait_for_emptied(&self, router: usize, emptied: &[&str]) {
         let zones = &self.routers[router].gw.zones;
-        eventually("the order is known", || zones.emptied() == emptied).await;
+        eventually("arrival of the order", || zones.emptied() == emptied).await;
     }
 }
 
@@ -162,7 +165,7 @@
         let front = fleet.routers[0].front;
         let stream =
             spawn_local(async move { Call::get("/stream/a").tokens(10, 16).send(front).await });
-        eventually("it runs", || fleet.runs() == (1, 0)).await;
+        eventually("the start of the run", || fleet.runs() == (1, 0)).await;
         fleet.platform.empty_zone("zone-1");
         fleet.wait_for_emptied(0, &["zone-1"]).await;
         let got = stream.await.unwrap();
@@ -183,7 +186,8 @@
         }
         let third = StandinTarget::start("t3", "model", "zone-1").await.unwrap();
         fleet.platform.register(&third, "ready");
-        eventually("it is known", || fleet.routers[0].gw.targets.count().0 == 3).await;
+        eventually("discovery of the third target", || fleet.routers[0].gw.targets.count().0 == 3)
+            .await;
         let before = fleet.runs();
         for t in fleet.targets.iter().chain([&third]) {
             t.set_event_gap(Duration::from_millis(60));
@@ -194,7 +198,7 @@
             Call::get("/resumable/a").id("s").tokens(10, 20).send(front).await
         });
         let runs = || fleet.runs().0 - before.0 + third.runs().len();
-        eventually("it runs in the zone", || runs() == 1).await;
+        eventually("the start of the run in the zone", || runs() == 1).await;
         fleet.platform.empty_zone("zone-1");
         fleet.wait_for_emptied(0, &["zone-1"]).await;
         let got = stream.await.unwrap();
@@ -263,7 +267,7 @@
         let mut fleet = Fleet::start(0).await;
         fleet.platform.empty_zone("zone-1");
         fleet.add_router(1, 1).await;
-        eventually("all targets are known", || fleet.routers[0].gw.targets.count().0 == 2).await;
+        eventually("discovery of all targets", || fleet.routers[0].gw.targets.count().0 == 2).await;
         assert_eq!(fleet.send(0, "started").await, (0, 8));
     });
 }
--- a/tests/test_gateway_targets.rs
+++ b/tests/test_gateway_targets.rs
@@ -18,7 +18,7 @@
 const PARTS: [PromptPart; 2] =
     [PromptPart { id: 7, tokens: 5_000 }, PromptPart { id: 8, tokens: 1_000 }];
 
-fn entry(born: Option<u64>, state: TargetState) -> TargetInfo {
+fn entry(started_at: Option<u64>, state: TargetState) -> TargetInfo {
     TargetInfo {
         id: "t1".into(),
         service: "model".into(),
@@ -27,7 +27,7 @@
         slots: 8,
         state,
         warm_up: Duration::ZERO,
-        started_at: born.map(StartedMs),
+        started_at: started_at.map(StartedMs),
     }
 }
 
@@ -153,10 +153,10 @@
     const KEPT: u64 = 20_000;
     let targets = Targets::default();
     targets.set(entry(None, READY));
-    let word = target_digest("t1");
+    let digest = target_digest("t1");
     let hint = |parts: &[PromptPart]| {
         let prompt: u64 = parts.iter().map(|p| p.tokens).sum();
-        targets.apply_hint(word, PrefillWork::of(prompt, prompt), parts, |_| KEPT);
+        targets.apply_hint(digest, PrefillWork::of(prompt, prompt), parts, |_| KEPT);
     };
     hint(&PARTS);
     let uncached = || targets.candidates(&request()).candidates.remove(0).1.uncached;
@@ -181,13 +181,13 @@
 #[case::started_again(Some(5), Some(6), false, 1)]
 #[case::gone_and_started_again(Some(5), Some(6), true, 1)]
 fn set_keeps_leaving(
-    #[case] born: Option<u64>,
+    #[case] started_at: Option<u64>,
     #[case] next: Option<u64>,
     #[case] gone: bool,
     #[case] accepting: usize,
 ) {
     let targets = Targets::default();
-    targets.set(entry(born, READY));
+    targets.set(entry(started_at, READY));
     only(&targets).self_reported.apply_notice(LEAVING, Instant::now());
     if gone {
         targets.remove("t1");
@@ -221,23 +221,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn standing_backoff() {
+async fn availability_backoff() {
     let retry_after_notice = |ms| Notice {
         leaving: false,
         retry_after: Some(RetryAfter::Delay(Duration::from_millis(ms))),
     };
-    let (standing, start) = (Availability::default(), Instant::now());
+    let (availability, start) = (Availability::default(), Instant::now());
     let at = |ms| start + Duration::from_millis(ms);
-    let backoff_ms = |ms| standing.backoff_left(at(ms)).map(|d| d.as_millis());
-    assert!(standing.apply_notice(retry_after_notice(3_000), start));
+    let backoff_ms = |ms| availability.backoff_left(at(ms)).map(|d| d.as_millis());
+    assert!(availability.apply_notice(retry_after_notice(3_000), start));
     // Neither a shorter delay nor an answer without a delay shortens the backoff.
-    assert!(!standing.apply_notice(retry_after_notice(100), at(10)));
-    assert!(!standing.apply_notice(retry_after_notice(0), at(20)));
-    assert!(!standing.apply_notice(Notice::default(), at(30)));
+    assert!(!availability.apply_notice(retry_after_notice(100), at(10)));
+    assert!(!availability.apply_notice(retry_after_notice(0), at(20)));
+    assert!(!availability.apply_notice(Notice::default(), at(30)));
     assert_eq!((backoff_ms(2_999), backoff_ms(3_000)), (Some(1), None));
-    assert!(standing.apply_notice(retry_after_notice(3_000), at(1_000)));
+    assert!(availability.apply_notice(retry_after_notice(3_000), at(1_000)));
     assert_eq!(backoff_ms(3_500), Some(500));
-    assert!(!standing.apply_notice(
+    assert!(!availability.apply_notice(
         Notice { leaving: false, retry_after: Some(RetryAfter::Unreadable) },
         at(9_000)
     ));
