--- a/src/allowance/account.rs
+++ b/src/allowance/account.rs
@@ -365,7 +365,7 @@
             opens: headroom.opens_after_ms,
         };
         // While writes are unanswered, the lowest of their limits bounds the spending. A limit
-        // below the one in force would only take tokens from this router.
+        // below the one in force would only reduce what this router may spend.
         if let Some(in_force) = self.spending_limit.filter(|_| !self.pending_limits.is_empty()) {
             spending_limit.floor = spending_limit.floor.max(in_force.spending_limit.floor);
             spending_limit.rate = spending_limit.rate.max(in_force.spending_limit.rate);
--- a/src/allowance/account/grants.rs
+++ b/src/allowance/account/grants.rs
@@ -109,7 +109,8 @@
         let new_ceiling = (self.charged().0 + target_remaining.max(wanted))
             .min(max_ceiling)
             .max(self.charged().0);
-        // As in `next_limit`: an unanswered lower ceiling would only take tokens from this router.
+        // As in `next_limit`: an unanswered lower ceiling would only reduce what this router may
+        // spend.
         let new_ceiling =
             if self.pending_ceilings.is_empty() { new_ceiling } else { new_ceiling.max(current.0) };
         let has_limit = self.spending_limit.is_some();
@@ -136,8 +137,8 @@
     }
 
     /// Tokens that this router should have left: enough to bridge a store outage, but no more than
-    /// its fair share of the unspent tokens, by the routers' spending rates. So the last tokens of
-    /// a budget are where they are needed.
+    /// its fair share of the unspent tokens, by the routers' spending rates. This
+    /// leaves the last tokens of a budget where they are needed.
     fn target_remaining(&self, ledger: &Ledger, now: Instant, s: Sizing) -> u64 {
         let mean_rate = self.demand.sizing_rate(now) as u64;
         let headroom = self.headroom(now, s);
--- a/src/allowance/demand.rs
+++ b/src/allowance/demand.rs
@@ -1,4 +1,4 @@
-//! Spending rate and unmet demand of one organisation at one router. Pure.
+//! Spending rate and unmet demand of one organisation at one router. No clock, no I/O.
 
 use tokio::time::Instant;
 
--- a/src/allowance/headroom.rs
+++ b/src/allowance/headroom.rs
@@ -1,14 +1,15 @@
 //! How much more than the current spending a limit allows, depending on how long a budget still
-//! lasts. Pure.
+//! lasts. No clock, no I/O.
 
 /// Headroom of spending limits while a budget lasts long ([`AMPLE`]) and when it is nearly spent
-/// ([`SCARCE`]). Headroom avoids refusals during a store outage, but it is in doubt after a crash.
-/// While much is left, refusals weigh more; near the end, the organisation could still have used
-/// the tokens in doubt. An opened limit has a steep slope so that requests held up before can catch
-/// up; a crash so long after the last write is rare. The mean score (`worth`) of 15 days of load
-/// and faults at three deployments was 0.681, 0.696 and 0.589 with slopes 1.5 and 1.1, 1.2 s and 4
-/// requests, and is 0.709, 0.703 and 0.598 with these values. On their quiet days it was 0.814,
-/// 0.771 and 0.739, and is 0.844, 0.811 and 0.799.
+/// ([`SCARCE`]). Headroom avoids refusals during a store outage, but after a crash it is in doubt:
+/// it stays charged although it may not have been spent. While much is left, refusals weigh more;
+/// near the end, the organisation could still have used the tokens in doubt. An opened limit has a
+/// steep slope so that requests held up before can catch up; a crash so long after the last write
+/// is rare. The mean score (`worth`) of 15 days of load and faults at three deployments was 0.681,
+/// 0.696 and 0.589 with slopes 1.5 and 1.1, 1.2 s and 4 requests, and is 0.709, 0.703 and 0.598
+/// with these values. On their quiet days it was 0.814, 0.771 and 0.739, and is 0.844, 0.811 and
+/// 0.799.
 const AMPLE: Headroom = Headroom {
     slope_factor: 4.0,
     grant_factor: 3.0,
@@ -52,8 +53,8 @@
 impl Headroom {
     /// Headroom for a budget that outlasts `outages_left` of the longest store outages.
     pub(super) fn for_outages_left(outages_left: f64) -> Headroom {
-        let (least, most) = OUTAGES_LEFT_RANGE;
-        let ampleness = ((outages_left - least) / (most - least)).clamp(0.0, 1.0);
+        let (low, high) = OUTAGES_LEFT_RANGE;
+        let ampleness = ((outages_left - low) / (high - low)).clamp(0.0, 1.0);
         let between = |scarce: f64, ample: f64| scarce + (ample - scarce) * ampleness;
         Headroom {
             slope_factor: between(SCARCE.slope_factor, AMPLE.slope_factor),
--- a/src/allowance/lenders.rs
+++ b/src/allowance/lenders.rs
@@ -1,4 +1,4 @@
-//! Which routers lend tokens of which organisation to which other routers. Pure.
+//! Which routers lend tokens of which organisation to which other routers. No clock, no I/O.
 //!
 //! Each router that spends from an organisation's ledger also writes it. With every router a
 //! spender, 25 routers conflicted on every ledger. Therefore only a few routers of each zone draw
--- a/src/allowance/loans.rs
+++ b/src/allowance/loans.rs
@@ -1,5 +1,5 @@
 //! State of loans between routers, on the lender's and on the borrower's side, without sending or
-//! waiting. Pure.
+//! waiting.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/src/allowance/manager.rs
+++ b/src/allowance/manager.rs
@@ -543,14 +543,14 @@
     /// Whether no write that is in flight or due can cover a request of `max_cost` in time.
     fn cannot_be_covered_soon(&self, org: &str, max_cost: Tokens, now: Instant) -> bool {
         let spending_row_stalled = self.spending_row.borrow().is_stalled(now, STALLED_AFTER);
-        let is_hopeless = |s: &mut OrgState| match s.account.missing_cover(max_cost, now) {
+        let cannot_be_covered = |s: &mut OrgState| match s.account.missing_cover(max_cost, now) {
             Some(MissingCover::Grant) => {
                 s.is_stalled(now) || s.is_exhausted_for(max_cost, now) || spending_row_stalled
             }
             Some(MissingCover::SpendingLimit) => spending_row_stalled,
             None => false,
         };
-        self.with_org_state(org, is_hopeless).unwrap_or(true)
+        self.with_org_state(org, cannot_be_covered).unwrap_or(true)
     }
 
     /// Runs until [`BudgetManager::stop`].
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,4 +1,4 @@
-//! Chooses the target of a request, or refuses the request. Pure: no clock, no I/O.
+//! Chooses the target of a request, or refuses the request. No clock, no I/O.
 
 use std::time::Duration;
 
--- a/src/gateway/timing.rs
+++ b/src/gateway/timing.rs
@@ -1,4 +1,4 @@
-//! Estimates the time to first token of engines from the answers that a router receives. Pure: no
+//! Estimates the time to first token of engines from the answers that a router receives. No
 //! clock, no I/O.
 //!
 //! Engines differ by a factor of ten and more between deployments, so no property of an engine is a
--- a/tests/test_gateway.rs
+++ b/tests/test_gateway.rs
@@ -79,7 +79,8 @@
 
 #[test]
 fn forward_unknown_key_store_away() {
-    // The same during an outage of the store: 401 would be final for the caller, and wrong.
+    // As `forward_new_key`, but during an outage of the store: 401 would be final for the caller,
+    // and wrong.
     run_local(async {
         let fleet = Fleet::start(1, 1_000).await;
         fleet.router.platform.rows.set_fault(Fault::Reject(503));
--- a/tests/test_gateway_config.rs
+++ b/tests/test_gateway_config.rs
@@ -13,12 +13,13 @@
 /// Size of a configuration with some thousand routes, in bytes.
 const LARGE_CONFIG_BYTES: usize = 800_000;
 
-/// Longer than an earlier reading of the configuration counts as fresh.
+/// Longer than a confirmation of the configuration is valid.
 const CONFIRMATION_EXPIRY: Duration = Duration::from_millis(120);
 
-/// Each request with an unknown route or key made the router read the whole unchanged configuration
-/// again (827,824 bytes, 0.9 s at 10 Mbit/s). Refusals took 26 ms with 49 routes, 663 ms with 2,849
-/// and got no answer beyond that; a ready router took none of 7 new connections in 5.5 s.
+/// Guards against reading the whole unchanged configuration again (827,824 bytes, 0.9 s at 10
+/// Mbit/s) for each request with an unknown route or key. Refusals then took 26 ms with 49 routes,
+/// 663 ms with 2,849 and got no answer beyond that; a ready router took none of 7 new connections
+/// in 5.5 s.
 #[rstest]
 #[case::route("/nowhere/a", "key-norte", 404)]
 #[case::key("/safe/a", "key-of-nobody", 401)]
@@ -38,9 +39,10 @@
     });
 }
 
-/// While a new configuration of 1.1 MB occupied a link of 10 Mbit/s for 0.9 s, each request with an
-/// unknown route read it once more. No reading finished within the call timeout ( `event=store
-/// state=away cause=no_answer:timeout call=confirm ms=901`), and the link was full for 6.5 s.
+/// Guards against reading a new configuration again while it is arriving. While 1.1 MB occupied a
+/// link of 10 Mbit/s for 0.9 s, each request with an unknown route read it once more; no read
+/// finished within the call timeout (`event=store state=away cause=no_answer:timeout call=confirm
+/// ms=901`), and the link was full for 6.5 s.
 #[test]
 fn refusal_during_transfer() {
     run_local(async {
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -225,7 +225,7 @@
     });
 }
 
-/// Guards against callers that are told to retry while no target accepts requests.
+/// Guards against a `Retry-After` that ends before any target accepts requests again.
 #[test]
 fn refusal_has_retry_after_of_target() {
     run_local(async {
