--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -1,4 +1,4 @@
-//! Whole routers over in-memory fakes, in virtual time.
+//! Fleets of whole routers on top of the in-memory fakes, in virtual time.
 
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::batch::BatchSize;
+use super::batch::EngineSize;
 use super::fleet::{loopback, router_settings};
-use super::local::{LocalNode, Net, Process};
+use super::local::{LocalNetwork, LocalNode, ProcessState};
 use crate::api::DEFAULT_PRIORITY;
 use crate::api::chat::{admission, choose_budget};
 use crate::budget::sizing::Sizing;
@@ -29,42 +29,42 @@
 use crate::router::drive::{ModelJob, open_run};
 use crate::router::drive_call::{CallJob, open_call};
 
-/// What a fleet is made of.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
-pub struct Setup {
-    /// Zones; each gets a target and a router count.
+pub struct FleetSetup {
+    /// The zones. Each has the same number of routers and targets.
     pub zones: Vec<ZoneId>,
-    /// Routers in each zone.
+    /// Number of routers in each zone.
     pub routers: usize,
-    /// Targets in each zone.
+    /// Number of targets in each zone.
     pub targets: usize,
-    /// Places in a target's batch.
+    /// Maximum number of runs in a target's batch.
     pub slots: usize,
-    /// Time of one token.
-    pub pace: Duration,
-    /// Age of load reports.
+    /// Time to generate one token.
+    pub step_time: Duration,
+    /// Age of the targets' load reports.
     pub report_lag: Duration,
-    /// What targets serve.
+    /// Models and plain services of each target.
     pub serves: Vec<String>,
     /// Overrides the sizing of grants.
     pub sizing: Option<Sizing>,
-    /// Whether routers borrow.
+    /// Whether routers borrow tokens from each other.
     pub lending: bool,
-    /// How targets are chosen.
+    /// Policy for choosing targets.
     pub policy: Policy,
-    /// The configuration.
+    /// Text of the configuration.
     pub config: String,
 }
 
-impl Default for Setup {
-    fn default() -> Setup {
+impl Default for FleetSetup {
+    fn default() -> FleetSetup {
         let zones = ["a", "b", "c"].iter().map(|z| z.parse().expect("valid zones"));
-        Setup {
+        FleetSetup {
             zones: zones.collect(),
             routers: 2,
             targets: 2,
             slots: 64,
-            pace: Duration::from_millis(20),
+            step_time: Duration::from_millis(20),
             report_lag: Duration::from_millis(200),
             serves: vec!["m".into()],
             sizing: None,
@@ -75,43 +75,44 @@
     }
 }
 
-/// A router's place in the fleet.
-pub struct Place {
-    /// Its place in the net.
+/// A router of a fleet.
+pub struct FleetMember {
+    /// Index of the router in the network.
     pub at: usize,
-    /// Its state.
+    /// State of the router.
     pub node: Arc<LocalNode>,
-    /// Its zone.
+    /// Zone of the router.
     pub zone: ZoneId,
     tasks: JoinSet<()>,
 }
 
 /// Routers, targets and a platform.
 pub struct LocalFleet {
-    /// Everything between them.
-    pub net: Arc<Net>,
-    /// The routers, dead ones too.
-    pub places: Vec<Place>,
-    /// Time.
+    /// The network with the targets and the platform.
+    pub net: Arc<LocalNetwork>,
+    /// All routers, including dead ones.
+    pub members: Vec<FleetMember>,
+    /// Clock of all routers.
     pub clock: Clock,
-    setup: Setup,
+    setup: FleetSetup,
     operator: Arc<tokio::sync::Mutex<ConfigFollower>>,
-    operator_cfg: Arc<RwLock<Config>>,
+    operator_config: Arc<RwLock<Config>>,
 }
 
-/// Time for a caller's attempt at one router.
-const ATTEMPT: Duration = Duration::from_secs(120);
-/// Silence of a dead router after which a caller goes to the next.
-const CALLER_NOTICES: Duration = Duration::from_millis(200);
+/// Maximum time that a caller waits for an answer from one router.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(120);
+/// Interval at which a waiting caller checks whether its router has died, in which case it goes on
+/// to the next one. Also the pause between two passes over all routers.
+const ROUTER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 impl LocalFleet {
-    /// Starts a fleet and waits until it can serve.
+    /// Starts a fleet and waits until it can serve requests.
     ///
     /// # Errors
-    /// `BadConfig` for the configuration.
-    pub async fn start(setup: Setup) -> Result<LocalFleet> {
-        let net = Net::new(setup.pace, setup.report_lag);
-        let size = BatchSize { slots: setup.slots, cache_blocks: 2_048 };
+    /// `BadConfig` if the configuration is invalid.
+    pub async fn start(setup: FleetSetup) -> Result<LocalFleet> {
+        let net = LocalNetwork::new(setup.step_time, setup.report_lag);
+        let size = EngineSize { slots: setup.slots, cache_blocks: 2_048 };
         let serves: Vec<&str> = setup.serves.iter().map(String::as_str).collect();
         for zone in &setup.zones {
             for i in 0..setup.targets {
@@ -121,11 +122,11 @@
         net.start_engines();
         let mut fleet = LocalFleet {
             net,
-            places: Vec::new(),
+            members: Vec::new(),
             clock: Clock::start(),
             setup,
             operator: Arc::default(),
-            operator_cfg: Arc::default(),
+            operator_config: Arc::default(),
         };
         let text = fleet.setup.config.clone();
         let edits = Document::default().diff(&Document::parse(&text));
@@ -135,13 +136,14 @@
                 fleet.add_router(&zone).await;
             }
         }
-        fleet.settle().await;
+        fleet.wait_until_settled().await;
         Ok(fleet)
     }
 
-    /// Waits until every living router is ready, sees all others and has a witness.
-    pub async fn settle(&self) {
-        let up = || self.places.iter().filter(|p| self.net.process(p.at) == Process::Up);
+    /// Waits until every running router is ready and sees all others, and one more second, in which
+    /// each gets a witness.
+    pub async fn wait_until_settled(&self) {
+        let up = || self.members.iter().filter(|p| self.net.process(p.at) == ProcessState::Up);
         let n = up().count();
         while !up().all(|p| p.node.is_ready() && p.node.live().len() >= n) {
             sleep(Duration::from_millis(50)).await;
@@ -149,9 +151,9 @@
         sleep(Duration::from_millis(1_000)).await;
     }
 
-    /// Adds a router in a zone.
+    /// Adds a router in a zone. Returns its index in `members`.
     pub async fn add_router(&mut self, zone: &ZoneId) -> usize {
-        let n = self.places.len();
+        let n = self.members.len();
         let peer = format_compact!("peer-{n}");
         let (at, platform, engine, mesh) = self.net.add_router(&peer, zone);
         let mut settings = router_settings(loopback(), &format!("r{n}"), zone);
@@ -172,29 +174,29 @@
         .await;
         let BootedNode { node, peer_handler, tasks } = booted;
         self.net.set_answers(at, peer_handler);
-        self.places.push(Place { at, node, zone: zone.clone(), tasks });
+        self.members.push(FleetMember { at, node, zone: zone.clone(), tasks });
         n
     }
 
-    /// Kills a router: its handles never come back to it.
+    /// Kills a router. Calls through its handles never return.
     pub fn kill(&mut self, n: usize) {
-        self.net.set_process(self.places[n].at, Process::Dead);
-        self.places[n].tasks.abort_all();
+        self.net.set_process(self.members[n].at, ProcessState::Dead);
+        self.members[n].tasks.abort_all();
     }
 
-    /// Routers that are up.
+    /// Indexes of the running routers in `members`.
     pub fn up(&self) -> Vec<usize> {
-        (0..self.places.len())
-            .filter(|n| self.net.process(self.places[*n].at) == Process::Up)
+        (0..self.members.len())
+            .filter(|n| self.net.process(self.members[*n].at) == ProcessState::Up)
             .collect()
     }
 
-    /// The configuration as its operator knows it.
+    /// The operator's copy of the configuration.
     pub fn config(&self) -> Config {
-        self.operator_cfg.read().expect("never poisoned").clone()
+        self.operator_config.read().expect("never poisoned").clone()
     }
 
-    /// Hands in edits as an operator.
+    /// Submits edits as the operator.
     ///
     /// # Errors
     /// As [`submit`].
@@ -203,10 +205,10 @@
         let base = follower.head().revision;
         let id = CompactString::from(format!("operator-{}", base.0));
         let submission = Submission { id, base, edits, merge: false };
-        submit(&self.net.memory, &mut follower, &self.operator_cfg, &submission).await
+        submit(&self.net.memory, &mut follower, &self.operator_config, &submission).await
     }
 
-    /// Hands in the text of edited sections.
+    /// Submits the text of edited sections as the operator.
     ///
     /// # Errors
     /// As [`submit`].
@@ -214,15 +216,16 @@
         self.submit(parse_edits(text)).await
     }
 
-    /// A caller that does not depend on the fleet staying as it is.
+    /// A caller with its own list of the current routers, which stays usable when the fleet
+    /// changes.
     pub fn caller(&self) -> LocalCaller {
-        let routers = self.places.iter().map(|p| (p.at, p.node.clone())).collect();
-        LocalCaller { net: self.net.clone(), routers, only: None, spread: true }
+        let routers = self.members.iter().map(|p| (p.at, p.node.clone())).collect();
+        LocalCaller { net: self.net.clone(), routers, reachable_zone: None, random_start: true }
     }
 
-    /// Ends everything.
+    /// Kills all routers and closes the network.
     pub fn close(&mut self) {
-        (0..self.places.len()).for_each(|n| self.kill(n));
+        (0..self.members.len()).for_each(|n| self.kill(n));
         self.net.close();
     }
 }
@@ -230,57 +233,58 @@
 /// Sends requests to the routers of a fleet, as callers do.
 #[derive(Clone)]
 pub struct LocalCaller {
-    net: Arc<Net>,
+    net: Arc<LocalNetwork>,
     routers: Vec<(usize, Arc<LocalNode>)>,
-    /// The caller can reach only this zone's routers.
-    pub only: Option<ZoneId>,
-    /// The caller starts at any of the routers named to it.
-    pub spread: bool,
+    /// The only zone whose routers the caller can reach; all zones if absent.
+    pub reachable_zone: Option<ZoneId>,
+    /// Whether the caller starts at a random router of an entry answer instead of the first one.
+    pub random_start: bool,
 }
 
 /// A model request.
 #[derive(Clone, Debug)]
 pub struct LocalRequest {
-    /// Who asks.
+    /// Organisation that sends the request.
     pub organisation: OrganisationId,
-    /// Under which key.
+    /// Idempotency key of the request.
     pub key: RequestKey,
-    /// What.
+    /// Prompt.
     pub prompt: String,
-    /// Answer tokens at most.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u64,
 }
 
-/// A whole answer as a caller got it.
+/// A complete answer as a caller receives it.
 #[derive(Clone, Debug)]
 pub struct LocalAnswer {
-    /// What it cost.
+    /// Tokens used.
     pub usage: RunUsage,
-    /// Its text.
+    /// Text of the answer.
     pub text: String,
     /// Time to the first token.
     pub first: Duration,
-    /// Time of the whole.
+    /// Time to the end of the answer.
     pub total: Duration,
-    /// Routers asked.
+    /// Number of attempts, over all routers.
     pub attempts: usize,
 }
 
 impl LocalCaller {
-    /// Routers to try, best first, as an entry answer would give them; and all others after.
-    pub fn route(&self, organisation: &OrganisationId) -> Vec<usize> {
+    /// Indexes of the routers to try: first those of an entry answer for the organisation, then all
+    /// others.
+    pub fn routers_to_try(&self, organisation: &OrganisationId) -> Vec<usize> {
         let mut out = Vec::new();
         for (at, node) in &self.routers {
-            if self.net.process(*at) != Process::Up {
+            if self.net.process(*at) != ProcessState::Up {
                 continue;
             }
             let width = node.cfg.read().expect("never poisoned").fleet.entry_width as usize;
-            let named = routers_for_caller(&node.live(), organisation, width, None);
-            let place = |peer: &str| {
+            let entry_routers = routers_for_caller(&node.live(), organisation, width, None);
+            let position_of = |peer: &str| {
                 self.routers.iter().position(|(_, n)| n.lock_view().local_router().peer == peer)
             };
-            out = named.iter().filter_map(|e| place(&e.peer)).collect();
-            if self.spread && !out.is_empty() {
+            out = entry_routers.iter().filter_map(|e| position_of(&e.peer)).collect();
+            if self.random_start && !out.is_empty() {
                 let n = fastrand::usize(..out.len());
                 out.rotate_left(n);
             }
@@ -289,14 +293,14 @@
         let rest: Vec<usize> = (0..self.routers.len()).filter(|i| !out.contains(i)).collect();
         out.extend(rest);
         let zone = |i: &usize| self.routers[*i].1.settings.zone.clone();
-        out.retain(|i| self.only.as_ref().is_none_or(|z| *z == zone(i)));
+        out.retain(|i| self.reachable_zone.as_ref().is_none_or(|z| *z == zone(i)));
         out
     }
 
-    /// What a request may cost at most.
+    /// The job for a request, with its maximum cost, and the budget that pays for it.
     ///
     /// # Errors
-    /// `NotFound` for a service that is not there.
+    /// `NotFound` if the service or the organisation does not exist.
     pub fn job(
         &self,
         node: &LocalNode,
@@ -304,11 +308,11 @@
         req: &LocalRequest,
     ) -> Result<(ModelJob, crate::ids::BudgetId)> {
         let cfg = node.cfg.read().expect("never poisoned");
-        let none = || Error::new(Kind::NotFound, "no such service or organisation");
-        let service = cfg.service(&service.parse::<ServiceId>()?).ok_or_else(none)?;
-        let org = cfg.organisation(&req.organisation).ok_or_else(none)?;
+        let not_found = || Error::new(Kind::NotFound, "no such service or organisation");
+        let service = cfg.service(&service.parse::<ServiceId>()?).ok_or_else(not_found)?;
+        let org = cfg.organisation(&req.organisation).ok_or_else(not_found)?;
         let ServiceKind::Model { model, bytes_per_token, .. } = &service.kind else {
-            return Err(none());
+            return Err(not_found());
         };
         let prompt_tokens = (req.prompt.len() as u64).div_ceil(*bytes_per_token);
         let job = ModelJob {
@@ -326,7 +330,7 @@
     /// Sends a request to one router.
     ///
     /// # Errors
-    /// The refusal; `Io` when the router dies.
+    /// The router's refusal, or `Io` if the router dies.
     pub async fn send_to(
         &self,
         i: usize,
@@ -335,18 +339,18 @@
     ) -> Result<LocalAnswer> {
         let (at, node) = &self.routers[i];
         self.reachable(*at)?;
-        let began = Instant::now();
+        let started = Instant::now();
         let (job, budget) = self.job(node, service, req)?;
         let content = Digest::of(req.prompt.as_bytes());
         let new = Run::new(req.organisation.clone(), req.key.clone(), content, budget);
         let run = open_run(node, new, job)?;
         let mut first = None;
         let end = self.wait(*at, &run, || {
-            first.get_or_insert_with(|| began.elapsed());
+            first.get_or_insert_with(|| started.elapsed());
         });
         match end.await? {
             RunEnd::Complete(usage, _) => {
-                let total = began.elapsed();
+                let total = started.elapsed();
                 if let Some((id, target)) = run.execution() {
                     log::info!(
                         "caller=answered key={} run={id} target={target} tokens={}",
@@ -364,14 +368,14 @@
 
     fn reachable(&self, at: usize) -> Result<()> {
         match self.net.process(at) {
-            Process::Up => Ok(()),
-            _ => Err(Error::new(Kind::Io, "the router does not answer")),
+            ProcessState::Up => Ok(()),
+            _ => Err(Error::new(Kind::Io, "the router is not running")),
         }
     }
 
     async fn wait(&self, at: usize, run: &Run, mut progress: impl FnMut()) -> Result<RunEnd> {
         let mut rx = run.follow();
-        let until = Instant::now() + ATTEMPT;
+        let until = Instant::now() + ATTEMPT_TIMEOUT;
         while Instant::now() < until {
             rx.borrow_and_update();
             if !run.is_empty() {
@@ -381,27 +385,28 @@
                 return Ok(end);
             }
             self.reachable(at)?;
-            // A change, or a look whether the router still lives.
-            let _ = timeout(CALLER_NOTICES, rx.changed()).await;
+            // Wakes up on a change of the run, or after the timeout to check the router.
+            let _ = timeout(ROUTER_CHECK_INTERVAL, rx.changed()).await;
         }
-        Err(Error::new(Kind::Timeout, "no end in time"))
+        Err(Error::new(Kind::Timeout, "the request did not end in time"))
     }
 
-    /// Sends a request to the routers in turn, under the same key, until one answers for good.
+    /// Sends a request with the same key to one router after the other, until one answers or
+    /// refuses in a way that must not be retried.
     ///
     /// # Errors
-    /// The last refusal.
+    /// The last error.
     pub async fn send(
         &self,
         service: &str,
         req: &LocalRequest,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<LocalAnswer> {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut last = Error::new(Kind::Io, "no router is up");
         let mut attempts = 0;
-        while began.elapsed() < patience {
-            for i in self.route(&req.organisation) {
+        while started.elapsed() < max_wait {
+            for i in self.routers_to_try(&req.organisation) {
                 attempts += 1;
                 match self.send_to(i, service, req).await {
                     Ok(a) => return Ok(LocalAnswer { attempts, ..a }),
@@ -409,11 +414,11 @@
                     Err(e) if e.kind != Kind::Io && !e.kind.answer().retryable => return Err(e),
                     Err(e) => last = e,
                 }
-                if attempts >= MAX_TRIES {
+                if attempts >= MAX_ATTEMPTS {
                     return Err(last);
                 }
             }
-            sleep(CALLER_NOTICES).await;
+            sleep(ROUTER_CHECK_INTERVAL).await;
         }
         Err(last)
     }
@@ -421,7 +426,7 @@
     /// Calls a plain service at one router.
     ///
     /// # Errors
-    /// The refusal; `Io` when the router dies.
+    /// The router's refusal, or `Io` if the router dies.
     pub async fn call_at(
         &self,
         i: usize,
@@ -434,10 +439,10 @@
         self.reachable(*at)?;
         let (job, budget) = {
             let cfg = node.cfg.read().expect("never poisoned");
-            let none = || Error::new(Kind::NotFound, "no such service or organisation");
-            let service = cfg.service(&service.parse::<ServiceId>()?).ok_or_else(none)?;
-            let org = cfg.organisation(organisation).ok_or_else(none)?;
-            let ServiceKind::Plain { cost, .. } = &service.kind else { return Err(none()) };
+            let not_found = || Error::new(Kind::NotFound, "no such service or organisation");
+            let service = cfg.service(&service.parse::<ServiceId>()?).ok_or_else(not_found)?;
+            let org = cfg.organisation(organisation).ok_or_else(not_found)?;
+            let ServiceKind::Plain { cost, .. } = &service.kind else { return Err(not_found()) };
             let job = CallJob {
                 admission: admission(org, service, DEFAULT_PRIORITY),
                 path: "file".into(),
@@ -460,5 +465,5 @@
     }
 }
 
-/// Routers that one caller tries for one request.
-const MAX_TRIES: usize = 6;
+/// Maximum number of attempts of a caller for one request.
+const MAX_ATTEMPTS: usize = 6;
