--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -45,7 +45,7 @@
 /// Body of a request, or the reason why it could not be read.
 pub type BodyResult = std::result::Result<Bytes, BytesRejection>;
 
-/// Builds the router for all paths.
+/// Builds the HTTP service with the routes of all paths.
 pub fn api_app<P: Platform, E: Engine, M: PeerClient>(node: Arc<Node<P, E, M>>) -> axum::Router {
     let operator = axum::Router::new()
         .route("/operator/status", get(operator::status::<P, E, M>))
--- a/src/budget/holder.rs
+++ b/src/budget/holder.rs
@@ -27,7 +27,7 @@
 
 /// Identifies a hold within one incarnation of a router.
 ///
-/// A hold reserves the largest possible cost of a request until the request is billed or canceled.
+/// A hold reserves the largest possible cost of a request until the request is billed or cancelled.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(transparent)]
@@ -179,19 +179,19 @@
     /// Returns the usage of a budget; all zero if the budget has no state here.
     pub fn usage(&self, id: &BudgetId) -> Usage {
         let Ok(index) = self.find(id) else { return Usage::default() };
-        let p = &self.budgets[index];
+        let state = &self.budgets[index];
         Usage {
-            granted: p.grant.row.granted,
-            held: p.held,
-            unrecorded: p.unrecorded,
-            settled: p.grant.row.settled,
-            free: p.free(),
-            left: p.grantable().minus(p.budget.row.committed),
+            granted: state.grant.row.granted,
+            held: state.held,
+            unrecorded: state.unrecorded,
+            settled: state.grant.row.settled,
+            free: state.free(),
+            left: state.grantable().minus(state.budget.row.committed),
         }
     }
 
     fn find(&self, id: &BudgetId) -> Result<usize, usize> {
-        self.budgets.binary_search_by(|p| p.id.cmp(id))
+        self.budgets.binary_search_by(|state| state.id.cmp(id))
     }
 
     fn budget_state(&mut self, id: &BudgetId, now: Millis) -> &mut BudgetState {
@@ -229,17 +229,17 @@
             return (Admission::Refused(Kind::PlatformAway), Vec::new());
         }
         let ticket = self.next_id();
-        let p = self.budget_state(id, now);
-        p.limit = limit;
-        p.last_used = now;
-        p.rate.count(now, amount);
-        let admit = if p.waiting.is_empty() && p.can_hold(amount, protection) {
-            p.reserve_tokens(amount, protection);
+        let state = self.budget_state(id, now);
+        state.limit = limit;
+        state.last_used = now;
+        state.rate.count(now, amount);
+        let admit = if state.waiting.is_empty() && state.can_hold(amount, protection) {
+            state.reserve_tokens(amount, protection);
             Admission::Held(ticket)
         } else if !wait_for_grant || amount > limit.prepaid {
             Admission::Refused(Kind::BudgetExhausted)
         } else {
-            p.waiting.push_back(Waiting { ticket, amount, protection });
+            state.waiting.push_back(Waiting { ticket, amount, protection });
             Admission::Wait(ticket)
         };
         if admit == Admission::Held(ticket) {
@@ -251,8 +251,8 @@
 
     /// Cancels a waiting request, or releases a hold whose request did not run.
     pub fn cancel(&mut self, ticket: HoldId) {
-        for p in &mut self.budgets {
-            p.waiting.retain(|w| w.ticket != ticket);
+        for state in &mut self.budgets {
+            state.waiting.retain(|w| w.ticket != ticket);
         }
         self.drop_hold(ticket);
     }
@@ -261,10 +261,10 @@
         let index = self.holds.binary_search_by(|h| h.id.cmp(&id)).ok()?;
         let hold = self.holds.remove(index);
         if let Ok(index) = self.find(&hold.budget) {
-            let p = &mut self.budgets[index];
-            p.held = p.held.minus(hold.amount);
+            let state = &mut self.budgets[index];
+            state.held = state.held.minus(hold.amount);
             if hold.protection == Protection::Solo {
-                p.solo_used = p.solo_used.minus(hold.amount);
+                state.solo_used = state.solo_used.minus(hold.amount);
             }
         }
         Some(hold)
@@ -276,11 +276,11 @@
         let Ok(index) = self.holds.binary_search_by(|h| h.id.cmp(&id)) else { return false };
         let (budget, amount) = (self.holds[index].budget.clone(), self.holds[index].amount);
         let Ok(at) = self.find(&budget) else { return false };
-        let p = &mut self.budgets[at];
-        if amount > p.grant.row.solo.minus(p.solo_used) {
+        let state = &mut self.budgets[at];
+        if amount > state.grant.row.solo.minus(state.solo_used) {
             return false;
         }
-        p.solo_used = p.solo_used.plus(amount);
+        state.solo_used = state.solo_used.plus(amount);
         self.holds[index].protection = Protection::Solo;
         true
     }
@@ -295,8 +295,8 @@
         hold.protection = Protection::Witness;
         let (budget, amount) = (hold.budget.clone(), hold.amount);
         if let Ok(index) = self.find(&budget) {
-            let p = &mut self.budgets[index];
-            p.solo_used = p.solo_used.minus(amount);
+            let state = &mut self.budgets[index];
+            state.solo_used = state.solo_used.minus(amount);
         }
     }
 
@@ -304,18 +304,18 @@
     ///
     /// The cost is capped at the held amount, so that a target that reports too many tokens cannot
     /// overspend the budget. Returns the excess over that cap. A hold that was already settled or
-    /// canceled is ignored.
+    /// cancelled is ignored.
     pub fn settle(&mut self, now: Millis, id: HoldId, mut bill: Bill) -> (Tokens, Vec<Effect>) {
         let Some(hold) = self.drop_hold(id) else { return (Tokens::ZERO, Vec::new()) };
         let excess = bill.cost.minus(hold.amount);
         bill.cost = Tokens(bill.cost.0.min(hold.amount.0));
-        let p = self.budget_state(&hold.budget, now);
-        p.unrecorded = p.unrecorded.plus(bill.cost);
+        let state = self.budget_state(&hold.budget, now);
+        state.unrecorded = state.unrecorded.plus(bill.cost);
         if hold.protection == Protection::Solo {
-            p.solo_used = p.solo_used.plus(bill.cost);
+            state.solo_used = state.solo_used.plus(bill.cost);
         }
-        p.pending.push_back(PendingBill { hold: id, protection: hold.protection, bill });
-        p.last_used = now;
+        state.pending.push_back(PendingBill { hold: id, protection: hold.protection, bill });
+        state.last_used = now;
         self.pending += 1;
         let effects = self.advance(now, &hold.budget);
         (excess, effects)
@@ -324,17 +324,19 @@
     /// Handles the rows of a budget read for [`Effect::Load`].
     pub fn loaded(&mut self, now: Millis, id: &BudgetId, rows: LoadedRows) -> Vec<Effect> {
         let Ok(index) = self.find(id) else { return Vec::new() };
-        let p = &mut self.budgets[index];
-        p.budget = rows.budget;
-        p.grant = rows.grant;
-        p.rows_known = true;
-        p.in_flight = None;
+        let state = &mut self.budgets[index];
+        state.budget = rows.budget;
+        state.grant = rows.grant;
+        state.rows_known = true;
+        state.in_flight = None;
         let mut effects = Vec::new();
-        let (gone, stay): (VecDeque<_>, VecDeque<_>) =
-            p.pending.drain(..).partition(|b| rows.billed.iter().any(|x| same_bill(x, &b.bill)));
-        p.pending = stay;
+        let (gone, stay): (VecDeque<_>, VecDeque<_>) = state
+            .pending
+            .drain(..)
+            .partition(|b| rows.billed.iter().any(|x| same_bill(x, &b.bill)));
+        state.pending = stay;
         for b in &gone {
-            clear_unrecorded(p, b);
+            clear_unrecorded(state, b);
         }
         self.pending -= gone.len();
         if !gone.is_empty() {
@@ -348,26 +350,26 @@
     /// `None` if a guard failed.
     pub fn changed(&mut self, now: Millis, id: &BudgetId, version: Option<Version>) -> Vec<Effect> {
         let Ok(index) = self.find(id) else { return Vec::new() };
-        let p = &mut self.budgets[index];
-        let Some(change) = p.in_flight.take() else { return Vec::new() };
+        let state = &mut self.budgets[index];
+        let Some(change) = state.in_flight.take() else { return Vec::new() };
         let Some(version) = version else {
-            p.rows_known = false;
-            p.retry = true;
-            p.in_flight = Some(GrantChange::default());
+            state.rows_known = false;
+            state.retry = true;
+            state.in_flight = Some(GrantChange::default());
             return vec![Effect::Load(id.clone())];
         };
-        p.retry = false;
-        let (budget, grant) = change.after(p.budget.row, p.grant.row);
+        state.retry = false;
+        let (budget, grant) = change.after(state.budget.row, state.grant.row);
         if change.changes_budget_row() {
-            p.budget = Versioned { version: Some(version), row: budget };
+            state.budget = Versioned { version: Some(version), row: budget };
         }
-        p.grant = Versioned { version: Some(version), row: grant };
+        state.grant = Versioned { version: Some(version), row: grant };
         if change.close {
-            p.grant = Versioned::default();
+            state.grant = Versioned::default();
         }
-        let done: Vec<PendingBill> = p.pending.drain(..change.bills.len()).collect();
+        let done: Vec<PendingBill> = state.pending.drain(..change.bills.len()).collect();
         for b in &done {
-            clear_unrecorded(p, b);
+            clear_unrecorded(state, b);
         }
         self.pending -= done.len();
         let mut effects = Vec::new();
@@ -381,14 +383,16 @@
     /// Releases idle grants, flushes bills when the flush interval is over, and drops the state of
     /// unused budgets.
     pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
-        let ids: Vec<BudgetId> = self.budgets.iter().map(|p| p.id.clone()).collect();
+        let ids: Vec<BudgetId> = self.budgets.iter().map(|state| state.id.clone()).collect();
         self.flushing = now >= self.next_flush;
         if self.flushing {
             self.next_flush = Millis(now.0 + self.flush_interval().0);
         }
         let effects = ids.iter().flat_map(|id| self.advance(now, id)).collect();
         self.flushing = false;
-        self.budgets.retain(|p| !(p.is_empty() && p.grant.version.is_none() && p.rows_known));
+        self.budgets.retain(|state| {
+            !(state.is_empty() && state.grant.version.is_none() && state.rows_known)
+        });
         effects
     }
 
@@ -406,7 +410,7 @@
 
     /// Releases the free tokens of all budgets.
     pub fn release_all(&mut self, now: Millis) -> Vec<Effect> {
-        self.budgets.iter_mut().for_each(|p| p.last_used = Millis(0));
+        self.budgets.iter_mut().for_each(|state| state.last_used = Millis(0));
         self.next_flush = now;
         self.tick(now)
     }
@@ -415,20 +419,20 @@
     fn advance(&mut self, now: Millis, id: &BudgetId) -> Vec<Effect> {
         let Ok(index) = self.find(id) else { return Vec::new() };
         let mut effects = self.admit_waiting(index);
-        let p = &mut self.budgets[index];
-        if p.in_flight.is_some() {
+        let state = &mut self.budgets[index];
+        if state.in_flight.is_some() {
             return effects;
         }
-        if !p.rows_known {
-            p.in_flight = Some(GrantChange::default());
+        if !state.rows_known {
+            state.in_flight = Some(GrantChange::default());
             effects.push(Effect::Load(id.clone()));
             return effects;
         }
         let change = self.next_change(now, index);
         if let Some(change) = change {
-            let p = &mut self.budgets[index];
-            p.in_flight = Some(change.clone());
-            effects.push(Effect::Write(id.clone(), change, p.budget, p.grant));
+            let state = &mut self.budgets[index];
+            state.in_flight = Some(change.clone());
+            effects.push(Effect::Write(id.clone(), change, state.budget, state.grant));
         } else {
             effects.extend(self.refuse_waiting(index));
         }
@@ -440,10 +444,10 @@
         while let Some(w) = self.budgets[index].waiting.front().copied()
             && self.budgets[index].can_hold(w.amount, w.protection)
         {
-            let p = &mut self.budgets[index];
-            p.waiting.pop_front();
-            p.reserve_tokens(w.amount, w.protection);
-            let id = p.id.clone();
+            let state = &mut self.budgets[index];
+            state.waiting.pop_front();
+            state.reserve_tokens(w.amount, w.protection);
+            let id = state.id.clone();
             self.add_hold(w.ticket, id, w.amount, w.protection);
             out.push(Effect::Notify(WaitResult { ticket: w.ticket, refused: None }));
         }
@@ -472,10 +476,10 @@
     /// A grant is extended at once only for a waiting request. Prefetches, releases and bills wait
     /// for the next flush, so that one transaction carries the changes of all budgets.
     fn next_change(&mut self, now: Millis, index: usize) -> Option<GrantChange> {
-        let p = &mut self.budgets[index];
-        let waiting = p.waiting.iter().fold(Tokens::ZERO, |sum, w| sum.plus(w.amount));
-        let missing_tokens = waiting.minus(p.free());
-        let record = self.flushing || p.retry;
+        let state = &mut self.budgets[index];
+        let waiting = state.waiting.iter().fold(Tokens::ZERO, |sum, w| sum.plus(w.amount));
+        let missing_tokens = waiting.minus(state.free());
+        let record = self.flushing || state.retry;
         let mut change = GrantChange::default();
         if missing_tokens > Tokens::ZERO {
             change.extend = self.extension(now, index, missing_tokens);
@@ -490,9 +494,9 @@
             change.close = idle && self.can_close(index);
         }
         change.solo = change.extend.scaled(u64::from(self.solo_per_mille), 1_000);
-        let p = &self.budgets[index];
-        if record || change.changes_budget_row() || p.pending.len() >= MAX_BILLS_PER_CHANGE {
-            let bills = p.pending.iter().take(MAX_BILLS_PER_CHANGE);
+        let state = &self.budgets[index];
+        if record || change.changes_budget_row() || state.pending.len() >= MAX_BILLS_PER_CHANGE {
+            let bills = state.pending.iter().take(MAX_BILLS_PER_CHANGE);
             change.bills = bills.map(|b| b.bill.clone()).collect();
         }
         let useful = !change.bills.is_empty() || change.changes_budget_row();
@@ -506,14 +510,14 @@
     /// Returns whether the free tokens would last less than half of the horizon.
     fn is_low(&mut self, now: Millis, index: usize) -> bool {
         let Sizing::ByRate { horizon } = self.sizing else { return false };
-        let p = &mut self.budgets[index];
-        p.free() < p.rate.expected_over(now, Millis(horizon.0 / 2))
+        let state = &mut self.budgets[index];
+        state.free() < state.rate.expected_over(now, Millis(horizon.0 / 2))
     }
 
     fn can_close(&self, index: usize) -> bool {
-        let p = &self.budgets[index];
-        let all_bills = p.pending.len() <= MAX_BILLS_PER_CHANGE;
-        p.held == Tokens::ZERO && all_bills && p.grant.version.is_some()
+        let state = &self.budgets[index];
+        let all_bills = state.pending.len() <= MAX_BILLS_PER_CHANGE;
+        state.held == Tokens::ZERO && all_bills && state.grant.version.is_some()
     }
 
     fn extension(&mut self, now: Millis, index: usize, missing_tokens: Tokens) -> Tokens {
@@ -522,17 +526,17 @@
             _ => Millis(0),
         };
         let min_prefetch = Millis(self.flush_interval().0.saturating_mul(2));
-        let p = &mut self.budgets[index];
-        if matches!(self.sizing, Sizing::EqualSplit(_)) && p.grant.version.is_some() {
+        let state = &mut self.budgets[index];
+        if matches!(self.sizing, Sizing::EqualSplit(_)) && state.grant.version.is_some() {
             return Tokens::ZERO;
         }
         let inputs = SizingInputs {
             shortfall: missing_tokens,
-            upcoming: p.rate.expected_over(now, horizon),
-            min_prefetch: p.rate.expected_over(now, min_prefetch),
-            free: p.free(),
-            prepaid: p.grantable(),
-            committed: p.budget.row.committed,
+            upcoming: state.rate.expected_over(now, horizon),
+            min_prefetch: state.rate.expected_over(now, min_prefetch),
+            free: state.free(),
+            prepaid: state.grantable(),
+            committed: state.budget.row.committed,
             holders: self.holders,
         };
         self.sizing.extension(inputs)
@@ -547,9 +551,9 @@
     (&a.organisation, &a.key, &a.content) == (&b.organisation, &b.key, &b.content)
 }
 
-fn clear_unrecorded(p: &mut BudgetState, b: &PendingBill) {
-    p.unrecorded = p.unrecorded.minus(b.bill.cost);
+fn clear_unrecorded(state: &mut BudgetState, b: &PendingBill) {
+    state.unrecorded = state.unrecorded.minus(b.bill.cost);
     if b.protection == Protection::Solo {
-        p.solo_used = p.solo_used.minus(b.bill.cost);
+        state.solo_used = state.solo_used.minus(b.bill.cost);
     }
 }
--- a/src/budget/reclaim.rs
+++ b/src/budget/reclaim.rs
@@ -135,7 +135,7 @@
     }
 
     fn lock_witness(&self) -> std::sync::MutexGuard<'_, Witness> {
-        self.witness.lock().expect(" the witness lock is never poisoned")
+        self.witness.lock().expect("the witness lock is never poisoned")
     }
 
     fn is_assigned(&self, row: &HolderRow) -> bool {
@@ -245,7 +245,7 @@
 
     /// Determines the outcome of a run whose router crashed.
     ///
-    /// Returns `Some (Some(bill))` for a run to be billed,`Some(None)` if there is nothing to bill,
+    /// Returns `Some(Some(bill))` for a run to be billed, `Some(None)` if there is nothing to bill,
     /// and `None` if the outcome could not be determined. In the last case the hold stays counted
     /// as spent.
     pub async fn outcome(&self, copy: &HoldCopy) -> Option<Option<Bill>> {
@@ -322,9 +322,9 @@
 
     /// Reads the stream of a run to its end.
     async fn follow_to_end(&self, addr: &str, run: &RunId) -> Result<RunStatus> {
-        let mut parts = self.engine.resume(addr, run, 0).await?;
-        while let Some(part) = parts.next().await? {
-            if let (true, Piece::End(usage)) = (part.run == *run, part.piece) {
+        let mut pieces = self.engine.resume(addr, run, 0).await?;
+        while let Some(run_piece) = pieces.next().await? {
+            if let (true, Piece::End(usage)) = (run_piece.run == *run, run_piece.piece) {
                 return Ok(RunStatus::Ended(usage));
             }
         }
--- a/src/membership/selection.rs
+++ b/src/membership/selection.rs
@@ -5,7 +5,7 @@
 
 /// Rendezvous hashing score of a router for an organisation. Every router computes the same score,
 /// and it does not change when other routers join or leave.
-fn rank(organisation: &OrganisationId, e: &RouterInfo) -> u64 {
+fn score(organisation: &OrganisationId, e: &RouterInfo) -> u64 {
     Digest::of(format!("{organisation}\n{}", e.incarnation).as_bytes()).word()
 }
 
@@ -18,8 +18,8 @@
     width: usize,
 ) -> Vec<RouterInfo> {
     let mut ranked: Vec<(u64, &RouterInfo)> =
-        live.iter().filter(|e| !e.leaving).map(|e| (rank(organisation, e), e)).collect();
-    ranked.sort_by_key(|(rank, _)| std::cmp::Reverse(*rank));
+        live.iter().filter(|e| !e.leaving).map(|e| (score(organisation, e), e)).collect();
+    ranked.sort_by_key(|(score, _)| std::cmp::Reverse(*score));
     let mut out: Vec<RouterInfo> = Vec::new();
     let mut max_per_zone = 0;
     while out.len() < width.min(ranked.len()) {
@@ -57,11 +57,11 @@
 /// Selects the witness of a router: the live router in another zone with the highest score, or, if
 /// there is none, the one with the highest score in the same zone.
 pub fn select_witness<'a>(live: &'a [RouterInfo], router: &RouterInfo) -> Option<&'a RouterInfo> {
-    let hash_weight = |e: &RouterInfo| {
+    let score = |e: &RouterInfo| {
         Digest::of(format!("{}\n{}", router.incarnation, e.incarnation).as_bytes()).word()
     };
     let others = live.iter().filter(|e| e.incarnation != router.incarnation && !e.leaving);
-    others.max_by_key(|e| (e.zone != router.zone, hash_weight(e)))
+    others.max_by_key(|e| (e.zone != router.zone, score(e)))
 }
 
 /// Selects the backup of a router: the live router in its own zone with the highest score that is
@@ -72,11 +72,11 @@
     router: &RouterInfo,
     witness: &RouterInfo,
 ) -> Option<&'a RouterInfo> {
-    let hash_weight = |e: &RouterInfo| {
+    let score = |e: &RouterInfo| {
         Digest::of(format!("{}\n{}", e.incarnation, router.incarnation).as_bytes()).word()
     };
     let is_eligible = |e: &&RouterInfo| {
         ![&router.incarnation, &witness.incarnation].contains(&&e.incarnation) && !e.leaving
     };
-    live.iter().filter(is_eligible).max_by_key(|e| (e.zone == router.zone, hash_weight(e)))
+    live.iter().filter(is_eligible).max_by_key(|e| (e.zone == router.zone, score(e)))
 }
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -40,7 +40,7 @@
     last_heartbeat: Millis,
 }
 
-/// All routers that one router knows, with the time of each one's last heartbeat.
+/// The routers known to the local router, each with the time of its last heartbeat.
 #[derive(Debug)]
 pub struct View {
     local_router: RouterInfo,
@@ -79,7 +79,7 @@
         self.peer_members.binary_search_by(|m| m.entry.incarnation.cmp(id))
     }
 
-    /// Merges entries from a gossip message or from the table's holder rows.
+    /// Merges entries from a gossip message.
     ///
     /// Only a larger heartbeat counter refreshes a member, so a message that is late or repeated
     /// cannot make a dead router look alive. `leaving` stays set once it was seen.
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Sets the routers that the table's rows name. Those without a recent heartbeat are contacted
-    /// in turn, and count as alive once they reply.
+    /// Sets the routers listed in the table's holder rows. Those without a recent heartbeat are
+    /// contacted in turn, and count as alive once they reply.
     pub fn set_candidates(&mut self, candidates: Vec<RouterInfo>) {
         self.candidates = candidates;
     }
@@ -115,8 +115,8 @@
         next
     }
 
-    /// Marks a router as gone for good, because it announced its stop or the table says so. No
-    /// later heartbeat can bring it back.
+    /// Marks a router as gone for good, because its holder row is no longer live. Its counter is
+    /// set to the maximum, so that no later heartbeat can make it look alive again.
     pub fn mark_departed(&mut self, id: &Incarnation) {
         if let Ok(index) = self.find(id) {
             self.peer_members[index].last_heartbeat = Millis(0);
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -1,8 +1,7 @@
 //! Requests and replies between routers.
 //!
-//! Unknown fields are ignored and new fields have defaults, so that routers of neighbouring
-//! versions understand each other. A message of an unknown kind closes the link and is counted as
-//! malformed.
+//! Unknown fields are ignored and new fields have defaults, so that routers of adjacent versions
+//! stay compatible. A message of an unknown kind closes the link and is counted as malformed.
 
 use std::future::Future;
 
@@ -39,7 +38,7 @@
     Forget {
         /// The incarnation whose holds these are.
         holder: Incarnation,
-        /// Numbers of the holds at the holder.
+        /// Ids of the holds at the holder.
         holds: Vec<HoldId>,
     },
     /// Reject all later copies of a holder that is presumed dead, and return the copies stored so
@@ -72,17 +71,16 @@
     Move {
         /// The incarnation that lent the tokens.
         lender: Incarnation,
-        /// Number of the hold at the lender.
+        /// Id of the hold at the lender.
         hold: HoldId,
         /// The target that executes the run from now on.
         target: TargetId,
     },
     /// The run of a borrowed hold ended with this bill, or never started (`None`).
     Repay {
-        /// The incarnation that lent the tokens. Hold numbers are unique only within an
-        /// incarnation.
+        /// The incarnation that lent the tokens. Hold ids are unique only within an incarnation.
         lender: Incarnation,
-        /// Number of the hold at the lender.
+        /// Id of the hold at the lender.
         hold: HoldId,
         /// The bill of the run.
         bill: Option<Bill>,
@@ -95,7 +93,7 @@
     TargetLeaves(TargetId),
 }
 
-/// What a router knows of a request that was sent to it or copied to it.
+/// What is known of a request at a router that handles it or stores a copy of its hold.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct KnownRequest {
@@ -108,7 +106,7 @@
 }
 
 impl KnownRequest {
-    /// What a stored copy of a hold says about its request.
+    /// Builds the entry of a request from the stored copy of its hold.
     pub fn from_copy(copy: &HoldCopy) -> KnownRequest {
         let run = Some((copy.bill.run.clone(), copy.target.clone()));
         KnownRequest { content: copy.bill.content, run, service: None }
@@ -130,7 +128,7 @@
     Copies(Vec<HoldCopy>),
     /// Number of free tokens.
     Free(Tokens),
-    /// The tokens are reserved under this hold number.
+    /// The tokens are reserved under this hold id.
     Held(HoldId),
     /// Configuration revisions in ascending order.
     Revisions(Vec<RevisionRow>),
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! Assembles an answer from its parts and checks each of them.
+//! Assembles an answer from the pieces of a stream and checks each of them.
 
 use compact_str::CompactString;
 
@@ -6,12 +6,12 @@
 use crate::error::{Error, Kind, Result};
 use crate::ids::{Digest, RunId};
 
-/// Effect of a part on the answer.
+/// Effect of a piece on the answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PieceResult {
-    /// The part was the next token and was appended.
+    /// The piece was the next token and was appended.
     Appended,
-    /// The part belongs to another run or repeats an earlier token, and was dropped.
+    /// The piece belongs to another run or repeats an earlier token, and was dropped.
     Dropped,
     /// The answer is complete.
     Complete(RunUsage),
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct AnswerAssembler {
     tokens: Vec<CompactString>,
-    /// Number of dropped parts: duplicates, late ones, and those of other runs.
+    /// Number of dropped pieces: duplicates, late ones, and those of other runs.
     pub dropped: u64,
 }
 
@@ -31,19 +31,19 @@
         &self.tokens
     }
 
-    /// Adds a part of `run`.
+    /// Adds a piece of `run`.
     ///
     /// # Errors
     ///
     /// Returns `TargetFailed` if a token is missing, or if the token count at the end does not
     /// match. The stream cannot be trusted then and has to be fetched again.
-    pub fn append_part(&mut self, run: &RunId, part: RunPiece) -> Result<PieceResult> {
-        if part.run != *run {
+    pub fn append_piece(&mut self, run: &RunId, run_piece: RunPiece) -> Result<PieceResult> {
+        if run_piece.run != *run {
             self.dropped += 1;
             return Ok(PieceResult::Dropped);
         }
         let have = self.tokens.len() as u64;
-        match part.piece {
+        match run_piece.piece {
             Piece::Token { offset, .. } if offset < have => {
                 self.dropped += 1;
                 Ok(PieceResult::Dropped)
--- a/src/request/runs.rs
+++ b/src/request/runs.rs
@@ -35,7 +35,8 @@
     run: Option<RunId>,
 }
 
-/// One request, shared between the task that drives it and any number of callers.
+/// One request, shared between the task that drives it and any number of callers. Not to be confused
+/// with its run at a target, which is identified by a [`RunId`].
 #[derive(Debug)]
 pub struct Run {
     /// Organisation that sent the request.
@@ -127,14 +128,14 @@
         p.target = Some(target.clone());
     }
 
-    /// Adds a part of `run` to the answer. The end of the answer becomes visible to callers only
+    /// Adds a piece of `run` to the answer. The end of the answer becomes visible to callers only
     /// with [`Run::end`], after the bill is safe.
     ///
     /// # Errors
     ///
-    /// Same as [`AnswerAssembler::append_part`].
-    pub fn append_part(&self, run: &RunId, part: RunPiece) -> Result<PieceResult> {
-        let result = self.lock().answer.append_part(run, part)?;
+    /// Same as [`AnswerAssembler::append_piece`].
+    pub fn append_piece(&self, run: &RunId, run_piece: RunPiece) -> Result<PieceResult> {
+        let result = self.lock().answer.append_piece(run, run_piece)?;
         if result == PieceResult::Appended {
             self.notify_followers();
         }
@@ -146,7 +147,7 @@
         self.lock().answer.digest()
     }
 
-    /// Returns the number of dropped parts.
+    /// Returns the number of dropped pieces.
     pub fn dropped(&self) -> u64 {
         self.lock().answer.dropped
     }
--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -1,4 +1,4 @@
-//! Assembles a node over any platform, engine and mesh, and starts its tasks.
+//! Assembles a node over any platform, engine and peer client, and starts its tasks.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, RwLock};
@@ -40,8 +40,8 @@
     pub platform: P,
     /// Client for the targets.
     pub engine: E,
-    /// Links to the other routers.
-    pub mesh: M,
+    /// Client for requests to other routers.
+    pub peer_client: M,
     /// Source of the current time.
     pub clock: Clock,
     /// Address of the listener for callers.
@@ -108,7 +108,7 @@
         clock: options.clock,
         platform: options.platform,
         engine: options.engine,
-        mesh: options.mesh,
+        peer_client: options.peer_client,
         cfg,
         follower,
         view: View::new(me, options.settings.dead_after),
@@ -132,7 +132,7 @@
     loop {
         let parts = SessionParts {
             platform: options.platform.clone(),
-            mesh: options.mesh.clone(),
+            peer_client: options.peer_client.clone(),
             incarnation: new_incarnation(&options.settings.instance),
             row: HolderRow {
                 zone: options.settings.zone.clone(),
--- a/src/router/drive.rs
+++ b/src/router/drive.rs
@@ -29,7 +29,7 @@
 const MAX_RESUMES: u32 = 2;
 /// Time without data after which a stream, or a dispatch without a reply, counts as failed.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time without any following caller after which a request is canceled.
+/// Time without any following caller after which a request is cancelled.
 const NO_CALLER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Maximum number of queries for whether a request admitted by another router has started.
 const MAX_FIND_ATTEMPTS: u32 = 40;
@@ -82,9 +82,11 @@
         return Some(found);
     }
     let others = node.budget_peers(organisation);
-    let ask = || PeerRequest::Find { organisation: organisation.clone(), key: key.clone() };
-    let replies =
-        futures_util::future::join_all(others.iter().map(|o| node.mesh.rpc(o, ask()))).await;
+    let new_request = || PeerRequest::Find { organisation: organisation.clone(), key: key.clone() };
+    let replies = futures_util::future::join_all(
+        others.iter().map(|o| node.peer_client.rpc(o, new_request())),
+    )
+    .await;
     let mut found: Vec<KnownRequest> = replies
         .into_iter()
         .filter_map(|r| if let Ok(PeerReply::Found(f)) = r { f } else { None })
@@ -121,8 +123,14 @@
     }
     let entered = node.now();
     let deadline = Instant::now() + job.deadline;
-    let mut driver =
-        RunDriver { node: &node, run: &run, job: &job, deadline, tried: Vec::new(), held: None };
+    let mut driver = RunDriver {
+        node: &node,
+        run: &run,
+        job: &job,
+        deadline,
+        tried: Vec::new(),
+        reservation: None,
+    };
     let end = driver.run_to_end().await;
     node.gates.leave(node.now(), &job.admission, node.now().since(entered));
     Counts::add(match &end {
@@ -188,21 +196,23 @@
     log::info!("route=join org={} key={} run={id} target={target}", run.organisation, run.key);
     run.dispatched(id, target);
     let read = async {
-        let mut parts = node.engine.resume(&addr, id, run.len() as u64).await?;
-        read_parts(run, id, &mut parts).await
+        let mut pieces = node.engine.resume(&addr, id, run.len() as u64).await?;
+        read_pieces(run, id, &mut pieces).await
     };
     timeout(limit, read).await.ok()?.ok()
 }
 
 /// Reads a stream until the run ends.
-async fn read_parts<S: PieceStream>(run: &Run, id: &RunId, parts: &mut S) -> Result<RunUsage> {
+async fn read_pieces<S: PieceStream>(run: &Run, id: &RunId, pieces: &mut S) -> Result<RunUsage> {
     let mut last_followed = Instant::now();
     loop {
         let broke = || Error::new(Kind::TargetFailed, "the stream broke off");
         let silent = |_| Error::new(Kind::TargetFailed, "the target went silent");
-        let part =
-            timeout(STREAM_IDLE_TIMEOUT, parts.next()).await.map_err(silent)??.ok_or_else(broke)?;
-        if let PieceResult::Complete(usage) = run.append_part(id, part)? {
+        let run_piece = timeout(STREAM_IDLE_TIMEOUT, pieces.next())
+            .await
+            .map_err(silent)??
+            .ok_or_else(broke)?;
+        if let PieceResult::Complete(usage) = run.append_piece(id, run_piece)? {
             return Ok(usage);
         }
         if run.followers() > 0 {
@@ -220,7 +230,7 @@
     job: &'a ModelJob,
     deadline: Instant,
     tried: Vec<TargetId>,
-    held: Option<Reservation<P, M>>,
+    reservation: Option<Reservation<P, M>>,
 }
 
 /// A hold together with the session that made it. The router may have started a new session since.
@@ -250,16 +260,16 @@
     async fn run_to_end(&mut self) -> RunEnd {
         let late = |_| Error::new(Kind::Timeout, "the answer was not whole before its deadline");
         let ended = timeout_at(self.deadline, self.try_targets()).await.map_err(late).flatten();
-        let reservation = self.held.take();
+        let unsettled = self.reservation.take();
         match ended {
             Ok(usage) => {
-                if let Some(r) = reservation {
+                if let Some(r) = unsettled {
                     r.settle(usage).await;
                 }
                 RunEnd::Complete(usage, self.run.digest())
             }
             Err(e) => {
-                self.clean_up(reservation, &e).await;
+                self.clean_up(unsettled, &e).await;
                 RunEnd::Failed(e)
             }
         }
@@ -354,7 +364,7 @@
     }
 
     async fn reserve(&mut self, id: &RunId, choice: &Choice) -> Result<()> {
-        if let Some(r) = &mut self.held {
+        if let Some(r) = &mut self.reservation {
             r.spec.target = choice.id.clone();
             let unprotected = |e: Error| Error::new(Kind::TargetFailed, e.message);
             return r.session.change_target(&r.held, &r.spec).await.map_err(unprotected);
@@ -371,7 +381,7 @@
         let spec = HoldSpec { amount: self.job.amount, bill, target: choice.id.clone() };
         let others = self.node.lenders_for(&self.run.organisation);
         let held = reserve_with_retry(self.node, &session, &spec, &others).await?;
-        self.held = Some(Reservation { session, held, spec });
+        self.reservation = Some(Reservation { session, held, spec });
         Ok(())
     }
 
@@ -401,7 +411,7 @@
             priority: self.job.admission.priority,
             so_far: self.run.tokens(),
         };
-        let mut parts = match timeout(
+        let mut pieces = match timeout(
             STREAM_IDLE_TIMEOUT,
             self.node.engine.start(&choice.addr, &start),
         )
@@ -417,7 +427,7 @@
         };
         let mut resumes = 0;
         loop {
-            match read_parts(self.run, id, &mut parts).await {
+            match read_pieces(self.run, id, &mut pieces).await {
                 Ok(usage) => return Ok(usage),
                 Err(e) if resumes == MAX_RESUMES || e.kind == Kind::RunLost => {
                     return Err((Stage::Streaming, e));
@@ -432,7 +442,7 @@
             // If the target no longer knows the run, that is a target failure. `RunLost` is
             // reserved for runs whose callers have left.
             let failed = |e: Error| (Stage::Streaming, Error::new(Kind::TargetFailed, e.message));
-            parts = resumed.map_err(failed)?;
+            pieces = resumed.map_err(failed)?;
         }
     }
 }
@@ -464,8 +474,8 @@
     }
 }
 
-/// Replaces `Fenced` by `PlatformAway`: for a caller, a superseded router is one that cannot reach
-/// the ledger for a moment.
+/// Replaces `Fenced` by `PlatformAway`: to a caller, a router whose incarnation was superseded is
+/// the same as one that cannot reach the ledger for a moment.
 pub fn fenced_as_platform_away(e: Error) -> Error {
     if e.kind == Kind::Fenced { Error::new(Kind::PlatformAway, e.message) } else { e }
 }
@@ -487,21 +497,21 @@
 pub fn log_choice(
     organisation: &OrganisationId,
     key: &RequestKey,
-    v: &AdmissionRequest,
-    c: &Choice,
+    admission: &AdmissionRequest,
+    choice: &Choice,
     attempt: usize,
 ) {
-    let (next, next_load) = match &c.next {
+    let (next, next_load) = match &choice.next {
         Some((id, load)) => (id.as_str(), *load),
         None => ("-", 0),
     };
     log::info!(
         "route=choose org={organisation} key={key} service={} target={} load={} affinity={} next={next} \
          next_load={next_load} candidates={} attempt={attempt}",
-        v.service,
-        c.id,
-        c.load,
-        c.affinity,
-        c.candidates
+        admission.service,
+        choice.id,
+        choice.load,
+        choice.affinity,
+        choice.candidates
     );
 }
--- a/src/router/drive_call.rs
+++ b/src/router/drive_call.rs
@@ -192,8 +192,8 @@
     ///
     /// The claim prevents one call from being dispatched twice, be it through retries, crashes or
     /// different routers: only the router that inserted the row may dispatch. A claim that is
-    /// confirmed after the timeout is deleted again, because its caller was told that the call did
-    /// not run.
+    /// confirmed after the timeout is deleted again, because the caller has already got the error
+    /// that says that the call did not run.
     async fn claim(&self) -> Result<ClaimResult> {
         let session = self.node.session();
         let row = ClaimRow {
--- a/src/router/gates.rs
+++ b/src/router/gates.rs
@@ -50,7 +50,7 @@
         service: &ServiceId,
     ) -> &'a mut ServiceGate {
         let index =
-            service_gates.binary_search_by(|d| d.service.cmp(service)).unwrap_or_else(|index| {
+            service_gates.binary_search_by(|g| g.service.cmp(service)).unwrap_or_else(|index| {
                 let gate = Gate::new(INITIAL_CAPACITY, MAX_QUEUE_WAIT);
                 service_gates.insert(
                     index,
@@ -127,7 +127,7 @@
     /// Returns the number of requests in flight and waiting, over all services.
     pub fn load(&self) -> (u32, usize) {
         let service_gates = self.lock();
-        service_gates.iter().map(|d| d.gate.load()).fold((0, 0), |a, l| (a.0 + l.0, a.1 + l.1))
+        service_gates.iter().map(|g| g.gate.load()).fold((0, 0), |a, l| (a.0 + l.0, a.1 + l.1))
     }
 }
 
--- a/src/router/node.rs
+++ b/src/router/node.rs
@@ -37,17 +37,17 @@
 
 /// Seals holders at their backups over the links between routers.
 #[derive(Clone, Debug)]
-pub struct MeshBackupSealer<M: PeerClient> {
-    mesh: M,
+pub struct PeerBackupSealer<M: PeerClient> {
+    peer_client: M,
     known: Vec<RouterInfo>,
 }
 
-impl<M: PeerClient> BackupSealer for MeshBackupSealer<M> {
+impl<M: PeerClient> BackupSealer for PeerBackupSealer<M> {
     async fn seal_at(&self, backup: &Incarnation, holder: &Incarnation) -> Result<Vec<HoldCopy>> {
         let unknown = || Error::new(Kind::Io, format!("backup {backup} is not known"));
         let to = self.known.iter().find(|e| e.incarnation == *backup).ok_or_else(unknown)?;
         match self
-            .mesh
+            .peer_client
             .rpc(to, PeerRequest::Seal { keeper: backup.clone(), holder: holder.clone() })
             .await?
         {
@@ -70,8 +70,8 @@
     pub platform: P,
     /// Client for the targets.
     pub engine: E,
-    /// Links to the other routers.
-    pub mesh: M,
+    /// Client for requests to other routers.
+    pub peer_client: M,
     /// The active configuration.
     pub cfg: Arc<RwLock<Config>>,
     /// Applies new revisions to the configuration.
@@ -139,8 +139,8 @@
     pub platform: P,
     /// Client for the targets.
     pub engine: E,
-    /// Links to the other routers.
-    pub mesh: M,
+    /// Client for requests to other routers.
+    pub peer_client: M,
     /// The active configuration.
     pub cfg: Arc<RwLock<Config>>,
     /// Applies new revisions to the configuration.
@@ -167,7 +167,7 @@
             clock: parts.clock,
             platform: parts.platform,
             engine: parts.engine,
-            mesh: parts.mesh,
+            peer_client: parts.peer_client,
             cfg: parts.cfg,
             follower: tokio::sync::Mutex::new(parts.follower),
             new_revision: tokio::sync::Notify::new(),
@@ -294,8 +294,8 @@
         self.lock_view().live_routers(self.now())
     }
 
-    /// Returns the other routers that may hold parts of an organisation's budgets, sorted by rank
-    /// for that organisation.
+    /// Returns the other routers that may hold parts of an organisation's budgets, in the order of
+    /// [`home_routers`].
     pub fn budget_peers(&self, organisation: &OrganisationId) -> Vec<RouterInfo> {
         let width = self.cfg.read().expect("the lock is never poisoned").fleet.entry_width as usize;
         let me = self.lock_view().local_router().incarnation.clone();
@@ -305,7 +305,7 @@
         out
     }
 
-    /// Returns what the copies that this router keeps for others tell about a request.
+    /// Looks up a request among the copies of holds that this router keeps for other routers.
     pub fn find_copy(
         &self,
         organisation: &OrganisationId,
@@ -321,11 +321,11 @@
     }
 
     /// Creates a reclaimer for the grants of dead holders.
-    pub fn reclaimer(&self) -> Reclaimer<P, E, PickerAddresses, MeshBackupSealer<M>> {
+    pub fn reclaimer(&self) -> Reclaimer<P, E, PickerAddresses, PeerBackupSealer<M>> {
         let session = self.session();
         let known = self.lock_view().known_peers(self.now()).into_iter().map(|(e, _)| e).collect();
         Reclaimer {
-            sealer: MeshBackupSealer { mesh: self.mesh.clone(), known },
+            sealer: PeerBackupSealer { peer_client: self.peer_client.clone(), known },
             table: self.platform.clone(),
             committer: session.committer.clone(),
             engine: self.engine.clone(),
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -27,15 +27,15 @@
 }
 
 impl<P: Platform, E: Engine, M: PeerClient> PeerHandler for NodePeerHandler<P, E, M> {
-    async fn handle_request(&self, ask: PeerRequest) -> PeerReply {
-        self.try_answer(ask).await.unwrap_or_else(PeerReply::from)
+    async fn handle_request(&self, request: PeerRequest) -> PeerReply {
+        self.try_answer(request).await.unwrap_or_else(PeerReply::from)
     }
 }
 
 impl<P: Platform, E: Engine, M: PeerClient> NodePeerHandler<P, E, M> {
-    async fn try_answer(&self, ask: PeerRequest) -> Result<PeerReply> {
+    async fn try_answer(&self, request: PeerRequest) -> Result<PeerReply> {
         let node = &self.node;
-        match ask {
+        match request {
             PeerRequest::Beat(entries) => {
                 let now = node.now();
                 let mut view = node.lock_view();
--- a/src/router/session.rs
+++ b/src/router/session.rs
@@ -36,6 +36,7 @@
 /// Maximum time that a request waits for a change of witness after the current one failed to
 /// confirm its copy.
 const WITNESS_CHANGE_TIMEOUT: Duration = Duration::from_millis(500);
+
 /// Event that a session reports to its router.
 #[derive(Debug)]
 pub enum SessionEvent {
@@ -128,7 +129,7 @@
     /// Group committer for writes to the ledger.
     pub committer: Committer,
     grant_actor: ActorRef<GrantActor<P, SessionEventSender>>,
-    mesh: M,
+    peer_client: M,
     assignment: RwLock<WitnessAssignment>,
     /// Routers that recently failed to confirm a copy. They are avoided before they count as dead.
     suspects: Mutex<Vec<(Incarnation, Instant)>>,
@@ -146,8 +147,8 @@
 pub struct SessionParts<P, M> {
     /// Client for the platform: table, object store and instance list.
     pub platform: P,
-    /// Links to the other routers.
-    pub mesh: M,
+    /// Client for requests to other routers.
+    pub peer_client: M,
     /// Name of the incarnation.
     pub incarnation: Incarnation,
     /// Holder row to write. It must not exist yet.
@@ -198,7 +199,7 @@
             incarnation: parts.incarnation,
             committer,
             grant_actor,
-            mesh: parts.mesh,
+            peer_client: parts.peer_client,
             assignment: RwLock::new(WitnessAssignment::Stable(None)),
             suspects: Mutex::default(),
             witness_changed: Notify::new(),
@@ -270,8 +271,9 @@
         budget: &BudgetId,
         others: &[RouterInfo],
     ) -> Vec<(Tokens, RouterInfo)> {
-        let asked = others.iter().map(|o| self.mesh.rpc(o, PeerRequest::Free(budget.clone())));
-        let replies = futures_util::future::join_all(asked).await;
+        let queries =
+            others.iter().map(|o| self.peer_client.rpc(o, PeerRequest::Free(budget.clone())));
+        let replies = futures_util::future::join_all(queries).await;
         let free = |(reply, other): (Result<PeerReply>, &RouterInfo)| match reply {
             Ok(PeerReply::Free(tokens)) => Some((tokens, other.clone())),
             _ => None,
@@ -294,19 +296,19 @@
         let (tx, rx) = tokio::sync::oneshot::channel();
         let session = self.clone();
         // The reply may arrive after the request has stopped waiting. In that case the hold is
-        // canceled here.
+        // cancelled here.
         tokio::spawn(async move {
             let reply = session.grant_actor.ask(msg).await;
             let late = tx.send(reply.map_err(into_error)).err();
             if let Some(Ok(hold)) = late {
-                session.tell_cancel(hold).await;
+                session.send_cancel(hold).await;
             }
         });
         let away = || Error::new(Kind::PlatformAway, "the ledger did not answer in time");
         tokio::time::timeout(GRANT_TIMEOUT, rx).await.map_err(|_| away())?.map_err(|_| away())?
     }
 
-    async fn tell_cancel(&self, hold: HoldId) {
+    async fn send_cancel(&self, hold: HoldId) {
         // Sending fails only if the actor has stopped, in which case there are no holds left.
         let _ = self.grant_actor.tell(CancelHold(hold)).await;
     }
@@ -384,12 +386,12 @@
         members.sort_by_key(|e| suspects.contains(&e.incarnation));
         let mut last = Error::new(Kind::PlatformAway, "no witness is named");
         for member in members {
-            let ask = PeerRequest::Keep {
+            let request = PeerRequest::Keep {
                 keeper: member.incarnation.clone(),
                 holder: self.incarnation.clone(),
                 copies: copies.clone(),
             };
-            match self.mesh.rpc(member, ask).await {
+            match self.peer_client.rpc(member, request).await {
                 Ok(_) => return Ok(()),
                 Err(e) if e.kind == Kind::Fenced => {
                     let _ = self.grant_actor.tell(Fence).await;
@@ -413,7 +415,7 @@
 
     /// Cancels a hold of this session's own grant whose request did not run.
     pub async fn cancel_own(&self, hold: HoldId) {
-        self.tell_cancel(hold).await;
+        self.send_cancel(hold).await;
         self.forget(&[hold]).await;
     }
 
@@ -439,8 +441,9 @@
         // old target would report that the run never happened, and the lender would free tokens
         // that the run is still using.
         let target = spec.target.clone();
-        let ask = PeerRequest::Move { lender: lender.incarnation.clone(), hold: held.hold, target };
-        self.mesh.rpc(lender, ask).await.map(drop)
+        let request =
+            PeerRequest::Move { lender: lender.incarnation.clone(), hold: held.hold, target };
+        self.peer_client.rpc(lender, request).await.map(drop)
     }
 
     /// Replaces a hold by its bill. When this returns, the bill survives a crash of this router.
@@ -474,13 +477,15 @@
         let pair = match self.assignment() {
             WitnessAssignment::Stable(pair) | WitnessAssignment::Changing(_, pair) => pair,
         };
-        let ask =
+        let new_request =
             || PeerRequest::Forget { holder: self.incarnation.clone(), holds: holds.to_vec() };
         let members: Vec<RouterInfo> =
             pair.iter().flat_map(WitnessPair::members).cloned().collect();
         // A failure is harmless: a leftover copy has no effect while this router is alive.
-        let _ =
-            futures_util::future::join_all(members.iter().map(|m| self.mesh.rpc(m, ask()))).await;
+        let _ = futures_util::future::join_all(
+            members.iter().map(|m| self.peer_client.rpc(m, new_request())),
+        )
+        .await;
     }
 
     /// Rewrites the holder row to name another witness and backup.
@@ -495,7 +500,7 @@
     ///
     /// Returns `Fenced` if this incarnation was sealed, `Io` or `Timeout` if the new pair cannot be
     /// reached, or `PlatformAway` if the table does not answer.
-    pub async fn choose_witness(&self, to: Option<WitnessPair>) -> Result<()> {
+    pub async fn change_witness(&self, to: Option<WitnessPair>) -> Result<()> {
         let WitnessAssignment::Stable(from) = self.assignment() else { return Ok(()) };
         self.set_assignment(WitnessAssignment::Changing(from.clone(), to.clone()));
         let copies = self.copies.lock().expect("the lock is never poisoned").clone();
--- a/src/router/session/loans.rs
+++ b/src/router/session/loans.rs
@@ -25,8 +25,8 @@
 /// After that, the failure is logged and the hold stays reserved at the lender.
 const MAX_REPAY_ATTEMPTS: u32 = 600;
 
-/// Serializes release requests for one budget. Callers that arrive while a release request is due
-/// share it.
+/// Serializes release requests for one budget. A caller that arrives before the next release
+/// request has started shares that request.
 #[derive(Debug, Default)]
 pub(super) struct ReleaseGate {
     last_started: tokio::sync::Mutex<Option<Instant>>,
@@ -41,20 +41,20 @@
 }
 
 impl<P: Platform, M: PeerClient> Session<P, M> {
-    pub(super) async fn borrow(&self, spec: &HoldSpec, lender: &RouterInfo) -> Option<HeldTokens> {
-        let ask = PeerRequest::Borrow {
+    pub(super) async fn borrow(&self, spec: &HoldSpec, peer: &RouterInfo) -> Option<HeldTokens> {
+        let req = PeerRequest::Borrow {
             budget: spec.bill.budget.clone(),
             amount: spec.amount,
             copy: spec.copy(HoldId(0)),
         };
-        let Ok(PeerReply::Held(hold)) = self.mesh.rpc(lender, ask).await else { return None };
+        let Ok(PeerReply::Held(hold)) = self.peer_client.rpc(peer, req).await else { return None };
         log::info!(
             "borrow=held run={} budget={} from={}",
             spec.bill.run,
             spec.bill.budget,
-            lender.incarnation
+            peer.incarnation
         );
-        Some(HeldTokens { hold, lender: Some(lender.clone()) })
+        Some(HeldTokens { hold, lender: Some(peer.clone()) })
     }
 
     /// Asks other routers to release their free tokens of a budget. Otherwise the last tokens of a
@@ -85,17 +85,18 @@
             tokio::time::sleep_until(at + MIN_RELEASE_INTERVAL).await;
         }
         *last_started = Some(Instant::now());
-        let asked = others.iter().map(|o| self.mesh.rpc(o, PeerRequest::Release(budget.clone())));
-        futures_util::future::join_all(asked).await;
+        let requests =
+            others.iter().map(|o| self.peer_client.rpc(o, PeerRequest::Release(budget.clone())));
+        futures_util::future::join_all(requests).await;
     }
 
     /// Reports the outcome of a borrowed hold to its lender and retries until the lender confirms.
     /// Retries are idempotent because a hold is settled only once.
     pub(super) fn repay(self: &Arc<Self>, lender: RouterInfo, hold: HoldId, bill: Option<Bill>) {
-        let mesh = self.mesh.clone();
+        let peer_client = self.peer_client.clone();
         tokio::spawn(async move {
             for _ in 0..MAX_REPAY_ATTEMPTS {
-                if mesh
+                if peer_client
                     .rpc(
                         &lender,
                         PeerRequest::Repay {
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -73,7 +73,7 @@
             metrics: metrics(&settings)?,
             platform: HttpPlatform::new(&settings.platform)?,
             engine: HttpEngine::new()?,
-            mesh: LinkPool::new(secrets.clone(), link_counts.clone()),
+            peer_client: LinkPool::new(secrets.clone(), link_counts.clone()),
             clock: Clock::start(),
             api: api.to_string().into(),
             peer: peer.to_string().into(),
@@ -94,8 +94,8 @@
     }
 
     /// Drains and stops the router. It is first left out of entry answers and keeps serving callers
-    /// with older answers. Then it refuses new requests, waits for running ones, releases its
-    /// grants, flushes its bills and marks its incarnation as left.
+    /// that still use an older entry answer. Then it refuses new requests, waits for running ones,
+    /// releases its grants, flushes its bills and marks its incarnation as left.
     pub async fn stop(mut self) {
         let node = self.node.clone();
         node.start_draining();
--- a/src/router/tasks.rs
+++ b/src/router/tasks.rs
@@ -38,7 +38,7 @@
 /// Requests admitted by all routers together, in percent of the batch slots of the targets.
 const OVERCOMMIT_PERCENT: u64 = 125;
 
-/// A shared node over any platform, engine and mesh.
+/// A shared node over any platform, engine and peer client.
 pub type SharedNode<P, E, M> = Arc<Node<P, E, M>>;
 
 /// A hold lent to another router.
@@ -158,7 +158,9 @@
     peer: RouterInfo,
     entries: Vec<RouterInfo>,
 ) {
-    if let Ok(PeerReply::Beat(theirs)) = node.mesh.rpc(&peer, PeerRequest::Beat(entries)).await {
+    if let Ok(PeerReply::Beat(theirs)) =
+        node.peer_client.rpc(&peer, PeerRequest::Beat(entries)).await
+    {
         let now = node.now();
         node.lock_view().merge(now, theirs);
     }
@@ -198,7 +200,7 @@
     let ahead: Vec<RouterInfo> = node.live().into_iter().filter(|e| e.revision > have).collect();
     for peer in ahead {
         if let Ok(PeerReply::Revisions(rows)) =
-            node.mesh.rpc(&peer, PeerRequest::Revisions(have)).await
+            node.peer_client.rpc(&peer, PeerRequest::Revisions(have)).await
         {
             let mut follower = node.follower.lock().await;
             for row in &rows {
@@ -241,7 +243,7 @@
         ticks.tick().await;
         let targets: Vec<_> =
             node.lock_picker().targets().iter().map(|t| (t.id.clone(), t.addr.clone())).collect();
-        let asked = targets.into_iter().map(|(id, addr)| {
+        let polls = targets.into_iter().map(|(id, addr)| {
             let node = node.clone();
             async move {
                 let report = node.engine.report(&addr).await;
@@ -256,7 +258,7 @@
                 node.lock_picker().reported(now, &id, report);
             }
         });
-        futures_util::future::join_all(asked).await;
+        futures_util::future::join_all(polls).await;
         set_capacities(&node);
         if !node.lock_picker().targets().is_empty() {
             node.set_ready();
@@ -269,9 +271,9 @@
     id: &crate::ids::TargetId,
 ) {
     for peer in node.live() {
-        let (node, ask) = (node.clone(), PeerRequest::TargetLeaves(id.clone()));
+        let (node, request) = (node.clone(), PeerRequest::TargetLeaves(id.clone()));
         tokio::spawn(async move {
-            let _ = node.mesh.rpc(&peer, ask).await;
+            let _ = node.peer_client.rpc(&peer, request).await;
         });
     }
 }
@@ -306,7 +308,9 @@
                 rows.into_iter().partition(|(_, row)| row.state == HolderState::Live);
             let mut view = node.lock_view();
             ended.iter().for_each(|(incarnation, _)| view.mark_departed(incarnation));
-            view.set_candidates(live.into_iter().map(|(i, row)| entry_from_row(i, row)).collect());
+            view.set_candidates(
+                live.into_iter().map(|(i, row)| router_info_from_row(i, row)).collect(),
+            );
         }
         sleep(HOLDER_POLL_INTERVAL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
     }
@@ -322,7 +326,7 @@
     rows.iter().map(|r| Ok((r.key[HOLDERS_PREFIX.len()..].parse()?, r.decode()?))).collect()
 }
 
-fn entry_from_row(incarnation: Incarnation, row: HolderRow) -> RouterInfo {
+fn router_info_from_row(incarnation: Incarnation, row: HolderRow) -> RouterInfo {
     RouterInfo {
         incarnation,
         zone: row.zone,
@@ -336,7 +340,7 @@
 }
 
 /// Periodically expires old requests, checks the witness, reclaims the grants of dead holders and
-/// settles loans to dead routers.
+/// settles loans whose borrower is dead.
 async fn maintain<P: Platform, E: Engine, M: PeerClient>(
     node: SharedNode<P, E, M>,
     loans: Arc<Loans>,
@@ -355,7 +359,7 @@
         node.session().set_router_counts(serving as u64, serving.min(width) as u64).await;
         maintain_witness(&node, &live).await;
         reclaim_dead_holders(&node, &reclaimed);
-        settle_dead_borrowers(&node, &loans);
+        settle_loans_of_dead_borrowers(&node, &loans);
     }
 }
 
@@ -387,7 +391,7 @@
         return;
     }
     tokio::spawn(async move {
-        if let Err(e) = session.choose_witness(to).await {
+        if let Err(e) = session.change_witness(to).await {
             log::warn!("witness=not_chosen error={:?}", e.message);
         }
     });
@@ -432,7 +436,7 @@
 /// Settles loans whose borrower died and so cannot report the outcome. The lender follows the run
 /// until it ends and does not cancel it, because a borrower that is only cut off from the lender
 /// still streams the answer to its caller.
-fn settle_dead_borrowers<P: Platform, E: Engine, M: PeerClient>(
+fn settle_loans_of_dead_borrowers<P: Platform, E: Engine, M: PeerClient>(
     node: &SharedNode<P, E, M>,
     loans: &Arc<Loans>,
 ) {
@@ -492,7 +496,7 @@
         let me = node.lock_view().local_router().clone();
         let parts = SessionParts {
             platform: node.platform.clone(),
-            mesh: node.mesh.clone(),
+            peer_client: node.peer_client.clone(),
             incarnation: incarnation.clone(),
             row: HolderRow {
                 zone: me.zone,
--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -153,14 +153,14 @@
     pub async fn add_router(&mut self, zone: &ZoneId) -> usize {
         let n = self.places.len();
         let peer = format_compact!("peer-{n}");
-        let (at, platform, engine, mesh) = self.net.add_router(&peer, zone);
+        let (at, platform, engine, peer_client) = self.net.add_router(&peer, zone);
         let mut settings = router_settings(loopback(), &format!("r{n}"), zone);
         settings.heartbeat = Millis(200);
         let booted = boot(BootOptions {
             settings,
             platform,
             engine,
-            mesh,
+            peer_client,
             clock: self.clock,
             api: format_compact!("api-{n}"),
             peer,
--- a/tests/test_answer.rs
+++ b/tests/test_answer.rs
@@ -17,38 +17,38 @@
 }
 
 #[test]
-fn append_part_duplicate_or_of_other_run() {
+fn append_piece_duplicate_or_of_other_run() {
     // Guards against an answer with duplicate tokens or tokens of another request. A target repeats
-    // a part after a reconnect and then sends a part of another run. Parts carry their run and
+    // a piece after a reconnect and then sends a piece of another run. Pieces carry their run and
     // offset, so both are dropped and counted.
     let mut a = AnswerAssembler::default();
     let run = name("r1");
-    assert_eq!(a.append_part(&run, token("r1", 0)), Ok(PieceResult::Appended));
-    assert_eq!(a.append_part(&run, token("r1", 0)), Ok(PieceResult::Dropped));
-    assert_eq!(a.append_part(&run, token("r2", 1)), Ok(PieceResult::Dropped));
-    assert_eq!(a.append_part(&run, token("r1", 1)), Ok(PieceResult::Appended));
+    assert_eq!(a.append_piece(&run, token("r1", 0)), Ok(PieceResult::Appended));
+    assert_eq!(a.append_piece(&run, token("r1", 0)), Ok(PieceResult::Dropped));
+    assert_eq!(a.append_piece(&run, token("r2", 1)), Ok(PieceResult::Dropped));
+    assert_eq!(a.append_piece(&run, token("r1", 1)), Ok(PieceResult::Appended));
     assert_eq!(a.tokens().concat(), " t0 t1");
     assert_eq!(a.dropped, 2);
     let usage = RunUsage { prompt_tokens: 3, tokens: 2 };
-    assert_eq!(a.append_part(&run, end("r1", 2)), Ok(PieceResult::Complete(usage)));
+    assert_eq!(a.append_piece(&run, end("r1", 2)), Ok(PieceResult::Complete(usage)));
 }
 
 #[test]
-fn append_part_missing_token() {
+fn append_piece_missing_token() {
     // Guards against an answer with tokens missing in the middle that looks complete. A target
     // resumes a stream one token too late. The offset shows the gap, and the stream is rejected.
     let mut a = AnswerAssembler::default();
-    a.append_part(&name("r1"), token("r1", 0)).unwrap();
-    let e = a.append_part(&name("r1"), token("r1", 2)).unwrap_err();
+    a.append_piece(&name("r1"), token("r1", 0)).unwrap();
+    let e = a.append_piece(&name("r1"), token("r1", 2)).unwrap_err();
     assert_eq!(e.kind, Kind::TargetFailed);
     assert_eq!(a.tokens().len(), 1);
 }
 
 #[test]
-fn append_part_early_end() {
+fn append_piece_early_end() {
     let mut a = AnswerAssembler::default();
-    a.append_part(&name("r1"), token("r1", 0)).unwrap();
-    assert_eq!(a.append_part(&name("r1"), end("r1", 5)).unwrap_err().kind, Kind::TargetFailed);
+    a.append_piece(&name("r1"), token("r1", 0)).unwrap();
+    assert_eq!(a.append_piece(&name("r1"), end("r1", 5)).unwrap_err().kind, Kind::TargetFailed);
 }
 
 #[rstest]
--- a/tests/test_budget_random.rs
+++ b/tests/test_budget_random.rs
@@ -22,7 +22,7 @@
     Admit(usize, u64),
     /// The oldest request of a holder ends with this percentage of its hold as its cost.
     End(usize, u64),
-    /// The oldest request of a holder is canceled without having run.
+    /// The oldest request of a holder is cancelled without having run.
     Cancel(usize),
     /// The next effect of a holder is performed.
     RunEffect(usize),
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -77,7 +77,7 @@
 #[tokio::test(start_paused = true)]
 async fn router_killed_mid_stream() {
     // Guards against an answer that never completes because its router died in the middle of the
-    // stream. The caller retries with the same key at another router, which learns run and target
+    // stream. The caller retries with the same key at another router, which gets run and target
     // from the witness and joins the run.
     let mut f = fleet(100_000).await;
     let req = long_request("k1");
@@ -217,11 +217,11 @@
     let (asked, asker) = (&f.places[0].node, &f.places[1].node);
     let to = asked.lock_view().local_router().clone();
     let seal = |keeper| PeerRequest::Seal { keeper, holder: name("h@1") };
-    assert!(asker.mesh.rpc(&to, seal(to.incarnation.clone())).await.is_ok());
-    assert!(asker.mesh.rpc(&to, seal(name("r0@before"))).await.is_err());
+    assert!(asker.peer_client.rpc(&to, seal(to.incarnation.clone())).await.is_ok());
+    assert!(asker.peer_client.rpc(&to, seal(name("r0@before"))).await.is_err());
     let keep =
         PeerRequest::Keep { keeper: name("r0@before"), holder: name("h@2"), copies: Vec::new() };
-    assert!(asker.mesh.rpc(&to, keep).await.is_err());
+    assert!(asker.peer_client.rpc(&to, keep).await.is_err());
 }
 
 #[tokio::test(start_paused = true)]
@@ -242,7 +242,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn router_paused_past_its_lease() {
+async fn router_paused_until_reclaimed() {
     // Guards against spending a budget twice, by a router that is paused with a stream open, is
     // reclaimed, and then continues with its old grant. Its witness must refuse its copies, so that
     // it starts a new incarnation without grants.
@@ -291,7 +291,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn prepaid_lowered_below_what_is_out() {
+async fn prepaid_lowered_below_committed() {
     // Guards against lowering the prepaid amount of an organisation below what is already granted.
     // The edit must be refused with the lowest amount that is possible now.
     let f = fleet(100_000).await;
--- a/tests/workdir.rs
+++ b/tests/workdir.rs
@@ -39,7 +39,7 @@
 pub enum FakeRun {
     /// The run ended at this cost.
     Ended(u64),
-    /// The run was canceled before it started, and must not start any more.
+    /// The run was cancelled before it started, and must not start any more.
     Forbidden,
 }
 
@@ -77,9 +77,9 @@
 
 /// Stream of a fake run: only its end.
 #[derive(Debug)]
-pub struct FakeParts(Option<RunPiece>);
+pub struct FakeRunStream(Option<RunPiece>);
 
-impl PieceStream for FakeParts {
+impl PieceStream for FakeRunStream {
     async fn next(&mut self) -> Result<Option<RunPiece>> {
         Ok(self.0.take())
     }
@@ -90,18 +90,19 @@
 }
 
 impl Engine for FakeEngine {
-    type PieceStream = FakeParts;
+    type PieceStream = FakeRunStream;
 
-    async fn start(&self, _: &str, run: &StartRun) -> Result<FakeParts> {
+    async fn start(&self, _: &str, run: &StartRun) -> Result<FakeRunStream> {
         self.resume("", &run.run, 0).await
     }
 
-    async fn resume(&self, _: &str, run: &RunId, _: u64) -> Result<FakeParts> {
+    async fn resume(&self, _: &str, run: &RunId, _: u64) -> Result<FakeRunStream> {
         self.reachable()?;
         match self.find(run) {
-            Some(FakeRun::Ended(cost)) => {
-                Ok(FakeParts(Some(RunPiece { run: run.clone(), piece: Piece::End(usage(cost)) })))
-            }
+            Some(FakeRun::Ended(cost)) => Ok(FakeRunStream(Some(RunPiece {
+                run: run.clone(),
+                piece: Piece::End(usage(cost)),
+            }))),
             _ => Err(Error::new(Kind::RunLost, "not known")),
         }
     }
