--- a/src/api/entry.rs
+++ b/src/api/entry.rs
@@ -29,7 +29,7 @@
 pub struct EntryAnswer {
     /// `ip:port` of the routers, best first.
     pub addresses: Vec<String>,
-    /// Milliseconds after which the caller should ask again.
+    /// Milliseconds after which the caller should request the list again.
     pub lifetime_ms: u64,
 }
 
--- a/src/budget/actor.rs
+++ b/src/budget/actor.rs
@@ -199,7 +199,7 @@
             match effect {
                 Effect::Load(id) => self.load(id),
                 Effect::Write(id, change, budget, grant) => self.write(id, &change, budget, grant),
-                Effect::Notify(v) => self.reply_to_waiter(v.ticket, v.refused),
+                Effect::Notify(result) => self.reply_to_waiter(result.ticket, result.refused),
                 Effect::Recorded(holds) => self.deps.grant_listener.recorded(holds),
             }
         }
@@ -350,7 +350,7 @@
         let now = self.now();
         let ledger_unavailable = self.deps.committer.is_write_failing();
         let wait_for_grant = msg.wait_for_grant && !ledger_unavailable;
-        let (admit, effects) = self.holder.admit(
+        let (admission, effects) = self.holder.admit(
             now,
             &msg.budget,
             limit,
@@ -358,7 +358,7 @@
             Protection::Witness,
             wait_for_grant,
         );
-        match admit {
+        match admission {
             Admission::Held(id) => tx.send(Ok(id)),
             // While the table cannot be written, it is unknown whether the budget is exhausted.
             Admission::Refused(_) if ledger_unavailable => {
--- a/src/budget/holder.rs
+++ b/src/budget/holder.rs
@@ -233,7 +233,7 @@
         state.limit = limit;
         state.last_used = now;
         state.rate.count(now, amount);
-        let admit = if state.waiting.is_empty() && state.can_hold(amount, protection) {
+        let admission = if state.waiting.is_empty() && state.can_hold(amount, protection) {
             state.reserve_tokens(amount, protection);
             Admission::Held(ticket)
         } else if !wait_for_grant || amount > limit.prepaid {
@@ -242,11 +242,11 @@
             state.waiting.push_back(Waiting { ticket, amount, protection });
             Admission::Wait(ticket)
         };
-        if admit == Admission::Held(ticket) {
+        if admission == Admission::Held(ticket) {
             self.add_hold(ticket, id.clone(), amount, protection);
         }
         let effects = self.advance(now, id);
-        (admit, effects)
+        (admission, effects)
     }
 
     /// Cancels a waiting request, or releases a hold whose request did not run.
--- a/tests/test_budget_holder.rs
+++ b/tests/test_budget_holder.rs
@@ -35,7 +35,7 @@
             match e {
                 Effect::Load(id) => effects.extend(h.loaded(NOW, &id, rows.clone())),
                 Effect::Write(id, ..) => effects.extend(h.changed(NOW, &id, Some(Version(1)))),
-                Effect::Notify(v) => out.push(v),
+                Effect::Notify(result) => out.push(result),
                 Effect::Recorded(_) => {}
             }
         }
@@ -44,18 +44,18 @@
 }
 
 fn admit(h: &mut Holder, prepaid: u64, amount: u64, rows: &LoadedRows) -> Result<HoldId, Kind> {
-    let (admit, effects) =
+    let (admission, effects) =
         h.admit(NOW, &id(), limit(prepaid), Tokens(amount), Protection::Witness, true);
     let results = run_effects(h, effects, rows);
-    match admit {
+    match admission {
         Admission::Held(hold) => Ok(hold),
         Admission::Refused(kind) => Err(kind),
         Admission::Wait(ticket) => {
-            let v = results
+            let result = results
                 .iter()
-                .find(|v| v.ticket == ticket)
+                .find(|r| r.ticket == ticket)
                 .expect("every waiting request gets a result");
-            v.refused.map_or(Ok(ticket), Err)
+            result.refused.map_or(Ok(ticket), Err)
         }
     }
 }
--- a/tests/test_budget_random.rs
+++ b/tests/test_budget_random.rs
@@ -81,7 +81,7 @@
 
 impl Simulation {
     fn new(prepaid: u64, skip_guards: bool) -> Simulation {
-        let sim = |_| SimHolder {
+        let sim_holder = |_| SimHolder {
             holder: Holder::new(Sizing::ByRate { horizon: Millis(2_000) }),
             effects: Vec::new(),
             delayed_answer: None,
@@ -96,7 +96,7 @@
             now: Millis(1_000_000),
             version: 0,
             budget: Versioned::default(),
-            holders: (0..HOLDERS).map(sim).collect(),
+            holders: (0..HOLDERS).map(sim_holder).collect(),
             spent: Tokens::ZERO,
             next_key: 0,
             skip_guards,
@@ -122,26 +122,26 @@
     fn admit(&mut self, h: usize, amount: Tokens) {
         let limit = Limit { prepaid: self.prepaid, revision: Revision(self.revision) };
         let now = self.now;
-        let sim = &mut self.holders[h];
-        if !sim.alive {
+        let sim_holder = &mut self.holders[h];
+        if !sim_holder.alive {
             return;
         }
-        let (admit, effects) =
-            sim.holder.admit(now, &id(), limit, amount, Protection::Witness, true);
-        sim.effects.extend(effects);
-        match admit {
-            Admission::Held(hold) => sim.start(hold, amount),
-            Admission::Wait(ticket) => sim.copies.push((ticket, amount)),
+        let (admission, effects) =
+            sim_holder.holder.admit(now, &id(), limit, amount, Protection::Witness, true);
+        sim_holder.effects.extend(effects);
+        match admission {
+            Admission::Held(hold) => sim_holder.start(hold, amount),
+            Admission::Wait(ticket) => sim_holder.copies.push((ticket, amount)),
             Admission::Refused(_) => {}
         }
     }
 
     fn end(&mut self, h: usize, share: u64) {
-        let sim = &mut self.holders[h];
-        if !sim.alive || sim.running.is_empty() {
+        let sim_holder = &mut self.holders[h];
+        if !sim_holder.alive || sim_holder.running.is_empty() {
             return;
         }
-        let (hold, amount) = sim.running.remove(0);
+        let (hold, amount) = sim_holder.running.remove(0);
         let cost = amount.scaled(share, 100);
         self.next_key += 1;
         self.spent = self.spent.plus(cost);
@@ -153,19 +153,22 @@
             run: name("r"),
             cost,
         };
-        let index =
-            sim.copies.iter().position(|(c, _)| *c == hold).expect("a running hold has a copy");
-        sim.copies[index].1 = cost;
-        let (_, effects) = sim.holder.settle(self.now, hold, bill);
-        sim.effects.extend(effects);
+        let index = sim_holder
+            .copies
+            .iter()
+            .position(|(c, _)| *c == hold)
+            .expect("a running hold has a copy");
+        sim_holder.copies[index].1 = cost;
+        let (_, effects) = sim_holder.holder.settle(self.now, hold, bill);
+        sim_holder.effects.extend(effects);
     }
 
     fn cancel(&mut self, h: usize) {
-        let sim = &mut self.holders[h];
-        if sim.alive && !sim.running.is_empty() {
-            let (hold, _) = sim.running.remove(0);
-            sim.holder.cancel(hold);
-            sim.copies.retain(|(c, _)| *c != hold);
+        let sim_holder = &mut self.holders[h];
+        if sim_holder.alive && !sim_holder.running.is_empty() {
+            let (hold, _) = sim_holder.running.remove(0);
+            sim_holder.holder.cancel(hold);
+            sim_holder.copies.retain(|(c, _)| *c != hold);
         }
     }
 
@@ -234,20 +237,20 @@
 
     fn tick(&mut self, ms: u64) {
         self.now = Millis(self.now.0 + ms);
-        for sim in self.holders.iter_mut().filter(|o| o.alive) {
-            sim.effects.extend(sim.holder.tick(self.now));
+        for sim_holder in self.holders.iter_mut().filter(|o| o.alive) {
+            sim_holder.effects.extend(sim_holder.holder.tick(self.now));
         }
     }
 
     /// Crashes a holder. Its witness seals it and releases whatever no copy accounts for, and a new
     /// incarnation starts without grants.
     fn kill(&mut self, h: usize) {
-        let sim = &mut self.holders[h];
-        let row = sim.grant.row;
+        let sim_holder = &mut self.holders[h];
+        let row = sim_holder.grant.row;
         // Requests that run during the crash end at their full cost.
-        let running = sim.running.iter().fold(Tokens::ZERO, |sum, (_, n)| sum.plus(*n));
+        let running = sim_holder.running.iter().fold(Tokens::ZERO, |sum, (_, n)| sum.plus(*n));
         self.spent = self.spent.plus(running);
-        let alive_copies = sim.copies.iter().filter(|(c, _)| !sim.is_waiting(*c));
+        let alive_copies = sim_holder.copies.iter().filter(|(c, _)| !sim_holder.is_waiting(*c));
         let outstanding = alive_copies.fold(Tokens::ZERO, |sum, (_, n)| sum.plus(*n));
         let needed = Tokens(row.settled.plus(outstanding).0.min(row.granted.0));
         self.version += 1;
@@ -255,10 +258,10 @@
         let back = row.granted.minus(needed);
         let after =
             BudgetRow { committed: b.committed.minus(back), closed: b.closed.plus(needed), ..b };
-        if sim.grant.version.is_some() {
+        if sim_holder.grant.version.is_some() {
             self.budget = Versioned { version: Some(Version(self.version)), row: after };
         }
-        *sim = SimHolder {
+        *sim_holder = SimHolder {
             holder: Holder::new(Sizing::ByRate { horizon: Millis(2_000) }),
             effects: Vec::new(),
             delayed_answer: None,
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -214,14 +214,14 @@
     // its copies, and a new process at its address reports to the witness that it has none. The
     // message names the incarnation, so any other process must refuse it.
     let f = fleet(100_000).await;
-    let (asked, asker) = (&f.places[0].node, &f.places[1].node);
-    let to = asked.lock_view().local_router().clone();
+    let (receiver, sender) = (&f.places[0].node, &f.places[1].node);
+    let to = receiver.lock_view().local_router().clone();
     let seal = |keeper| PeerRequest::Seal { keeper, holder: name("h@1") };
-    assert!(asker.peer_client.rpc(&to, seal(to.incarnation.clone())).await.is_ok());
-    assert!(asker.peer_client.rpc(&to, seal(name("r0@before"))).await.is_err());
+    assert!(sender.peer_client.rpc(&to, seal(to.incarnation.clone())).await.is_ok());
+    assert!(sender.peer_client.rpc(&to, seal(name("r0@before"))).await.is_err());
     let keep =
         PeerRequest::Keep { keeper: name("r0@before"), holder: name("h@2"), copies: Vec::new() };
-    assert!(asker.peer_client.rpc(&to, keep).await.is_err());
+    assert!(sender.peer_client.rpc(&to, keep).await.is_err());
 }
 
 #[tokio::test(start_paused = true)]
@@ -285,7 +285,7 @@
     let writes = f.net.memory.counts().txns;
     f.net.memory.set_faults(Faults::default());
     sleep(Duration::from_secs(4)).await;
-    assert!(f.net.memory.counts().txns - writes < 30, "no stampede on return");
+    assert!(f.net.memory.counts().txns - writes < 30, "the backlog takes few transactions");
     assert_ledger_settles(&f).await;
     assert_eq!(bills(&f).await.len(), 60);
 }
