--- a/src/standin/gateway_host.rs
+++ b/src/standin/gateway_host.rs
@@ -1,4 +1,4 @@
-//! A gateway in this process, its tasks and all, on stand-ins.
+//! A gateway that runs in this process with all its tasks, on top of the stand-ins.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,32 +8,33 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use super::gateway::{LocalPlatform, process, settings};
+use super::gateway::{LocalPlatform, process_id, settings};
 use crate::error::Result;
 use crate::gateway::{self, Gateway};
 use crate::oplog::Log;
 
-/// Pause between two looks whether a gateway serves by now.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval between checks whether a starting gateway is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One gateway.
+/// A running gateway.
 pub struct GatewayHost {
-    /// Where callers connect.
+    /// Address to which callers connect.
     pub front: SocketAddr,
-    /// Its state.
+    /// State of the gateway.
     pub gw: Rc<Gateway<LocalPlatform>>,
-    /// Its handle of the platform, to inject faults.
+    /// The gateway's client of the platform, for injecting faults.
     pub platform: LocalPlatform,
-    /// Its log.
+    /// Log of the gateway.
     pub log: Log,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl GatewayHost {
-    /// Starts a gateway as the process `incarnation` of `instance`, and waits until it serves.
+    /// Starts a gateway as process `incarnation` of `instance` and waits until it is ready and has
+    /// at least one target.
     ///
     /// # Errors
-    /// Those of listening.
+    /// `Io` when no port can be bound.
     pub async fn start(
         platform: &LocalPlatform,
         instance: &str,
@@ -43,29 +44,31 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let front = listener.local_addr()?;
         let socket = UdpSocket::bind(front).await?;
-        let platform = platform.another();
+        let platform = platform.new_client();
         let log = Log::new();
-        let me = process(instance, incarnation);
+        let own_id = process_id(instance, incarnation);
         let settings = settings(instance, zone, front);
-        let gw = Gateway::new(platform.clone(), settings, me, log.clone());
+        let gw = Gateway::new(platform.clone(), settings, own_id, log.clone());
         let tasks = gateway::start(&gw, listener, socket);
         let host = GatewayHost { front, gw, platform, log, tasks };
-        while !host.serves() {
-            sleep(LOOK).await;
+        while !host.is_serving() {
+            sleep(READY_POLL_INTERVAL).await;
         }
         Ok(host)
     }
 
-    fn serves(&self) -> bool {
+    fn is_serving(&self) -> bool {
         self.gw.is_ready() && self.gw.targets.count().1 > 0
     }
 
-    /// Stops its feed of the configuration, as a connection does that has gone silent.
-    pub fn stop_following(&self) {
+    /// Stops the gateway's feed of the configuration, like a connection on which nothing arrives
+    /// any more.
+    pub fn stop_config_feed(&self) {
         self.tasks[0].abort();
     }
 
-    /// Ends it as a kill would: it admits and writes nothing any more, and no caller hears of it.
+    /// Stops the gateway like a killed process: it admits and writes nothing more, and callers get
+    /// no notice.
     pub fn kill(self) {
         self.gw.budget_shares.halt();
         self.tasks.iter().for_each(JoinHandle::abort);
