--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -10,7 +10,7 @@
 
 use super::batch::EngineSize;
 use super::fleet::{loopback, router_settings};
-use super::local::{LocalNetwork,LocalNode, ProcessState};
+use super::local::{LocalNetwork, LocalNode, ProcessState};
 use crate::api::DEFAULT_PRIORITY;
 use crate::api::chat::{admission, choose_budget};
 use crate::budget::sizing::Sizing;
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -13,7 +13,7 @@
 use kingcupwall::request::stage::Repeatable;
 use kingcupwall::standin::batch::{expected_token, natural_length};
 use kingcupwall::standin::local::{ProcessState, TargetCondition};
-use kingcupwall::standin::local_fleet::{FleetSetup,LocalFleet, LocalRequest};
+use kingcupwall::standin::local_fleet::{FleetSetup, LocalFleet, LocalRequest};
 use kingcupwall::table::memory::Faults;
 use kingcupwall::table::{Mutation, Table, Txn, scan_all};
 use rstest::rstest;
