--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -15,51 +15,56 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// The header with the proof of whose answer it is.
-pub const SEAL: &str = "Response-Seal";
+pub const SEAL_HEADER: &str = "Response-Seal";
 /// The host of all routes.
 pub const HOST: &str = "shop.example";
 /// How long a caller waits for an answer.
-pub(crate) const TIME_LEFT: Duration = Duration::from_secs(4);
+pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long it waits for an entry answer.
-const ENTRY: Duration = Duration::from_millis(800);
+const DIRECTORY_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long an entry answer is kept.
-const ENTRY_KEPT: Duration = Duration::from_secs(1);
+const DIRECTORY_TTL: Duration = Duration::from_secs(1);
 
 /// A kind of request, named by its route's prefix.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Asked {
+pub enum RequestKind {
     /// May run more than once.
-    Safe,
+    Idempotent,
     /// May run once.
-    Once,
+    NonIdempotent,
     /// A stream that may run once.
     Stream,
     /// A stream that may go on elsewhere.
-    Resumable,
+    ResumableStream,
 }
 
-impl Asked {
+impl RequestKind {
     /// All kinds.
-    pub const ALL: [Asked; 4] = [Asked::Safe, Asked::Once, Asked::Stream, Asked::Resumable];
+    pub const ALL: [RequestKind; 4] = [
+        RequestKind::Idempotent,
+        RequestKind::NonIdempotent,
+        RequestKind::Stream,
+        RequestKind::ResumableStream,
+    ];
 
     /// The prefix of its route.
     pub fn prefix(self) -> &'static str {
         match self {
-            Asked::Safe => "/safe/",
-            Asked::Once => "/once/",
-            Asked::Stream => "/stream/",
-            Asked::Resumable => "/resumable/",
+            RequestKind::Idempotent => "/safe/",
+            RequestKind::NonIdempotent => "/once/",
+            RequestKind::Stream => "/stream/",
+            RequestKind::ResumableStream => "/resumable/",
         }
     }
 
     /// Whether its answer is a stream.
     pub fn is_stream(self) -> bool {
-        matches!(self, Asked::Stream | Asked::Resumable)
+        matches!(self, RequestKind::Stream | RequestKind::ResumableStream)
     }
 
     /// Whether it may run more than once.
-    pub fn repeats(self) -> bool {
-        matches!(self, Asked::Safe | Asked::Resumable)
+    pub fn is_repeatable(self) -> bool {
+        matches!(self, RequestKind::Idempotent | RequestKind::ResumableStream)
     }
 }
 
@@ -69,7 +74,7 @@
     /// The request's id.
     pub id: CompactString,
     /// Its kind.
-    pub asked: Asked,
+    pub request_kind: RequestKind,
     /// The organisation whose key it bore.
     pub org: usize,
     /// Prompt tokens and most output tokens.
@@ -77,9 +82,9 @@
     /// The router that it was sent to.
     pub router: SocketAddr,
     /// When it was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// When an answer came that says that its target leaves.
-    pub heard_leaving: Option<Instant>,
+    pub leaving_at: Option<Instant>,
     /// The answer's status; none if there was no answer.
     pub status: Option<u16>,
     /// The proof of whose answer it is.
@@ -87,7 +92,7 @@
     /// The body as far as it came.
     pub body: String,
     /// Whether the body was whole.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl Exchange {
@@ -111,17 +116,17 @@
     /// The keys of organisations.
     pub keys: Vec<CompactString>,
     /// Everything that was sent, and what came.
-    pub seen: RefCell<Vec<Exchange>>,
+    pub exchange_log: RefCell<Vec<Exchange>>,
     /// Set once callers are to end.
-    pub over: Cell<bool>,
+    pub stop_requested: Cell<bool>,
 }
 
 /// One caller, until `over`.
-pub async fn call_on(callers: Rc<Callers>, number: u32, seed: u64) {
+pub async fn run_caller(callers: Rc<Callers>, number: u32, seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let mut open: Option<(SocketAddr, Conn)> = None;
     let mut sent = 0_u32;
-    while !callers.over.get() {
+    while !callers.stop_requested.get() {
         if open.is_none() {
             open = connect(&callers, &mut rng, number).await;
         }
@@ -131,8 +136,8 @@
         };
         sent += 1;
         let id = format_compact!("c{number}n{sent}");
-        let (exchange, keep) = ask(&callers, router, &mut conn, &mut rng, id).await;
-        callers.seen.borrow_mut().push(exchange);
+        let (exchange, keep) = send_request(&callers, router, &mut conn, &mut rng, id).await;
+        callers.exchange_log.borrow_mut().push(exchange);
         // An open connection is used as long as the router keeps it.
         open = keep.then_some((router, conn));
         sleep(Duration::from_millis(rng.u64(10..60))).await;
@@ -148,67 +153,68 @@
     let mut directories = callers.directories.clone();
     rng.shuffle(&mut directories);
     for directory in directories {
-        let asked = timeout(ENTRY, resolve(directory, zone)).await;
-        let Ok(Some(fronts)) = asked else { continue };
+        let resolved = timeout(DIRECTORY_TIMEOUT, resolve(directory, zone)).await;
+        let Ok(Some(fronts)) = resolved else { continue };
         let Some(front) = rng.choice(fronts) else { continue };
-        if let Ok(Ok(conn)) = timeout(ENTRY, Conn::dial(front, TIME_LEFT)).await {
+        if let Ok(Ok(conn)) = timeout(DIRECTORY_TIMEOUT, Conn::dial(front, REQUEST_TIMEOUT)).await {
             return Some((front, conn));
         }
     }
-    sleep(ENTRY_KEPT / 10).await;
+    sleep(DIRECTORY_TTL / 10).await;
     None
 }
 
 /// Asks one router which addresses to use.
 async fn resolve(directory: SocketAddr, zone: &str) -> Option<Vec<SocketAddr>> {
-    let mut conn = Conn::dial(directory, ENTRY).await.ok()?;
-    let ask = format!("GET /resolve?name={HOST}&zone={zone} HTTP/1.1\r\nHost: entry\r\n\r\n");
-    conn.write(ask.as_bytes()).await.ok()?;
+    let mut conn = Conn::dial(directory, DIRECTORY_TIMEOUT).await.ok()?;
+    let request = format!("GET /resolve?name={HOST}&zone={zone} HTTP/1.1\r\nHost: entry\r\n\r\n");
+    conn.write(request.as_bytes()).await.ok()?;
     let head = conn.read_response(16 * 1024).await.ok()?;
     let body = conn.read_body(head.body, 64 * 1024).await.ok()??;
-    let answer: Value = serde_json::from_slice(&body).ok()?;
-    let addresses = answer["addresses"].as_array()?;
+    let reply: Value = serde_json::from_slice(&body).ok()?;
+    let addresses = reply["addresses"].as_array()?;
     Some(addresses.iter().filter_map(|a| a.as_str()?.parse().ok()).collect())
 }
 
-async fn ask(
+async fn send_request(
     callers: &Callers,
     router: SocketAddr,
     conn: &mut Conn,
     rng: &mut Rng,
     id: CompactString,
 ) -> (Exchange, bool) {
-    let asked = rng.choice(Asked::ALL).expect("there are kinds");
+    let request_kind = rng.choice(RequestKind::ALL).expect("there are kinds");
     let org = rng.usize(..callers.keys.len());
-    let tokens = if asked.is_stream() { (rng.u64(20..200), 2 * rng.u64(2..30)) } else { (0, 0) };
+    let tokens =
+        if request_kind.is_stream() { (rng.u64(20..200), 2 * rng.u64(2..30)) } else { (0, 0) };
     let mut exchange = Exchange {
         id,
-        asked,
+        request_kind,
         org,
         tokens,
         router,
-        sent: Instant::now(),
-        heard_leaving: None,
+        sent_at: Instant::now(),
+        leaving_at: None,
         status: None,
         seal: None,
         body: String::new(),
-        whole: false,
+        is_complete: false,
     };
     let names = names::headers();
-    let (prefix, id, key) = (asked.prefix(), &exchange.id, &callers.keys[org]);
+    let (prefix, id, key) = (request_kind.prefix(), &exchange.id, &callers.keys[org]);
     let bytes = format!(
         "GET {prefix}{id} HTTP/1.1\r\nHost: {HOST}\r\n{}: {id}\r\n{}: {}\r\nAuthorization: Bearer {key}\r\n{}: {},{}\r\n\r\n",
         names.request_id,
         names.time_left,
-        TIME_LEFT.as_millis(),
+        REQUEST_TIMEOUT.as_millis(),
         names.token_counts,
         tokens.0,
         tokens.1,
     );
-    let answered = async {
+    let exchanged = async {
         conn.write(bytes.as_bytes()).await.ok()?;
         let head = conn.read_response(64 * 1024).await.ok()?;
-        note_head(&mut exchange, &head);
+        record_head(&mut exchange, &head);
         let mut framing = head.body;
         loop {
             match conn.read_piece(&mut framing).await {
@@ -217,16 +223,16 @@
                 Err(_) => return None,
             }
         }
-        exchange.whole = true;
+        exchange.is_complete = true;
         Some(head.keep)
     };
-    let keep = timeout(TIME_LEFT, answered).await.ok().flatten().unwrap_or(false);
+    let keep = timeout(REQUEST_TIMEOUT, exchanged).await.ok().flatten().unwrap_or(false);
     (exchange, keep)
 }
 
-fn note_head(exchange: &mut Exchange, head: &ResponseHead) {
+fn record_head(exchange: &mut Exchange, head: &ResponseHead) {
     exchange.status = Some(head.status);
-    exchange.seal = header(&head.headers, SEAL).map(CompactString::from);
+    exchange.seal = header(&head.headers, SEAL_HEADER).map(CompactString::from);
     let leaving = header(&head.headers, &names::headers().leaving);
-    exchange.heard_leaving = leaving.map(|_| Instant::now());
+    exchange.leaving_at = leaving.map(|_| Instant::now());
 }
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -15,7 +15,7 @@
     let mut times: HashMap<&CompactString, u64> = HashMap::new();
     runs.iter().for_each(|r| *times.entry(&r.id).or_default() += 1);
     let mut found: Vec<String> = seen.iter().filter_map(check_answer).collect();
-    for e in seen.iter().filter(|e| !e.asked.repeats()) {
+    for e in seen.iter().filter(|e| !e.request_kind.is_repeatable()) {
         let n = times.get(&e.id).copied().unwrap_or(0);
         if n > 1 {
             found.push(format!("{}: ran {n} times, may run once", e.id));
@@ -48,15 +48,15 @@
     if owner != Some(e.id.as_str()) {
         return Some(format!("{}: success that belongs to {:?}", e.id, e.seal));
     }
-    if !e.asked.is_stream() {
+    if !e.request_kind.is_stream() {
         let is_whole_text = e.body.ends_with(&format!(" to {}", e.id));
-        return (e.whole && !is_whole_text).then(|| format!("{}: body {:?}", e.id, e.body));
+        return (e.is_complete && !is_whole_text).then(|| format!("{}: body {:?}", e.id, e.body));
     }
     let events = e.events();
     let in_order = events.iter().copied().eq(1..=events.len() as u64);
     if !in_order {
         return Some(format!("{}: events {events:?}", e.id));
     }
-    let is_short = e.whole && events.len() as u64 != e.expected_events();
+    let is_short = e.is_complete && events.len() as u64 != e.expected_events();
     is_short.then(|| format!("{}: {} events look whole", e.id, events.len()))
 }
--- a/soak/src/fatal.rs
+++ b/soak/src/fatal.rs
@@ -11,7 +11,7 @@
 use kingcupwall_platform::names;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::callers::{Callers, HOST, TIME_LEFT, connect};
+use crate::callers::{Callers, HOST, REQUEST_TIMEOUT, connect};
 
 /// Pause between two attempts.
 const PAUSE: Duration = Duration::from_millis(150);
@@ -24,14 +24,14 @@
     let mut rng = Rng::with_seed(seed);
     let began = Instant::now();
     let mut sent = 0_u32;
-    while !callers.over.get() {
+    while !callers.stop_requested.get() {
         let kind = (began.elapsed().as_secs_f64() / each.as_secs_f64()) as u32;
         let path = format_compact!("/safe/fatal-{}", kind.min(kinds - 1));
         if let Some((_, mut conn)) = connect(&callers, &mut rng, sent).await {
             let bytes = request(&path, sent, &callers.keys[0]);
             sent += 1;
             // What becomes of it is seen at the targets.
-            let _ = timeout(TIME_LEFT, async {
+            let _ = timeout(REQUEST_TIMEOUT, async {
                 conn.write(&bytes).await?;
                 conn.has_more().await
             })
@@ -48,7 +48,7 @@
          Authorization: Bearer {key}\r\nContent-Length: {}\r\n\r\n",
         names.request_id,
         names.time_left,
-        TIME_LEFT.as_millis(),
+        REQUEST_TIMEOUT.as_millis(),
         FATAL_BODY.len(),
     )
     .into_bytes();
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -7,7 +7,7 @@
 use kingcupwall::rows::Fault as StoreFault;
 use kingcupwall::standin::gateway_target::TargetFault;
 
-use crate::proxy::Mode;
+use crate::proxy::LinkMode;
 
 /// One thing that goes wrong, or that operators do.
 #[derive(Clone, Debug, PartialEq)]
@@ -19,13 +19,13 @@
     /// A partition of the store answers nobody.
     Partition(usize, Duration),
     /// A router's link to the store.
-    StoreLink(usize, Mode, Duration),
+    StoreLink(usize, LinkMode, Duration),
     /// All routers' links to the store.
-    AllStoreLinks(Mode, Duration),
+    AllStoreLinks(LinkMode, Duration),
     /// A router's connections to the store are reset.
     StoreReset(usize),
     /// The link to a target.
-    TargetLink(usize, Mode, Duration),
+    TargetLink(usize, LinkMode, Duration),
     /// A target's connections are reset.
     TargetReset(usize),
     /// The next requests of a target fail.
@@ -50,7 +50,7 @@
 
 /// What there is to break.
 #[derive(Clone, Copy, Debug)]
-pub struct Parts {
+pub struct FleetSize {
     /// Routers.
     pub routers: usize,
     /// Targets.
@@ -59,31 +59,31 @@
     pub orgs: usize,
 }
 
-fn millis(rng: &mut Rng, from: u64, to: u64) -> Duration {
+fn random_millis(rng: &mut Rng, from: u64, to: u64) -> Duration {
     Duration::from_millis(rng.u64(from..to))
 }
 
-fn store_fault(rng: &mut Rng) -> StoreFault {
+fn random_store_fault(rng: &mut Rng) -> StoreFault {
     match rng.u8(..6) {
         0 => StoreFault::Reject(503),
         1 => StoreFault::Reject(429),
         2 => StoreFault::Silent,
-        3 => StoreFault::Slow(millis(rng, 20, 800)),
+        3 => StoreFault::Slow(random_millis(rng, 20, 800)),
         4 => StoreFault::LoseAnswers,
-        _ => StoreFault::Late(millis(rng, 500, 6_000)),
+        _ => StoreFault::Late(random_millis(rng, 500, 6_000)),
     }
 }
 
-fn mode(rng: &mut Rng) -> Mode {
+fn random_mode(rng: &mut Rng) -> LinkMode {
     match rng.u8(..4) {
-        0 => Mode::Delay(millis(rng, 5, 300)),
-        1 => Mode::CutForth,
-        2 => Mode::CutBack,
-        _ => Mode::Silent,
+        0 => LinkMode::Delay(random_millis(rng, 5, 300)),
+        1 => LinkMode::StallForward,
+        2 => LinkMode::StallBackward,
+        _ => LinkMode::StallBoth,
     }
 }
 
-fn target_fault(rng: &mut Rng) -> TargetFault {
+fn random_target_fault(rng: &mut Rng) -> TargetFault {
     match rng.u8(..8) {
         0 => TargetFault::Full,
         1 => TargetFault::OtherTarget,
@@ -97,28 +97,28 @@
 }
 
 /// The next fault, and the pause before it.
-pub fn next(rng: &mut Rng, parts: Parts) -> (Duration, Fault) {
-    let pause = millis(rng, 50, 600);
-    let router = rng.usize(..parts.routers);
-    let target = rng.usize(..parts.targets);
-    let long = millis(rng, 300, 5_000);
+pub fn random_fault(rng: &mut Rng, fleet: FleetSize) -> (Duration, Fault) {
+    let pause = random_millis(rng, 50, 600);
+    let router = rng.usize(..fleet.routers);
+    let target = rng.usize(..fleet.targets);
+    let duration = random_millis(rng, 300, 5_000);
     let fault = match rng.u8(..40) {
-        0..=4 => Fault::Store(router, store_fault(rng), long),
+        0..=4 => Fault::Store(router, random_store_fault(rng), duration),
         5 => Fault::Compact,
-        6 | 7 => Fault::Partition(rng.usize(..parts.orgs), long),
-        8..=10 => Fault::StoreLink(router, mode(rng), long),
-        11 => Fault::AllStoreLinks(mode(rng), long),
+        6 | 7 => Fault::Partition(rng.usize(..fleet.orgs), duration),
+        8..=10 => Fault::StoreLink(router, random_mode(rng), duration),
+        11 => Fault::AllStoreLinks(random_mode(rng), duration),
         12 => Fault::StoreReset(router),
-        13..=15 => Fault::TargetLink(target, mode(rng), long),
+        13..=15 => Fault::TargetLink(target, random_mode(rng), duration),
         16 | 17 => Fault::TargetReset(target),
-        18..=27 => Fault::Target(target, target_fault(rng)),
+        18..=27 => Fault::Target(target, random_target_fault(rng)),
         28 => Fault::Replace(target),
-        29 | 30 => Fault::Pause(router, millis(rng, 100, 3_000)),
-        31..=33 => Fault::Kill(router, millis(rng, 10, 1_500)),
-        34 => Fault::KillAll(millis(rng, 10, 1_500)),
+        29 | 30 => Fault::Pause(router, random_millis(rng, 100, 3_000)),
+        31..=33 => Fault::Kill(router, random_millis(rng, 10, 1_500)),
+        34 => Fault::KillAll(random_millis(rng, 10, 1_500)),
         35 | 36 => Fault::Stop(router),
         37 => Fault::Reload(router),
-        38 => Fault::TopUp(rng.usize(..parts.orgs)),
+        38 => Fault::TopUp(rng.usize(..fleet.orgs)),
         _ => Fault::Configure,
     };
     (pause, fault)
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -80,11 +80,11 @@
         .exchanges
         .iter()
         .filter(of_target)
-        .filter_map(|e| Some((e.router, e.heard_leaving?)))
+        .filter_map(|e| Some((e.router, e.leaving_at?)))
         .collect();
     let late = |(e, a): &(&Exchange, &Arrival)| {
         let before =
-            |(router, at): &&(SocketAddr, Instant)| *router == e.router && *at + DRAIN < e.sent;
+            |(router, at): &&(SocketAddr, Instant)| *router == e.router && *at + DRAIN < e.sent_at;
         let heard = told.iter().filter(before).map(|(_, at)| *at).max()?;
         let ms = (a.at - heard).as_millis();
         (!harmed(seen.routers, &e.router, heard, a.at))
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -15,24 +15,24 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Bytes that are passed on at once.
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 /// How often held bytes look whether the link is back.
-const LOOK: Duration = Duration::from_millis(10);
+const STALL_POLL: Duration = Duration::from_millis(10);
 
 /// How a link behaves.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Mode {
+pub enum LinkMode {
     /// Passes everything on.
     #[default]
     Pass,
     /// Holds every piece for so long.
     Delay(Duration),
     /// Nothing arrives at the far end; what the far end sends does.
-    CutForth,
+    StallForward,
     /// Nothing comes back.
-    CutBack,
+    StallBackward,
     /// Neither way; new connections open and stay silent.
-    Silent,
+    StallBoth,
 }
 
 /// A link between a router and whatever it calls.
@@ -40,10 +40,10 @@
 pub struct Proxy {
     /// Where to connect to.
     pub addr: SocketAddr,
-    to: SocketAddr,
-    mode: Rc<Cell<Mode>>,
+    upstream: SocketAddr,
+    mode: Rc<Cell<LinkMode>>,
     /// Bytes a second that come back, over all connections; without one as many as there are.
-    rate: Option<u64>,
+    return_bytes_per_s: Option<u64>,
     /// When the bytes that are on their way back have arrived.
     busy_until: Rc<Cell<Instant>>,
     resets: Rc<RefCell<watch::Sender<u64>>>,
@@ -51,17 +51,21 @@
 }
 
 impl Proxy {
-    /// A proxy at a free port of `ip` for `to`, over which `rate` bytes a second come back.
+    /// A proxy at a free port of `ip` for `to`, over which `return_bytes_per_s` bytes a second come back.
     ///
     /// # Errors
     /// Those of listening.
-    pub async fn start(ip: &str, to: SocketAddr, rate: Option<u64>) -> Result<Proxy> {
+    pub async fn start(
+        ip: &str,
+        upstream: SocketAddr,
+        return_bytes_per_s: Option<u64>,
+    ) -> Result<Proxy> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let proxy = Proxy {
             addr: listener.local_addr()?,
-            to,
+            upstream,
             mode: Rc::default(),
-            rate,
+            return_bytes_per_s,
             busy_until: Rc::new(Cell::new(Instant::now())),
             resets: Rc::new(RefCell::new(watch::Sender::new(0))),
             closed: Rc::new(watch::Sender::new(false)),
@@ -70,8 +74,8 @@
         spawn_local(async move {
             let mut closed = serving.closed.subscribe();
             let accept = async {
-                while let Ok((near, _)) = listener.accept().await {
-                    spawn_local(serving.clone().carry(near));
+                while let Ok((client, _)) = listener.accept().await {
+                    spawn_local(serving.clone().forward(client));
                 }
             };
             tokio::select! {
@@ -85,7 +89,7 @@
     }
 
     /// Sets how the link behaves from now on. What was held arrives once it passes again.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: LinkMode) {
         self.mode.set(mode);
     }
 
@@ -99,46 +103,54 @@
         self.closed.send_replace(true);
     }
 
-    async fn carry(self, near: TcpStream) {
+    async fn forward(self, client: TcpStream) {
         let mut reset = self.resets.borrow().subscribe();
-        let Ok(far) = TcpStream::connect(self.to).await else { return };
-        let (mut near_r, mut near_w) = near.into_split();
-        let (mut far_r, mut far_w) = far.into_split();
+        let Ok(server) = TcpStream::connect(self.upstream).await else { return };
+        let (mut client_r, mut client_w) = client.into_split();
+        let (mut server_r, mut server_w) = server.into_split();
         let was_reset = tokio::select! {
-            () = self.pass(&mut near_r, &mut far_w, Mode::CutForth) => false,
-            () = self.pass(&mut far_r, &mut near_w, Mode::CutBack) => false,
+            () = self.copy_one_way(&mut client_r, &mut server_w, LinkMode::StallForward) => false,
+            () = self.copy_one_way(&mut server_r, &mut client_w, LinkMode::StallBackward) => false,
             _ = reset.changed() => true,
         };
         if was_reset {
             // A socket that is already closed cannot be reset any more.
-            let _ = near_r.as_ref().set_zero_linger();
-            let _ = far_r.as_ref().set_zero_linger();
+            let _ = client_r.as_ref().set_zero_linger();
+            let _ = server_r.as_ref().set_zero_linger();
         }
     }
 
     /// Passes bytes one way until that way ends. A half that ends ends the whole connection once
     /// its last bytes have gone out.
-    async fn pass(&self, from: &mut OwnedReadHalf, to: &mut OwnedWriteHalf, cut: Mode) {
-        let mut buf = vec![0; CHUNK];
-        while let Ok(n) = from.read(&mut buf).await {
-            if let Mode::Delay(d) = self.mode.get() {
+    async fn copy_one_way(
+        &self,
+        reader: &mut OwnedReadHalf,
+        writer: &mut OwnedWriteHalf,
+        stall_mode: LinkMode,
+    ) {
+        let mut buf = vec![0; CHUNK_BYTES];
+        while let Ok(n) = reader.read(&mut buf).await {
+            if let LinkMode::Delay(d) = self.mode.get() {
                 sleep(d).await;
             }
-            if let Some(rate) = self.rate.filter(|_| cut == Mode::CutBack) {
+            if let Some(return_bytes_per_s) =
+                self.return_bytes_per_s.filter(|_| stall_mode == LinkMode::StallBackward)
+            {
                 let start = self.busy_until.get().max(Instant::now());
-                self.busy_until.set(start + Duration::from_secs_f64(n as f64 / rate as f64));
+                self.busy_until
+                    .set(start + Duration::from_secs_f64(n as f64 / return_bytes_per_s as f64));
                 sleep_until(self.busy_until.get()).await;
             }
-            while self.mode.get() == cut || self.mode.get() == Mode::Silent {
-                sleep(LOOK).await;
+            while self.mode.get() == stall_mode || self.mode.get() == LinkMode::StallBoth {
+                sleep(STALL_POLL).await;
             }
             if n == 0 {
                 // The far end reads the end only after everything before it.
-                let _ = to.shutdown().await;
-                sleep(LOOK).await;
+                let _ = writer.shutdown().await;
+                sleep(STALL_POLL).await;
                 return;
             }
-            if to.write_all(&buf[..n]).await.is_err() {
+            if writer.write_all(&buf[..n]).await.is_err() {
                 return;
             }
         }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -12,7 +12,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::callers::call_on;
+use crate::callers::run_caller;
 use crate::checks::check;
 use crate::fatal;
 use crate::notices;
@@ -70,7 +70,7 @@
     let world = World::start(setup, &logs).await?;
     spawn_local(world.clone().audit());
     for n in 0..setup.callers {
-        spawn_local(call_on(world.callers.clone(), n, setup.seed ^ u64::from(n + 1)));
+        spawn_local(run_caller(world.callers.clone(), n, setup.seed ^ u64::from(n + 1)));
     }
     let each = setup.faults_for / FATAL_KINDS;
     spawn_local(fatal::send_on(world.callers.clone(), FATAL_KINDS, each, setup.seed));
@@ -89,7 +89,7 @@
     fatal::check(&before, &world.runs()).into_iter().for_each(|v| world.note(v));
     zones::check(&world.all_targets(), &emptied).into_iter().for_each(|v| world.note(v));
     world.check_notices();
-    world.callers.over.set(true);
+    world.callers.stop_requested.set(true);
     for router in &world.routers {
         let mut router = router.lock().await;
         if let Some(status) = router.crashed() {
@@ -107,7 +107,7 @@
 impl World {
     /// Looks at the ledgers all the while: what is promised must never exceed what is prepaid.
     async fn audit(self: Rc<World>) {
-        while !self.callers.over.get() {
+        while !self.callers.stop_requested.get() {
             for org in 0..PREPAID.len() {
                 let prepaid = self.prepaid.borrow()[org];
                 if let Some(committed) = self.committed(&format!("org-{org}")).await
@@ -142,23 +142,24 @@
                 self.note(format!("calm again: {} is not ready", router.name));
             }
         }
-        let before = self.callers.seen.borrow().len();
+        let before = self.callers.exchange_log.borrow().len();
         sleep(CALM).await;
-        let seen = self.callers.seen.borrow();
-        let rich: Vec<_> = seen[before..].iter().filter(|e| e.org == PREPAID.len() - 1).collect();
-        let served = rich.iter().filter(|e| e.status == Some(200) && e.whole).count();
+        let exchange_log = self.callers.exchange_log.borrow();
+        let rich: Vec<_> =
+            exchange_log[before..].iter().filter(|e| e.org == PREPAID.len() - 1).collect();
+        let served = rich.iter().filter(|e| e.status == Some(200) && e.is_complete).count();
         if served * 2 <= rich.len() {
             self.note(format!("calm again: {served} of {} requests served", rich.len()));
         }
     }
 
     fn check_notices(&self) {
-        let seen = notices::Seen {
-            exchanges: &self.callers.seen.borrow(),
+        let exchange_log = notices::Seen {
+            exchanges: &self.callers.exchange_log.borrow(),
             routers: &self.router_harms.borrow(),
             links: &self.link_harms.borrow(),
         };
-        notices::check(&self.all_targets(), &seen).into_iter().for_each(|v| self.note(v));
+        notices::check(&self.all_targets(), &exchange_log).into_iter().for_each(|v| self.note(v));
     }
 
     /// All runs at all targets so far.
@@ -167,11 +168,18 @@
     }
 
     fn report(&self, seed: u64, faults: usize, logs: PathBuf) -> Report {
-        let seen = self.callers.seen.borrow();
-        let mut violations = check(&seen, &self.runs(), &self.prepaid.borrow());
+        let exchange_log = self.callers.exchange_log.borrow();
+        let mut violations = check(&exchange_log, &self.runs(), &self.prepaid.borrow());
         violations.extend(self.found.borrow().iter().cloned());
-        let whole = seen.iter().filter(|e| e.status == Some(200) && e.whole).count();
-        let refused = seen.iter().filter(|e| e.status == Some(503)).count();
-        Report { seed, counts: (whole, refused, seen.len()), faults, violations, logs }
+        let complete_successes =
+            exchange_log.iter().filter(|e| e.status == Some(200) && e.is_complete).count();
+        let refused = exchange_log.iter().filter(|e| e.status == Some(503)).count();
+        Report {
+            seed,
+            counts: (complete_successes, refused, exchange_log.len()),
+            faults,
+            violations,
+            logs,
+        }
     }
 }
--- a/soak/src/strikes.rs
+++ b/soak/src/strikes.rs
@@ -10,9 +10,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::faults::{Fault, Parts, next};
+use crate::faults::{Fault, FleetSize, random_fault};
 use crate::notices::{self, Harm};
-use crate::proxy::{Mode, Proxy};
+use crate::proxy::{LinkMode, Proxy};
 use crate::routers::Router;
 use crate::world::{PREPAID, START, Setup, TARGETS, World};
 
@@ -27,17 +27,18 @@
 const LOOK: Duration = Duration::from_millis(10);
 
 impl World {
-    /// Breaks things for the time of the setup, and waits until all of it is over: a stop may be
+    /// Breaks things for the time of the setup, and waits until all of it is stopped: a stop may be
     /// asked for while the one before still takes its whole grace, and begins only after it. Returns
     /// how many.
     pub(crate) async fn break_for(self: &Rc<World>, setup: &Setup) -> usize {
         let mut rng = Rng::with_seed(setup.seed);
-        let parts = Parts { routers: self.routers.len(), targets: TARGETS, orgs: PREPAID.len() };
+        let fleet =
+            FleetSize { routers: self.routers.len(), targets: TARGETS, orgs: PREPAID.len() };
         let until = Instant::now() + setup.faults_for;
         spawn_local(self.clone().grow(setup.faults_for / 3));
         let mut strikes = Vec::new();
         loop {
-            let (pause, fault) = next(&mut rng, parts);
+            let (pause, fault) = random_fault(&mut rng, fleet);
             if Instant::now() + pause > until {
                 break;
             }
@@ -88,9 +89,9 @@
     async fn strike(self: Rc<World>, fault: Fault) {
         match fault {
             Fault::Store(r, fault, d) => {
-                self.handles[r].set_fault(fault);
+                self.store_handles[r].set_fault(fault);
                 sleep(d).await;
-                self.handles[r].set_fault(StoreFault::None);
+                self.store_handles[r].set_fault(StoreFault::None);
             }
             Fault::Compact => self.store.compact(),
             Fault::Partition(org, d) => {
@@ -100,9 +101,9 @@
             }
             Fault::StoreLink(r, mode, d) => through(&self.store_links[r], mode, d).await,
             Fault::AllStoreLinks(mode, d) => {
-                self.store_links.iter().for_each(|l| l.set(mode));
+                self.store_links.iter().for_each(|l| l.set_mode(mode));
                 sleep(d).await;
-                self.store_links.iter().for_each(|l| l.set(Mode::Pass));
+                self.store_links.iter().for_each(|l| l.set_mode(LinkMode::Pass));
             }
             Fault::StoreReset(r) => self.store_links[r].reset(),
             Fault::TargetLink(t, mode, d) => {
@@ -199,8 +200,8 @@
     }
 }
 
-async fn through(link: &Proxy, mode: Mode, d: Duration) {
-    link.set(mode);
+async fn through(link: &Proxy, mode: LinkMode, d: Duration) {
+    link.set_mode(mode);
     sleep(d).await;
-    link.set(Mode::Pass);
+    link.set_mode(LinkMode::Pass);
 }
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::callers::{Asked, Callers, HOST, SEAL};
+use crate::callers::{Callers, HOST, RequestKind, SEAL_HEADER};
 use crate::notices::Harm;
 use crate::proxy::Proxy;
 use crate::routers::Router;
@@ -57,7 +57,7 @@
 /// Everything that runs.
 pub(crate) struct World {
     pub(crate) store: MemoryRows,
-    pub(crate) handles: Vec<MemoryRows>,
+    pub(crate) store_handles: Vec<MemoryRows>,
     pub(crate) store_links: Vec<Proxy>,
     pub(crate) routers: Vec<Mutex<Router>>,
     pub(crate) targets: RefCell<Vec<(StandinTarget, Proxy)>>,
@@ -80,7 +80,8 @@
         // A network of this soak's own on the loopback: others do not use its addresses.
         let ip = format_compact!("127.{}.{}", own / 250 + 1, own % 250 + 1);
         let store = MemoryRows::new();
-        let (mut handles, mut store_links, mut routers) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut store_handles, mut store_links, mut routers) =
+            (Vec::new(), Vec::new(), Vec::new());
         for n in 0..setup.routers {
             let handle = store.new_client();
             let listener = TcpListener::bind((format!("{ip}.250"), 0)).await?;
@@ -89,19 +90,19 @@
             spawn_local(store::serve(listener, handle.clone()));
             let (at, zone) = (format!("{ip}.{}", n + 1), format!("zone-{}", n / 2 % 2));
             let router = Router::new(logs, &setup.daemon, &at, n, &zone, link.addr)?;
-            handles.push(handle);
+            store_handles.push(handle);
             store_links.push(link);
             routers.push(router);
         }
         let callers = Callers {
             directories: routers.iter().map(Router::directory).collect(),
             keys: (0..PREPAID.len()).map(|n| format_compact!("key-{n}")).collect(),
-            seen: RefCell::default(),
-            over: Cell::new(false),
+            exchange_log: RefCell::default(),
+            stop_requested: Cell::new(false),
         };
         let world = Rc::new(World {
             store,
-            handles,
+            store_handles,
             store_links,
             routers: routers.into_iter().map(Mutex::new).collect(),
             targets: RefCell::default(),
@@ -129,7 +130,7 @@
 
     async fn wait_until_serving(&self) -> Result<()> {
         let until = Instant::now() + START;
-        let asked = async {
+        let all_registered = async {
             loop {
                 let page = self.store.scan("routers", "").await;
                 if page.is_ok_and(|p| p.rows.len() == self.routers.len()) {
@@ -138,7 +139,7 @@
                 sleep(ASK_AGAIN).await;
             }
         };
-        timeout_at(until, asked).await.map_err(|_| eyre!("the routers do not start"))
+        timeout_at(until, all_registered).await.map_err(|_| eyre!("the routers do not start"))
     }
 
     pub(crate) fn note(&self, violation: String) {
@@ -148,23 +149,23 @@
     /// Writes a configuration with the amounts as they stand.
     pub(crate) fn configure(&self) {
         self.version.set(self.version.get() + 3);
-        let kind = |a: Asked| match a {
-            Asked::Safe => "idempotent",
-            Asked::Once => "non_idempotent",
-            Asked::Stream | Asked::Resumable => "streaming",
+        let kind = |a: RequestKind| match a {
+            RequestKind::Idempotent => "idempotent",
+            RequestKind::NonIdempotent => "non_idempotent",
+            RequestKind::Stream | RequestKind::ResumableStream => "streaming",
         };
-        let route = |a: Asked, prefix: &str| {
+        let route = |a: RequestKind, prefix: &str| {
             json!({"name": prefix.trim_matches('/'), "host": HOST, "prefix": prefix,
                 "kind": kind(a), "timeout_ms": 3_500, "target_latency_ms": 400,
                 "gap_aim_ms": 200, "priority": 1, "service": "model", "public": false,
-                "max_attempts": if a.repeats() { 2 } else { 1 },
-                "resumable": a == Asked::Resumable})
+                "max_attempts": if a.is_repeatable() { 2 } else { 1 },
+                "resumable": a == RequestKind::ResumableStream})
         };
-        let used = Asked::ALL.into_iter().map(|a| route(a, a.prefix()));
-        let mut bound = route(Asked::Safe, zones::BOUND_PREFIX);
+        let used = RequestKind::ALL.into_iter().map(|a| route(a, a.prefix()));
+        let mut bound = route(RequestKind::Idempotent, zones::BOUND_PREFIX);
         bound["allowed_regions"] = json!([zones::HOME]);
-        let unused =
-            (0..self.more_routes.get()).map(|n| route(Asked::Safe, &format!("/more-{n}/")));
+        let unused = (0..self.more_routes.get())
+            .map(|n| route(RequestKind::Idempotent, &format!("/more-{n}/")));
         let prepaid = self.prepaid.borrow();
         let organisation = |(n, prepaid): (usize, &u64)| json!({"name": format!("org-{n}"), "api_keys": [format!("key-{n}")], "prepaid": prepaid});
         let config = json!({
@@ -181,7 +182,7 @@
     pub(crate) async fn add_target(self: &Rc<World>, n: usize) -> Result<()> {
         let id = format_compact!("t{n}-{}", self.replaced.get());
         let zone = format!("zone-{}", n % 2);
-        let headers = TargetNames { headers: names::headers(), seal: SEAL.into() };
+        let headers = TargetNames { headers: names::headers(), seal: SEAL_HEADER.into() };
         let target = StandinTarget::start_named(&id, "model", &zone, headers).await?;
         target.set_event_gap(EVENT_GAP);
         let link = Proxy::start(&format!("{}.252", self.ip), target.addr, None).await?;
--- a/soak/src/zones.rs
+++ b/soak/src/zones.rs
@@ -10,7 +10,7 @@
 use kingcupwall_platform::names;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::callers::{Callers, HOST, TIME_LEFT, connect};
+use crate::callers::{Callers, HOST, REQUEST_TIMEOUT, connect};
 
 /// The region of each zone, as settings write it.
 pub const REGIONS: &str = "{ zone-0: south, zone-1: north }";
@@ -87,19 +87,19 @@
     let mut rng = Rng::with_seed(seed);
     let names = names::headers();
     let mut sent = 0_u32;
-    while !callers.over.get() {
+    while !callers.stop_requested.get() {
         if let Some((_, mut conn)) = connect(&callers, &mut rng, sent).await {
             let bytes = format!(
                 "GET {BOUND_PREFIX}{sent} HTTP/1.1\r\nHost: {HOST}\r\n{}: bound-{sent}\r\n{}: {}\r\n\
                  Authorization: Bearer {}\r\n\r\n",
                 names.request_id,
                 names.time_left,
-                TIME_LEFT.as_millis(),
+                REQUEST_TIMEOUT.as_millis(),
                 callers.keys[callers.keys.len() - 1],
             );
             sent += 1;
             // What becomes of it is seen at the targets.
-            let _ = timeout(TIME_LEFT, async {
+            let _ = timeout(REQUEST_TIMEOUT, async {
                 conn.write(bytes.as_bytes()).await?;
                 conn.has_more().await
             })
--- a/soak/tests/tests.rs
+++ b/soak/tests/tests.rs
@@ -6,9 +6,9 @@
 
 use kingcupwall::http1::Header;
 use kingcupwall::standin::gateway_target::{Arrival, Seen as Ran};
-use kingcupwall_soak::callers::{Asked, Exchange};
+use kingcupwall_soak::callers::{Exchange, RequestKind};
 use kingcupwall_soak::checks::check;
-use kingcupwall_soak::faults::{Parts, next};
+use kingcupwall_soak::faults::{FleetSize, random_fault};
 use kingcupwall_soak::notices::{Harm, Seen, check_leaving, check_rest};
 use kingcupwall_soak::run::{Setup, run};
 use rstest::rstest;
@@ -17,19 +17,19 @@
 
 const ROUTER: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 
-fn exchange(asked: Asked, status: u16, body: &str) -> Exchange {
+fn exchange(request_kind: RequestKind, status: u16, body: &str) -> Exchange {
     Exchange {
         id: "a".into(),
-        asked,
+        request_kind,
         org: 0,
         tokens: (10, 6),
         router: ROUTER,
-        sent: Instant::now(),
-        heard_leaving: None,
+        sent_at: Instant::now(),
+        leaving_at: None,
         status: Some(status),
         seal: Some("t1.a".into()),
         body: body.into(),
-        whole: true,
+        is_complete: true,
     }
 }
 
@@ -46,16 +46,16 @@
 fn check_holds() {
     let stream: String = (1..=3).map(event).collect();
     let seen = [
-        exchange(Asked::Once, 200, "answer of t1 to a"),
-        exchange(Asked::Stream, 200, &stream),
-        exchange(Asked::Safe, 503, ""),
+        exchange(RequestKind::NonIdempotent, 200, "answer of t1 to a"),
+        exchange(RequestKind::Stream, 200, &stream),
+        exchange(RequestKind::Idempotent, 503, ""),
     ];
     assert_eq!(check(&seen, &[ran("a")], &[1_000]), Vec::<String>::new());
 }
 
 #[test]
 fn check_answer_of_another() {
-    let mut wrong = exchange(Asked::Safe, 200, "answer of t1 to b");
+    let mut wrong = exchange(RequestKind::Idempotent, 200, "answer of t1 to b");
     assert_eq!(check(&[wrong.clone()], &[], &[1_000]).len(), 1);
     wrong.body = "answer of t1 to a".into();
     wrong.seal = Some("t1.b".into());
@@ -65,25 +65,28 @@
 #[test]
 fn check_stream_gap_and_short() {
     let gap = [event(1), event(3)].concat();
-    assert_eq!(check(&[exchange(Asked::Stream, 200, &gap)], &[], &[1_000]).len(), 1);
+    assert_eq!(check(&[exchange(RequestKind::Stream, 200, &gap)], &[], &[1_000]).len(), 1);
     let short = [event(1), event(2)].concat();
-    assert_eq!(check(&[exchange(Asked::Stream, 200, &short)], &[], &[1_000]).len(), 1);
-    let mut cut = exchange(Asked::Stream, 200, &short);
-    cut.whole = false;
+    assert_eq!(check(&[exchange(RequestKind::Stream, 200, &short)], &[], &[1_000]).len(), 1);
+    let mut cut = exchange(RequestKind::Stream, 200, &short);
+    cut.is_complete = false;
     assert_eq!(check(&[cut], &[], &[1_000]).len(), 0);
 }
 
 #[test]
 fn check_ran_twice_or_after_refusal() {
-    let once = exchange(Asked::Once, 200, "answer of t1 to a");
+    let once = exchange(RequestKind::NonIdempotent, 200, "answer of t1 to a");
     assert_eq!(check(&[once], &[ran("a"), ran("a")], &[1_000]).len(), 1);
-    assert_eq!(check(&[exchange(Asked::Once, 503, "")], &[ran("a")], &[1_000]).len(), 1);
+    assert_eq!(
+        check(&[exchange(RequestKind::NonIdempotent, 503, "")], &[ran("a")], &[1_000]).len(),
+        1
+    );
 }
 
 #[test]
 fn check_overspent() {
     let stream: String = (1..=3).map(event).collect();
-    let seen = [exchange(Asked::Stream, 200, &stream)];
+    let seen = [exchange(RequestKind::Stream, 200, &stream)];
     assert_eq!(check(&seen, &[ran("a")], &[15]), ["organisation 0: used 16 of 15"]);
 }
 
@@ -98,17 +101,19 @@
 #[case::router_started_again_before(2.1, Some(-1.0), 1)]
 fn check_leaving_counts(#[case] sent_s: f64, #[case] killed_s: Option<f64>, #[case] found: usize) {
     let start = Instant::now() + seconds(10.0);
-    let told = Exchange { heard_leaving: Some(start), ..exchange(Asked::Once, 200, "") };
-    let sent = start + seconds(sent_s);
-    let late = Exchange { id: "b".into(), sent, ..exchange(Asked::Once, 200, "") };
-    let arrival = Arrival { id: "b".into(), at: sent, retry_after: None };
+    let notified =
+        Exchange { leaving_at: Some(start), ..exchange(RequestKind::NonIdempotent, 200, "") };
+    let sent_at = start + seconds(sent_s);
+    let late =
+        Exchange { id: "b".into(), sent_at, ..exchange(RequestKind::NonIdempotent, 200, "") };
+    let arrival = Arrival { id: "b".into(), at: sent_at, retry_after: None };
     let begin = start.checked_sub(seconds(10.0)).unwrap();
     let killed = |s: f64| begin + seconds(10.0 + s);
     let harms: Vec<_> = killed_s
         .map(|s| Harm { whom: ROUTER, from: killed(s), to: killed(s) })
         .into_iter()
         .collect();
-    let exchanges = [told, late];
+    let exchanges = [notified, late];
     let seen = Seen { exchanges: &exchanges, routers: &harms, links: &[] };
     assert_eq!(check_leaving("t1", &[(&exchanges[1], &arrival)], &seen).len(), found);
 }
@@ -121,7 +126,7 @@
 #[case::link_harmed(&[0.0, 0.6, 0.7, 2.9], true, 0)]
 fn check_rest_counts(#[case] at_s: &[f64], #[case] harmed: bool, #[case] found: usize) {
     let start = Instant::now();
-    let one = exchange(Asked::Once, 503, "");
+    let one = exchange(RequestKind::NonIdempotent, 503, "");
     let arrival = |(i, s): (usize, &f64)| Arrival {
         id: "a".into(),
         at: start + seconds(*s),
@@ -137,11 +142,11 @@
 }
 
 #[test]
-fn next_same_seed_same_faults() {
-    let parts = Parts { routers: 4, targets: 4, orgs: 3 };
+fn random_fault_same_seed() {
+    let fleet = FleetSize { routers: 4, targets: 4, orgs: 3 };
     let series = |seed| {
         let mut rng = fastrand::Rng::with_seed(seed);
-        (0..200).map(|_| next(&mut rng, parts)).collect::<Vec<_>>()
+        (0..200).map(|_| random_fault(&mut rng, fleet)).collect::<Vec<_>>()
     };
     assert_eq!(series(7), series(7));
     assert_ne!(series(7), series(8));
