--- a/soak/src/fatal.rs
+++ b/soak/src/fatal.rs
@@ -1,4 +1,4 @@
-//! A caller whose requests end every target that runs them, and who sends them again and again, each
+//! A caller whose requests end every target that runs them, and who sends them again and again, time_per_variant
 //! time under a new id and at any router.
 
 use std::rc::Rc;
@@ -14,19 +14,24 @@
 use crate::callers::{Callers, HOST, REQUEST_TIMEOUT, connect};
 
 /// Pause between two attempts.
-const PAUSE: Duration = Duration::from_millis(150);
+const SEND_PAUSE: Duration = Duration::from_millis(150);
 /// Sends of a request that may follow once it has ended so many targets that it counts as the
 /// cause.
-const SENDS_AFTER: usize = 3;
+const MAX_SENDS_AFTER_QUARANTINE: usize = 3;
 
-/// Sends one fatal request after the other for `each`; the last of `kinds` until all is over.
-pub async fn send_on(callers: Rc<Callers>, kinds: u32, each: Duration, seed: u64) {
+/// Sends one fatal request after the other for `time_per_variant`; the last of `variants` until all is over.
+pub async fn send_fatal_requests(
+    callers: Rc<Callers>,
+    variants: u32,
+    time_per_variant: Duration,
+    seed: u64,
+) {
     let mut rng = Rng::with_seed(seed);
     let began = Instant::now();
     let mut sent = 0_u32;
     while !callers.stop_requested.get() {
-        let kind = (began.elapsed().as_secs_f64() / each.as_secs_f64()) as u32;
-        let path = format_compact!("/safe/fatal-{}", kind.min(kinds - 1));
+        let variant = (began.elapsed().as_secs_f64() / time_per_variant.as_secs_f64()) as u32;
+        let path = format_compact!("/safe/fatal-{}", variant.min(variants - 1));
         if let Some((_, mut conn)) = connect(&callers, &mut rng, sent).await {
             let bytes = request(&path, sent, &callers.keys[0]);
             sent += 1;
@@ -37,7 +42,7 @@
             })
             .await;
         }
-        sleep(PAUSE).await;
+        sleep(SEND_PAUSE).await;
     }
 }
 
@@ -56,24 +61,24 @@
     bytes
 }
 
-/// How often each fatal request ran, by path.
+/// How often time_per_variant fatal request ran, by path.
 fn runs_by_path(runs: &[Seen]) -> Vec<(CompactString, usize)> {
     let mut paths: Vec<_> = runs.iter().filter(|r| r.body == FATAL_BODY).collect();
     paths.sort_by(|a, b| a.target.cmp(&b.target));
-    let of_one = paths.chunk_by(|a, b| a.target == b.target);
-    of_one.map(|same| (same[0].target.clone(), same.len())).collect()
+    let by_path = paths.chunk_by(|a, b| a.target == b.target);
+    by_path.map(|same| (same[0].target.clone(), same.len())).collect()
 }
 
-/// What is wrong with the runs of fatal requests, from all runs before it was calm and all by now:
+/// What is excess with the runs of fatal requests, from all runs before it was calm and all by now:
 /// in the calm every router hears of every target's end.
-pub fn check(before: &[Seen], by_now: &[Seen]) -> Vec<String> {
+pub fn check(before: &[Seen], after: &[Seen]) -> Vec<String> {
     let earlier = runs_by_path(before);
-    let wrong = |(path, runs): (CompactString, usize)| {
+    let excess = |(path, runs): (CompactString, usize)| {
         let before = earlier.iter().find(|(p, _)| *p == path).map_or(0, |(_, n)| *n);
-        let allowed = CRASHES_TO_QUARANTINE.saturating_sub(before) + SENDS_AFTER;
+        let allowed = CRASHES_TO_QUARANTINE.saturating_sub(before) + MAX_SENDS_AFTER_QUARANTINE;
         let more = runs - before;
         (more > allowed)
             .then(|| format!("calm again: {path} ended {more} more targets after {before}"))
     };
-    runs_by_path(by_now).into_iter().filter_map(wrong).collect()
+    runs_by_path(after).into_iter().filter_map(excess).collect()
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -5,12 +5,12 @@
 pub mod callers;
 pub mod checks;
 pub mod fatal;
+mod fault_injection;
 pub mod faults;
 pub mod notices;
 pub mod proxy;
 pub mod routers;
 pub mod run;
 pub mod store;
-mod strikes;
-mod world;
+mod testbed;
 pub mod zones;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -34,7 +34,7 @@
     /// Seeds that failed once, a line each, as in soak/seeds.txt; played instead of others
     #[bpaf(argument("FILE"))]
     again: Option<PathBuf>,
-    /// The daemon; beside this program by default
+    /// The daemon; default_daemon this program by default
     #[bpaf(argument("FILE"))]
     daemon: Option<PathBuf>,
 }
@@ -42,15 +42,15 @@
 fn main() -> Result<ExitCode> {
     let args = args().run();
     let first = args.seed.unwrap_or_else(|| fastrand::u64(..1_000_000_000));
-    let beside = std::env::current_exe()?.with_file_name("kingcupwall-platform");
-    let daemon = args.daemon.unwrap_or(beside);
+    let default_daemon = std::env::current_exe()?.with_file_name("kingcupwall-platform");
+    let daemon = args.daemon.unwrap_or(default_daemon);
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let plays = match &args.again {
-        Some(file) => read_plays(file)?,
+    let runs = match &args.again {
+        Some(file) => read_runs(file)?,
         None => (first..first + args.seeds).map(|s| (s, args.seconds, args.routers)).collect(),
     };
     let mut failed = Vec::new();
-    for (seed, seconds, routers) in plays {
+    for (seed, seconds, routers) in runs {
         let setup = Setup {
             seed,
             faults_for: Duration::from_secs(seconds),
@@ -70,16 +70,15 @@
 }
 
 /// Reads seed, seconds and routers of each line; what follows them is the cause.
-fn read_plays(file: &Path) -> Result<Vec<(u64, u64, u8)>> {
+fn read_runs(file: &Path) -> Result<Vec<(u64, u64, u8)>> {
     let text = std::fs::read_to_string(file).wrap_err_with(|| file.display().to_string())?;
     let lines = text.lines().enumerate();
-    let plays = lines.filter(|(_, l)| !l.is_empty() && !l.starts_with('#'));
-    plays
-        .map(|(n, l)| read_play(l).ok_or_else(|| eyre!("{}:{}: {l}", file.display(), n + 1)))
+    let runs = lines.filter(|(_, l)| !l.is_empty() && !l.starts_with('#'));
+    runs.map(|(n, l)| read_run(l).ok_or_else(|| eyre!("{}:{}: {l}", file.display(), n + 1)))
         .collect()
 }
 
-fn read_play(line: &str) -> Option<(u64, u64, u8)> {
+fn read_run(line: &str) -> Option<(u64, u64, u8)> {
     let mut words = line.split(' ');
     let mut number = || words.next()?.parse::<u64>().ok();
     Some((number()?, number()?, u8::try_from(number()?).ok()?))
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -89,7 +89,7 @@
     }
 
     /// Sets how the link behaves from now on. What was held arrives once it passes again.
-    pub fn set_mode(&self, mode: LinkMode) {
+    pub fn set(&self, mode: LinkMode) {
         self.mode.set(mode);
     }
 
--- a/soak/src/routers.rs
+++ b/soak/src/routers.rs
@@ -17,20 +17,20 @@
 use tokio::time::{sleep, timeout};
 
 /// Seconds from the order to stop to the forced end.
-pub const GRACE_S: u64 = 8;
-/// Looks whether a process listens, at most, and the pause between two.
-const LOOKS: u32 = 200;
-const LOOK: Duration = Duration::from_millis(10);
+pub const STOP_GRACE_S: u64 = 8;
+/// Looks whether a process wait_until_listening, at most, and the pause between two.
+const LISTEN_POLLS: u32 = 200;
+const LISTEN_POLL_PAUSE: Duration = Duration::from_millis(10);
 /// Time for an answer to the question whether a router serves, and the answer's head, in bytes.
-const ASK: Duration = Duration::from_secs(2);
-const MAX_HEAD: usize = 4 * 1024;
+const READY_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_HEAD_BYTES: usize = 4 * 1024;
 /// Ports of a router at an address of its own.
-const FRONT: u16 = 8227;
-const READY: u16 = 8220;
-const DIRECTORY: u16 = 8224;
+const FRONT_PORT: u16 = 8227;
+const READY_PORT: u16 = 8220;
+const DIRECTORY_PORT: u16 = 8224;
 
 /// One place for a router process.
-pub struct Router {
+pub struct RouterProcess {
     /// Its name.
     pub name: CompactString,
     /// Its address.
@@ -43,7 +43,7 @@
     child: Option<Child>,
 }
 
-impl Router {
+impl RouterProcess {
     /// A place whose processes reach the store at `store`. Nothing is started yet.
     ///
     /// # Errors
@@ -55,19 +55,19 @@
         n: u8,
         zone: &str,
         store: SocketAddr,
-    ) -> Result<Router> {
+    ) -> Result<RouterProcess> {
         let name = format_compact!("router-{n}");
         let settings = dir.join(format!("{name}.yaml"));
         let text = format!(
-            "node: {name}\nrole: router\nip: {ip}\nzone: {zone}\nlisten:\n  front: {ip}:{FRONT}\n  \
-             ready: {ip}:{READY}\n  directory: {ip}:{DIRECTORY}\ninternal_ports: [7340, 7355]\n\
+            "node: {name}\nrole: router\nip: {ip}\nzone: {zone}\nlisten:\n  front: {ip}:{FRONT_PORT}\n  \
+             ready: {ip}:{READY_PORT}\n  directory: {ip}:{DIRECTORY_PORT}\ninternal_ports: [7340, 7355]\n\
              limits: {{ memory_mb: 110, max_fds: 4100, cpu_share: 0.25, link_mbps: 1000 }}\n\
-             bounds: {{ grace_s: {GRACE_S}, retry_budget_ratio: 0.2, retry_slack: 52, contact_ms: 3000,\n  \
+             bounds: {{ grace_s: {STOP_GRACE_S}, retry_budget_ratio: 0.2, retry_slack: 52, contact_ms: 3000,\n  \
              cold_over: 1.5, cold_slack: 5 }}\nzones: {REGIONS}\n\
              platform: {{ address: \"{store}\" }}\n"
         );
         std::fs::write(&settings, text).wrap_err("settings file")?;
-        Ok(Router {
+        Ok(RouterProcess {
             log: dir.join(format!("{name}.log")),
             name,
             ip: ip.into(),
@@ -79,17 +79,17 @@
     }
 
     /// Where callers connect.
-    pub fn front(&self) -> SocketAddr {
-        format!("{}:{FRONT}", self.ip).parse().expect("an address")
+    pub fn front_addr(&self) -> SocketAddr {
+        format!("{}:{FRONT_PORT}", self.ip).parse().expect("an address")
     }
 
     /// Where it says which routers callers should use.
-    pub fn directory(&self) -> SocketAddr {
-        format!("{}:{DIRECTORY}", self.ip).parse().expect("an address")
+    pub fn directory_addr(&self) -> SocketAddr {
+        format!("{}:{DIRECTORY_PORT}", self.ip).parse().expect("an address")
     }
 
     /// Whether a process runs here.
-    pub fn is_up(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
@@ -121,31 +121,31 @@
         }
     }
 
-    /// Waits until the process listens: from then on it takes every signal. Before it runs its
+    /// Waits until the process wait_until_listening: from then on it takes every signal. Before it runs its
     /// own code no program can.
-    pub async fn listens(&self) {
-        for _ in 0..LOOKS {
+    pub async fn wait_until_listening(&self) {
+        for _ in 0..LISTEN_POLLS {
             if self.is_listening().await {
                 return;
             }
-            sleep(LOOK).await;
+            sleep(LISTEN_POLL_PAUSE).await;
         }
     }
 
-    /// Whether the process listens now.
+    /// Whether the process wait_until_listening now.
     pub async fn is_listening(&self) -> bool {
-        TcpStream::connect(self.directory()).await.is_ok()
+        TcpStream::connect(self.directory_addr()).await.is_ok()
     }
 
     /// Whether the process says that it serves.
     pub async fn is_ready(&self) -> bool {
-        let addr = format!("{}:{READY}", self.ip).parse().expect("an address");
-        let ask = async {
-            let mut conn = Conn::dial(addr, ASK).await.ok()?;
+        let addr = format!("{}:{READY_PORT}", self.ip).parse().expect("an address");
+        let probe = async {
+            let mut conn = Conn::dial(addr, READY_TIMEOUT).await.ok()?;
             conn.write(b"GET /readyz HTTP/1.1\r\nHost: router\r\n\r\n").await.ok()?;
-            conn.read_response(MAX_HEAD).await.ok()
+            conn.read_response(MAX_HEAD_BYTES).await.ok()
         };
-        timeout(ASK, ask).await.is_ok_and(|head| head.is_some_and(|h| h.status == 200))
+        timeout(READY_TIMEOUT, probe).await.is_ok_and(|head| head.is_some_and(|h| h.status == 200))
     }
 
     /// Kills the process and waits for its end.
@@ -161,7 +161,7 @@
     pub async fn stop(&mut self) -> bool {
         self.signal(Signal::TERM);
         let Some(mut child) = self.child.take() else { return true };
-        let ended = timeout(Duration::from_secs(GRACE_S), child.wait()).await.is_ok();
+        let ended = timeout(Duration::from_secs(STOP_GRACE_S), child.wait()).await.is_ok();
         if !ended {
             let _ = child.kill().await;
         }
@@ -169,7 +169,7 @@
     }
 
     /// How the process ended, if it did though nobody ended it.
-    pub fn crashed(&mut self) -> Option<ExitStatus> {
+    pub fn unexpected_exit(&mut self) -> Option<ExitStatus> {
         self.child.as_mut()?.try_wait().ok().flatten()
     }
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -16,19 +16,19 @@
 use crate::checks::check;
 use crate::fatal;
 use crate::notices;
-use crate::routers::GRACE_S;
-pub use crate::world::Setup;
-use crate::world::{PREPAID, World};
+use crate::routers::STOP_GRACE_S;
+pub use crate::testbed::Setup;
+use crate::testbed::{PREPAID_TOKENS, Testbed};
 use crate::zones;
 
 /// Time without faults before the last requests: the longest fault, and a stop by force.
-const SETTLE: Duration = Duration::from_secs(GRACE_S + 4);
+const SETTLE_TIME: Duration = Duration::from_secs(STOP_GRACE_S + 4);
 /// Time in which the last requests are counted.
-const CALM: Duration = Duration::from_secs(3);
+const RECOVERY_WINDOW: Duration = Duration::from_secs(3);
 /// Requests that end targets, one after the other while faults go on.
-const FATAL_KINDS: u32 = 3;
+const FATAL_REQUESTS: u32 = 3;
 /// Pause between two looks at the ledgers.
-const AUDIT: Duration = Duration::from_millis(200);
+const AUDIT_PAUSE: Duration = Duration::from_millis(200);
 
 /// What came of it.
 #[derive(Clone, Debug)]
@@ -67,56 +67,65 @@
     let dir = std::env::temp_dir().join(format!("kingcupwall-soak-{}", std::process::id()));
     let logs = dir.join(setup.seed.to_string());
     std::fs::create_dir_all(&logs).wrap_err("directory for logs")?;
-    let world = World::start(setup, &logs).await?;
-    spawn_local(world.clone().audit());
+    let testbed = Testbed::start(setup, &logs).await?;
+    spawn_local(testbed.clone().audit());
     for n in 0..setup.callers {
-        spawn_local(run_caller(world.callers.clone(), n, setup.seed ^ u64::from(n + 1)));
+        spawn_local(run_caller(testbed.callers.clone(), n, setup.seed ^ u64::from(n + 1)));
     }
-    let each = setup.faults_for / FATAL_KINDS;
-    spawn_local(fatal::send_on(world.callers.clone(), FATAL_KINDS, each, setup.seed));
-    spawn_local(zones::send_bound(world.callers.clone(), setup.seed));
-    let (until, all) = (Instant::now() + setup.faults_for, world.clone());
-    let targets = move || all.targets.borrow().iter().map(|(t, _)| t.clone()).collect();
+    let time_per_request = setup.faults_for / FATAL_REQUESTS;
+    spawn_local(fatal::send_fatal_requests(
+        testbed.callers.clone(),
+        FATAL_REQUESTS,
+        time_per_request,
+        setup.seed,
+    ));
+    spawn_local(zones::send_bound_requests(testbed.callers.clone(), setup.seed));
+    let (until, owner) = (Instant::now() + setup.faults_for, testbed.clone());
+    let targets = move || owner.targets.borrow().iter().map(|(t, _)| t.clone()).collect();
     let emptied =
-        spawn_local(zones::empty_in_turn(world.store.clone(), targets, until, setup.seed));
-    let saying = spawn_local(world.clone().say_in_turn(until, setup.seed));
-    let faults = world.break_for(setup).await;
+        spawn_local(zones::empty_zones(testbed.store.clone(), targets, until, setup.seed));
+    let notices_sent = spawn_local(testbed.clone().send_notices(until, setup.seed));
+    let faults = testbed.inject_faults(setup).await;
     let emptied = emptied.await?;
-    saying.await?;
-    sleep(SETTLE).await;
-    let before = world.runs();
-    world.check_calm().await;
-    fatal::check(&before, &world.runs()).into_iter().for_each(|v| world.note(v));
-    zones::check(&world.all_targets(), &emptied).into_iter().for_each(|v| world.note(v));
-    world.check_notices();
-    world.callers.stop_requested.set(true);
-    for router in &world.routers {
+    notices_sent.await?;
+    sleep(SETTLE_TIME).await;
+    let before = testbed.runs();
+    testbed.check_recovery().await;
+    fatal::check(&before, &testbed.runs()).into_iter().for_each(|v| testbed.record_violation(v));
+    zones::check(&testbed.all_targets(), &emptied)
+        .into_iter()
+        .for_each(|v| testbed.record_violation(v));
+    testbed.check_notices();
+    testbed.callers.stop_requested.set(true);
+    for router in &testbed.routers {
         let mut router = router.lock().await;
-        if let Some(status) = router.crashed() {
-            world.note(format!("{} ended by itself: {status}", router.name));
+        if let Some(status) = router.unexpected_exit() {
+            testbed.record_violation(format!("{} ended by itself: {status}", router.name));
         }
         router.kill().await;
     }
-    let report = world.report(setup.seed, faults, logs);
+    let report = testbed.report(setup.seed, faults, logs);
     if report.violations.is_empty() {
         std::fs::remove_dir_all(&report.logs)?;
     }
     Ok(report)
 }
 
-impl World {
+impl Testbed {
     /// Looks at the ledgers all the while: what is promised must never exceed what is prepaid.
-    async fn audit(self: Rc<World>) {
+    async fn audit(self: Rc<Testbed>) {
         while !self.callers.stop_requested.get() {
-            for org in 0..PREPAID.len() {
+            for org in 0..PREPAID_TOKENS.len() {
                 let prepaid = self.prepaid.borrow()[org];
                 if let Some(committed) = self.committed(&format!("org-{org}")).await
                     && committed > prepaid
                 {
-                    self.note(format!("organisation {org}: {committed} promised of {prepaid}"));
+                    self.record_violation(format!(
+                        "organisation {org}: {committed} promised of {prepaid}"
+                    ));
                 }
             }
-            sleep(AUDIT).await;
+            sleep(AUDIT_PAUSE).await;
         }
     }
 
@@ -127,7 +136,7 @@
         match Ledger::decode(&value) {
             Ok(ledger) => Some(ledger.committed().0),
             Err(e) => {
-                self.note(format!("{org}: the ledger cannot be read: {e}"));
+                self.record_violation(format!("{org}: the ledger cannot be read: {e}"));
                 None
             }
         }
@@ -135,31 +144,36 @@
 
     /// Once all faults are over, every router serves, and requests of the organisation that has
     /// plenty are served.
-    async fn check_calm(&self) {
+    async fn check_recovery(&self) {
         for router in &self.routers {
             let router = router.lock().await;
-            if router.is_up() && !router.is_ready().await {
-                self.note(format!("calm again: {} is not ready", router.name));
+            if router.is_running() && !router.is_ready().await {
+                self.record_violation(format!("calm again: {} is not ready", router.name));
             }
         }
         let before = self.callers.exchange_log.borrow().len();
-        sleep(CALM).await;
+        sleep(RECOVERY_WINDOW).await;
         let exchange_log = self.callers.exchange_log.borrow();
-        let rich: Vec<_> =
-            exchange_log[before..].iter().filter(|e| e.org == PREPAID.len() - 1).collect();
-        let served = rich.iter().filter(|e| e.status == Some(200) && e.is_complete).count();
-        if served * 2 <= rich.len() {
-            self.note(format!("calm again: {served} of {} requests served", rich.len()));
+        let well_funded: Vec<_> =
+            exchange_log[before..].iter().filter(|e| e.org == PREPAID_TOKENS.len() - 1).collect();
+        let served = well_funded.iter().filter(|e| e.status == Some(200) && e.is_complete).count();
+        if served * 2 <= well_funded.len() {
+            self.record_violation(format!(
+                "calm again: {served} of {} requests served",
+                well_funded.len()
+            ));
         }
     }
 
     fn check_notices(&self) {
-        let exchange_log = notices::Seen {
+        let exchange_log = notices::Observations {
             exchanges: &self.callers.exchange_log.borrow(),
-            routers: &self.router_harms.borrow(),
-            links: &self.link_harms.borrow(),
+            routers: &self.router_disturbances.borrow(),
+            links: &self.link_disturbances.borrow(),
         };
-        notices::check(&self.all_targets(), &exchange_log).into_iter().for_each(|v| self.note(v));
+        notices::check(&self.all_targets(), &exchange_log)
+            .into_iter()
+            .for_each(|v| self.record_violation(v));
     }
 
     /// All runs at all targets so far.
@@ -170,7 +184,7 @@
     fn report(&self, seed: u64, faults: usize, logs: PathBuf) -> Report {
         let exchange_log = self.callers.exchange_log.borrow();
         let mut violations = check(&exchange_log, &self.runs(), &self.prepaid.borrow());
-        violations.extend(self.found.borrow().iter().cloned());
+        violations.extend(self.recorded_violations.borrow().iter().cloned());
         let complete_successes =
             exchange_log.iter().filter(|e| e.status == Some(200) && e.is_complete).count();
         let refused = exchange_log.iter().filter(|e| e.status == Some(503)).count();
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -11,21 +11,23 @@
 use tokio::task::spawn_local;
 
 /// How long bytes to a router may stay unacknowledged.
-const SILENCE: Duration = Duration::from_secs(5);
+const ACK_TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest call, in bytes.
-const MAX_CALL: u64 = 1024 * 1024;
+const MAX_CALL_BYTES: u64 = 1024 * 1024;
 
 /// Serves a handle of the store, for ever. Its fault is that of the handle.
 pub async fn serve(listener: TcpListener, rows: MemoryRows) {
     while let Ok((io, _)) = listener.accept().await {
         let rows = rows.clone();
         spawn_local(async move {
-            let Ok(mut conn) = Conn::new(io, SILENCE) else { return };
+            let Ok(mut conn) = Conn::new(io, ACK_TIMEOUT) else { return };
             while let Ok(head) = conn.read_request(64 * 1024).await {
-                let Ok(Some(body)) = conn.read_body(head.body, MAX_CALL).await else { return };
+                let Ok(Some(body)) = conn.read_body(head.body, MAX_CALL_BYTES).await else {
+                    return;
+                };
                 // A lost answer shows as a connection that ends without one.
-                let Some(answer) = answer(&rows, &head.target, &body).await else { return };
-                if conn.write(&answer).await.is_err() {
+                let Some(response) = handle_call(&rows, &head.target, &body).await else { return };
+                if conn.write(&reply).await.is_err() {
                     return;
                 }
             }
@@ -33,7 +35,7 @@
     }
 }
 
-async fn answer(rows: &MemoryRows, target: &str, body: &[u8]) -> Option<Vec<u8>> {
+async fn handle_call(rows: &MemoryRows, target: &str, body: &[u8]) -> Option<Vec<u8>> {
     let url = Url::parse("http://store").ok()?.join(target).ok()?;
     let field = |name: &str| {
         let found = url.query_pairs().find(|(n, _)| n == name);
--- a/soak/src/world.rs
+++ b/soak/src/testbed.rs
@@ -18,26 +18,26 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::callers::{Callers, HOST, RequestKind, SEAL_HEADER};
-use crate::notices::Harm;
+use crate::notices::Disturbance;
 use crate::proxy::Proxy;
-use crate::routers::Router;
+use crate::routers::RouterProcess;
 use crate::store;
 use crate::zones;
 
 /// Targets of the only service.
-pub(crate) const TARGETS: usize = 4;
+pub(crate) const TARGET_COUNT: usize = 4;
 /// Organisations, and what each has: the first runs out, the last does not.
-pub(crate) const PREPAID: [u64; 3] = [40_000, 400_000, 40_000_000];
+pub(crate) const PREPAID_TOKENS: [u64; 3] = [40_000, 400_000, 40_000_000];
 /// Pause between two events of a stream.
 const EVENT_GAP: Duration = Duration::from_millis(4);
 /// How long routers may take to serve after their start.
-pub(crate) const START: Duration = Duration::from_secs(20);
+pub(crate) const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Bytes a second that every second router gets from the store.
-const NARROW: u64 = 400_000;
+const NARROW_LINK_BYTES_PER_S: u64 = 400_000;
 /// How long a target that has ended is down.
-const DOWN: Duration = Duration::from_secs(1);
+const TARGET_DOWNTIME: Duration = Duration::from_secs(1);
 /// Pause between two looks whether all routers are known.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+const START_POLL: Duration = Duration::from_millis(200);
 
 /// A soak.
 #[derive(Clone, Debug)]
@@ -55,99 +55,100 @@
 }
 
 /// Everything that runs.
-pub(crate) struct World {
+pub(crate) struct Testbed {
     pub(crate) store: MemoryRows,
     pub(crate) store_handles: Vec<MemoryRows>,
     pub(crate) store_links: Vec<Proxy>,
-    pub(crate) routers: Vec<Mutex<Router>>,
+    pub(crate) routers: Vec<Mutex<RouterProcess>>,
     pub(crate) targets: RefCell<Vec<(StandinTarget, Proxy)>>,
     /// Targets that have left; what they ran still counts.
-    pub(crate) gone: RefCell<Vec<StandinTarget>>,
+    pub(crate) removed_targets: RefCell<Vec<StandinTarget>>,
     pub(crate) callers: Rc<Callers>,
     pub(crate) prepaid: RefCell<Vec<u64>>,
     pub(crate) version: Cell<u64>,
-    pub(crate) more_routes: Cell<usize>,
-    pub(crate) replaced: Cell<u64>,
-    pub(crate) found: RefCell<Vec<String>>,
-    pub(crate) router_harms: RefCell<Vec<Harm<SocketAddr>>>,
-    pub(crate) link_harms: RefCell<Vec<Harm<CompactString>>>,
+    pub(crate) extra_routes: Cell<usize>,
+    pub(crate) replacements: Cell<u64>,
+    pub(crate) recorded_violations: RefCell<Vec<String>>,
+    pub(crate) router_disturbances: RefCell<Vec<Disturbance<SocketAddr>>>,
+    pub(crate) link_disturbances: RefCell<Vec<Disturbance<CompactString>>>,
     pub(crate) ip: CompactString,
 }
 
-impl World {
-    pub(crate) async fn start(setup: &Setup, logs: &Path) -> Result<Rc<World>> {
-        let own = u16::try_from(std::process::id() % 60_000).unwrap_or_default() + 2_000;
+impl Testbed {
+    pub(crate) async fn start(setup: &Setup, logs: &Path) -> Result<Rc<Testbed>> {
+        let network = u16::try_from(std::process::id() % 60_000).unwrap_or_default() + 2_000;
         // A network of this soak's own on the loopback: others do not use its addresses.
-        let ip = format_compact!("127.{}.{}", own / 250 + 1, own % 250 + 1);
+        let ip = format_compact!("127.{}.{}", network / 250 + 1, network % 250 + 1);
         let store = MemoryRows::new();
         let (mut store_handles, mut store_links, mut routers) =
             (Vec::new(), Vec::new(), Vec::new());
         for n in 0..setup.routers {
             let handle = store.new_client();
             let listener = TcpListener::bind((format!("{ip}.250"), 0)).await?;
-            let rate = (n % 2 == 1).then_some(NARROW);
-            let link = Proxy::start(&format!("{ip}.251"), listener.local_addr()?, rate).await?;
+            let bytes_per_s = (n % 2 == 1).then_some(NARROW_LINK_BYTES_PER_S);
+            let link =
+                Proxy::start(&format!("{ip}.251"), listener.local_addr()?, bytes_per_s).await?;
             spawn_local(store::serve(listener, handle.clone()));
             let (at, zone) = (format!("{ip}.{}", n + 1), format!("zone-{}", n / 2 % 2));
-            let router = Router::new(logs, &setup.daemon, &at, n, &zone, link.addr)?;
+            let router = RouterProcess::new(logs, &setup.daemon, &at, n, &zone, link.addr)?;
             store_handles.push(handle);
             store_links.push(link);
             routers.push(router);
         }
         let callers = Callers {
-            directories: routers.iter().map(Router::directory).collect(),
-            keys: (0..PREPAID.len()).map(|n| format_compact!("key-{n}")).collect(),
+            directories: routers.iter().map(RouterProcess::directory_addr).collect(),
+            keys: (0..PREPAID_TOKENS.len()).map(|n| format_compact!("key-{n}")).collect(),
             exchange_log: RefCell::default(),
             stop_requested: Cell::new(false),
         };
-        let world = Rc::new(World {
+        let testbed = Rc::new(Testbed {
             store,
             store_handles,
             store_links,
             routers: routers.into_iter().map(Mutex::new).collect(),
             targets: RefCell::default(),
-            gone: RefCell::default(),
+            removed_targets: RefCell::default(),
             callers: Rc::new(callers),
-            prepaid: RefCell::new(PREPAID.to_vec()),
+            prepaid: RefCell::new(PREPAID_TOKENS.to_vec()),
             version: Cell::new(0),
-            more_routes: Cell::new(0),
-            replaced: Cell::new(0),
-            found: RefCell::default(),
-            router_harms: RefCell::default(),
-            link_harms: RefCell::default(),
+            extra_routes: Cell::new(0),
+            replacements: Cell::new(0),
+            recorded_violations: RefCell::default(),
+            router_disturbances: RefCell::default(),
+            link_disturbances: RefCell::default(),
             ip,
         });
-        world.configure();
-        for n in 0..TARGETS {
-            world.add_target(n).await?;
+        testbed.write_config();
+        for n in 0..TARGET_COUNT {
+            testbed.add_target(n).await?;
         }
-        for router in &world.routers {
+        for router in &testbed.routers {
             router.lock().await.start()?;
         }
-        world.wait_until_serving().await?;
-        Ok(world)
+        testbed.wait_until_serving().await?;
+        Ok(testbed)
     }
 
     async fn wait_until_serving(&self) -> Result<()> {
-        let until = Instant::now() + START;
+        let until = Instant::now() + START_TIMEOUT;
         let all_registered = async {
             loop {
                 let page = self.store.scan("routers", "").await;
                 if page.is_ok_and(|p| p.rows.len() == self.routers.len()) {
                     return;
                 }
-                sleep(ASK_AGAIN).await;
+                sleep(START_POLL).await;
             }
         };
         timeout_at(until, all_registered).await.map_err(|_| eyre!("the routers do not start"))
     }
 
-    pub(crate) fn note(&self, violation: String) {
-        self.found.borrow_mut().push(violation);
+    pub(crate) fn record_violation(&self, violation: String) {
+        self.recorded_violations.borrow_mut().push(violation);
     }
 
     /// Writes a configuration with the amounts as they stand.
-    pub(crate) fn configure(&self) {
+    pub(crate) fn write_config(&self) {
         self.version.set(self.version.get() + 3);
         let kind = |a: RequestKind| match a {
             RequestKind::Idempotent => "idempotent",
@@ -163,8 +164,8 @@
         };
         let used = RequestKind::ALL.into_iter().map(|a| route(a, a.prefix()));
         let mut bound = route(RequestKind::Idempotent, zones::BOUND_PREFIX);
-        bound["allowed_regions"] = json!([zones::HOME]);
-        let unused = (0..self.more_routes.get())
+        bound["allowed_regions"] = json!([zones::HOME_REGION]);
+        let unused = (0..self.extra_routes.get())
             .map(|n| route(RequestKind::Idempotent, &format!("/more-{n}/")));
         let prepaid = self.prepaid.borrow();
         let organisation = |(n, prepaid): (usize, &u64)| json!({"name": format!("org-{n}"), "api_keys": [format!("key-{n}")], "prepaid": prepaid});
@@ -179,55 +180,55 @@
         self.store.put(names::CONFIG.0, names::CONFIG.1, config.to_string().as_bytes());
     }
 
-    pub(crate) async fn add_target(self: &Rc<World>, n: usize) -> Result<()> {
-        let id = format_compact!("t{n}-{}", self.replaced.get());
+    pub(crate) async fn add_target(self: &Rc<Testbed>, n: usize) -> Result<()> {
+        let id = format_compact!("t{n}-{}", self.replacements.get());
         let zone = format!("zone-{}", n % 2);
         let headers = TargetNames { headers: names::headers(), seal: SEAL_HEADER.into() };
         let target = StandinTarget::start_named(&id, "model", &zone, headers).await?;
         target.set_event_gap(EVENT_GAP);
         let link = Proxy::start(&format!("{}.252", self.ip), target.addr, None).await?;
         // The first targets were there before the routers.
-        let is_cold = self.replaced.get() > 0;
+        let is_cold = self.replacements.get() > 0;
         if is_cold {
-            zones::warm_up(&target);
+            zones::start_warm_up(&target);
         }
         let warm_up_ms = if is_cold { zones::WARM_UP_S * 1_000.0 } else { 0.0 };
         let row = json!({"service": "model", "address": link.addr, "zone": zone, "slots": 64,
             "version": "v1", "state": "ready", "warmup_left_ms": warm_up_ms, "sequence": 1});
         self.store.put(names::TARGETS, &id, row.to_string().as_bytes());
-        spawn_local(self.clone().start_again_after_end(n, target.clone(), link.clone()));
+        spawn_local(self.clone().restart_after_end(n, target.clone(), link.clone()));
         let mut targets = self.targets.borrow_mut();
         if n < targets.len() {
             let (old, _) = std::mem::replace(&mut targets[n], (target, link));
             self.store.remove(names::TARGETS, &old.id);
-            self.gone.borrow_mut().push(old);
+            self.removed_targets.borrow_mut().push(old);
         } else {
             targets.push((target, link));
         }
         Ok(())
     }
 
-    /// Once a target has ended, nobody listens in its place; another starts there after a while.
-    async fn start_again_after_end(self: Rc<World>, n: usize, target: StandinTarget, link: Proxy) {
+    /// Once a target has ended, nobody wait_until_listening in its place; another starts there after a while.
+    async fn restart_after_end(self: Rc<Testbed>, n: usize, target: StandinTarget, link: Proxy) {
         target.wait_end().await;
         link.close();
-        sleep(DOWN).await;
+        sleep(TARGET_DOWNTIME).await;
         let is_there = self.targets.borrow()[n].0.id == target.id;
         if is_there {
-            self.replace(n).await;
+            self.replace_target(n).await;
         }
     }
 
-    pub(crate) async fn replace(self: &Rc<World>, n: usize) {
-        self.replaced.set(self.replaced.get() + 1);
+    pub(crate) async fn replace_target(self: &Rc<Testbed>, n: usize) {
+        self.replacements.set(self.replacements.get() + 1);
         if let Err(e) = Box::pin(self.add_target(n)).await {
-            self.note(format!("a target could not be started: {e}"));
+            self.record_violation(format!("a target could not be started: {e}"));
         }
     }
 
     /// All targets, also those that have left.
     pub(crate) fn all_targets(&self) -> Vec<StandinTarget> {
-        let (targets, gone) = (self.targets.borrow(), self.gone.borrow());
-        targets.iter().map(|(t, _)| t).chain(gone.iter()).cloned().collect()
+        let (targets, removed_targets) = (self.targets.borrow(), self.removed_targets.borrow());
+        targets.iter().map(|(t, _)| t).chain(removed_targets.iter()).cloned().collect()
     }
 }
--- a/soak/src/zones.rs
+++ b/soak/src/zones.rs
@@ -17,25 +17,25 @@
 /// The prefix of the route whose requests stay in the region of the first zone.
 pub const BOUND_PREFIX: &str = "/bound/";
 /// The region that they stay in.
-pub const HOME: &str = "south";
+pub const HOME_REGION: &str = "south";
 /// How targets warm up: how long, s, and requests a second.
 pub const WARM_UP_S: f64 = 1.5;
 /// See [`WARM_UP_S`].
 pub const WARM_UP_PER_S: f64 = 8.0;
-/// Requests in one second at a cold target: 1.5 times the rate, and 5.
-pub const MOST_WHILE_COLD: usize = 17;
+/// Requests in one second at a cold target: 1.5 periods the rate, and 5.
+pub const MAX_COLD_REQUESTS_PER_S: usize = 17;
 /// Pauses before an order and before it is taken back, ms.
 const PAUSE_MS: std::ops::Range<u64> = 1_000..4_000;
-const LASTS_MS: std::ops::Range<u64> = 6_000..9_000;
+const EMPTIED_MS: std::ops::Range<u64> = 6_000..9_000;
 /// Time after an order in which requests may still arrive: routers are paused for up to 3 s, and
 /// have requests in hand then.
-const IN_FORCE: Duration = Duration::from_secs(5);
+const EMPTY_GRACE: Duration = Duration::from_secs(5);
 /// Pause between two bound requests.
 const BOUND_PAUSE: Duration = Duration::from_millis(80);
 
 /// A time in which a zone was emptied.
 #[derive(Clone, Debug)]
-pub struct Emptied {
+pub struct EmptiedPeriod {
     /// The zone.
     pub zone: &'static str,
     /// When it was ordered.
@@ -46,34 +46,34 @@
 
 /// Empties one zone after the other and takes it back, until `until`. Targets of a zone are cold
 /// for a while once it is back. Returns when each was emptied.
-pub async fn empty_in_turn(
+pub async fn empty_zones(
     store: MemoryRows,
     targets: impl Fn() -> Vec<StandinTarget>,
     until: Instant,
     seed: u64,
-) -> Vec<Emptied> {
+) -> Vec<EmptiedPeriod> {
     let mut rng = Rng::with_seed(seed);
-    let mut times = Vec::new();
+    let mut periods = Vec::new();
     loop {
         let pause = Duration::from_millis(rng.u64(PAUSE_MS));
-        let lasts = Duration::from_millis(rng.u64(LASTS_MS));
+        let lasts = Duration::from_millis(rng.u64(EMPTIED_MS));
         let zone = if rng.bool() { "zone-0" } else { "zone-1" };
         if Instant::now() + pause + lasts > until {
-            return times;
+            return periods;
         }
         sleep(pause).await;
         let key = format!("{}{zone}", names::EMPTIED);
         store.put(names::CONFIG.0, &key, b"{}");
         let from = Instant::now();
         sleep(lasts).await;
-        targets().iter().filter(|t| t.zone == zone).for_each(warm_up);
+        targets().iter().filter(|t| t.zone == zone).for_each(start_warm_up);
         store.remove(names::CONFIG.0, &key);
-        times.push(Emptied { zone, from, to: Instant::now() });
+        periods.push(EmptiedPeriod { zone, from, to: Instant::now() });
     }
 }
 
 /// Counts what a target gets while it is cold.
-pub fn warm_up(target: &StandinTarget) {
+pub fn start_warm_up(target: &StandinTarget) {
     target.set_cold(Some(usize::MAX));
     let target = target.clone();
     tokio::task::spawn_local(async move {
@@ -83,7 +83,7 @@
 }
 
 /// Sends requests that are bound to one region, until all is over.
-pub async fn send_bound(callers: Rc<Callers>, seed: u64) {
+pub async fn send_bound_requests(callers: Rc<Callers>, seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let names = names::headers();
     let mut sent = 0_u32;
@@ -110,29 +110,29 @@
 }
 
 /// What is wrong with what targets got.
-pub fn check(targets: &[StandinTarget], emptied: &[Emptied]) -> Vec<String> {
+pub fn check(targets: &[StandinTarget], emptied: &[EmptiedPeriod]) -> Vec<String> {
     targets.iter().flat_map(|t| check_target(t, emptied)).collect()
 }
 
-fn check_target(target: &StandinTarget, emptied: &[Emptied]) -> Vec<String> {
-    let mut found = Vec::new();
+fn check_target(target: &StandinTarget, emptied: &[EmptiedPeriod]) -> Vec<String> {
+    let mut violations = Vec::new();
     let most = target.most_while_cold();
-    if most > MOST_WHILE_COLD {
-        found.push(format!("{}: {most} requests in one second while cold", target.id));
+    if most > MAX_COLD_REQUESTS_PER_S {
+        violations.push(format!("{}: {most} requests in one second while cold", target.id));
     }
     let runs = target.runs();
-    let abroad = |path: &str| path.starts_with(BOUND_PREFIX) && target.zone != "zone-0";
-    found.extend(
+    let is_outside_region = |path: &str| path.starts_with(BOUND_PREFIX) && target.zone != "zone-0";
+    violations.extend(
         runs.iter()
-            .filter(|r| abroad(&r.target))
+            .filter(|r| is_outside_region(&r.target))
             .map(|r| format!("{}: ran {} outside its region", target.id, r.id)),
     );
     for e in emptied.iter().filter(|e| target.zone == e.zone) {
-        let late = runs.iter().filter(|r| r.at > e.from + IN_FORCE && r.at < e.to);
-        found.extend(late.map(|r| {
+        let late_runs = runs.iter().filter(|r| r.at > e.from + EMPTY_GRACE && r.at < e.to);
+        violations.extend(late_runs.map(|r| {
             let ms = (r.at - e.from).as_millis();
             format!("{}: {} reached it {ms} ms after its zone was emptied", target.id, r.id)
         }));
     }
-    found
+    violations
 }
--- a/soak/tests/tests.rs
+++ b/soak/tests/tests.rs
@@ -9,7 +9,7 @@
 use kingcupwall_soak::callers::{Exchange, RequestKind};
 use kingcupwall_soak::checks::check;
 use kingcupwall_soak::faults::{FleetSize, random_fault};
-use kingcupwall_soak::notices::{Harm, Seen, check_leaving, check_rest};
+use kingcupwall_soak::notices::{Disturbance, Observations, check_backoff, check_leaving};
 use kingcupwall_soak::run::{Setup, run};
 use rstest::rstest;
 use tokio::task::LocalSet;
@@ -99,7 +99,11 @@
 #[case::late(2.1, None, 1)]
 #[case::router_started_again(2.1, Some(1.0), 0)]
 #[case::router_started_again_before(2.1, Some(-1.0), 1)]
-fn check_leaving_counts(#[case] sent_s: f64, #[case] killed_s: Option<f64>, #[case] found: usize) {
+fn check_leaving_counts(
+    #[case] sent_s: f64,
+    #[case] killed_s: Option<f64>,
+    #[case] expected: usize,
+) {
     let start = Instant::now() + seconds(10.0);
     let notified =
         Exchange { leaving_at: Some(start), ..exchange(RequestKind::NonIdempotent, 200, "") };
@@ -109,13 +113,13 @@
     let arrival = Arrival { id: "b".into(), at: sent_at, retry_after: None };
     let begin = start.checked_sub(seconds(10.0)).unwrap();
     let killed = |s: f64| begin + seconds(10.0 + s);
-    let harms: Vec<_> = killed_s
-        .map(|s| Harm { whom: ROUTER, from: killed(s), to: killed(s) })
+    let disturbances: Vec<_> = killed_s
+        .map(|s| Disturbance { subject: ROUTER, from: killed(s), to: killed(s) })
         .into_iter()
         .collect();
     let exchanges = [notified, late];
-    let seen = Seen { exchanges: &exchanges, routers: &harms, links: &[] };
-    assert_eq!(check_leaving("t1", &[(&exchanges[1], &arrival)], &seen).len(), found);
+    let seen = Observations { exchanges: &exchanges, routers: &disturbances, links: &[] };
+    assert_eq!(check_leaving("t1", &[(&exchanges[1], &arrival)], &seen).len(), expected);
 }
 
 #[rstest]
@@ -124,7 +128,7 @@
 #[case::three(&[0.0, 0.6, 0.7, 2.9], false, 1)]
 #[case::after_it(&[0.0, 3.1, 3.2, 3.3], false, 0)]
 #[case::link_harmed(&[0.0, 0.6, 0.7, 2.9], true, 0)]
-fn check_rest_counts(#[case] at_s: &[f64], #[case] harmed: bool, #[case] found: usize) {
+fn check_rest_counts(#[case] at_s: &[f64], #[case] disturbed: bool, #[case] expected: usize) {
     let start = Instant::now();
     let one = exchange(RequestKind::NonIdempotent, 503, "");
     let arrival = |(i, s): (usize, &f64)| Arrival {
@@ -135,10 +139,12 @@
     let arrivals: Vec<Arrival> = at_s.iter().enumerate().map(arrival).collect();
     let arrivals: Vec<(&Exchange, &Arrival)> = arrivals.iter().map(|a| (&one, a)).collect();
     let at = start + seconds(1.0);
-    let links: Vec<_> =
-        harmed.then(|| Harm { whom: "t1".into(), from: at, to: at }).into_iter().collect();
-    let seen = Seen { exchanges: &[], routers: &[], links: &links };
-    assert_eq!(check_rest("t1", &arrivals, &seen).len(), found);
+    let links: Vec<_> = disturbed
+        .then(|| Disturbance { subject: "t1".into(), from: at, to: at })
+        .into_iter()
+        .collect();
+    let seen = Observations { exchanges: &[], routers: &[], links: &links };
+    assert_eq!(check_backoff("t1", &arrivals, &seen).len(), expected);
 }
 
 #[test]
