--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -26,7 +26,7 @@
                     return;
                 };
                 // A lost answer shows as a connection that ends without one.
-                let Some(response) = handle_call(&rows, &head.target, &body).await else { return };
+                let Some(reply) = handle_call(&rows, &head.target, &body).await else { return };
                 if conn.write(&reply).await.is_err() {
                     return;
                 }
