--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: each asks which routers to use, keeps its connection until the router ends it, and
-//! notes what it got.
+//! Callers that resolve a router through the directories, reuse their connection until the router
+//! closes it, and record each request with its response.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,32 +14,34 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The header with the proof of whose answer it is.
+/// The response header that states which target answered which request, as `target.request`.
 pub const SEAL_HEADER: &str = "Response-Seal";
 /// The host of all routes.
 pub const HOST: &str = "shop.example";
-/// How long a caller waits for an answer.
+/// How long a caller waits for a complete response. It is also sent as the request's remaining
+/// time.
 pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long it waits for an entry answer.
+/// How long a caller waits for a directory's response, and then for a connection to a router.
 const DIRECTORY_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long an entry answer is kept.
+/// Time-to-live of a directory's response. A caller that found no router retries after a tenth of
+/// it.
 const DIRECTORY_TTL: Duration = Duration::from_secs(1);
 
-/// A kind of request, named by its route's prefix.
+/// A kind of request. Each has a route of its own.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// May be executed more than once.
     Idempotent,
-    /// May run once.
+    /// May be executed once.
     NonIdempotent,
-    /// A stream that may run once.
+    /// A streamed response, which may be produced once.
     Stream,
-    /// A stream that may go on elsewhere.
+    /// A streamed response that another target may resume.
     ResumableStream,
 }
 
 impl RequestKind {
-    /// All kinds.
+    /// All kinds, in the order from which random requests are drawn.
     pub const ALL: [RequestKind; 4] = [
         RequestKind::Idempotent,
         RequestKind::NonIdempotent,
@@ -47,7 +49,7 @@
         RequestKind::ResumableStream,
     ];
 
-    /// The prefix of its route.
+    /// The path prefix of the route.
     pub fn prefix(self) -> &'static str {
         match self {
             RequestKind::Idempotent => "/safe/",
@@ -57,71 +59,71 @@
         }
     }
 
-    /// Whether its answer is a stream.
+    /// Whether the response is a stream.
     pub fn is_stream(self) -> bool {
         matches!(self, RequestKind::Stream | RequestKind::ResumableStream)
     }
 
-    /// Whether it may run more than once.
+    /// Whether the request may be executed more than once.
     pub fn is_repeatable(self) -> bool {
         matches!(self, RequestKind::Idempotent | RequestKind::ResumableStream)
     }
 }
 
-/// What a caller sent and got.
+/// A caller's request and the response to it.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     /// The request's id.
     pub id: CompactString,
-    /// Its kind.
+    /// The kind of request.
     pub request_kind: RequestKind,
-    /// The organisation whose key it bore.
+    /// Index of the organisation whose API key was sent.
     pub org: usize,
-    /// Prompt tokens and most output tokens.
+    /// Number of prompt tokens, and maximum number of output tokens.
     pub tokens: (u64, u64),
-    /// The router that it was sent to.
+    /// Address of the router that the request was sent to.
     pub router: SocketAddr,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Instant,
-    /// When an answer came that says that its target leaves.
+    /// When a response head arrived that announces that its target is leaving.
     pub leaving_at: Option<Instant>,
-    /// The answer's status; none if there was no answer.
+    /// The response's status; `None` if no response arrived.
     pub status: Option<u16>,
-    /// The proof of whose answer it is.
+    /// The value of [`SEAL_HEADER`].
     pub seal: Option<CompactString>,
-    /// The body as far as it came.
+    /// The part of the body that arrived.
     pub body: String,
-    /// Whether the body was whole.
+    /// Whether the whole body arrived.
     pub is_complete: bool,
 }
 
 impl Exchange {
-    /// The ids of the events that came.
+    /// The ids of the complete events in the body.
     pub fn events(&self) -> Vec<u64> {
         let complete = self.body.split_inclusive("\n\n").filter(|e| e.ends_with("\n\n"));
         let ids = complete.filter_map(|e| e.lines().find_map(|l| l.strip_prefix("id: ")));
         ids.filter_map(|id| id.parse().ok()).collect()
     }
 
-    /// Events of the whole answer.
+    /// Number of events in a complete response.
     pub fn expected_events(&self) -> u64 {
         self.tokens.1 / TOKENS_PER_EVENT
     }
 }
 
-/// What all callers share.
+/// State that all callers share.
 pub struct Callers {
-    /// Where to ask which routers to use.
+    /// Addresses of the routers' directories.
     pub directories: Vec<SocketAddr>,
-    /// The keys of organisations.
+    /// API keys, one for each organisation.
     pub keys: Vec<CompactString>,
-    /// Everything that was sent, and what came.
+    /// All exchanges so far, in the order in which they ended.
     pub exchange_log: RefCell<Vec<Exchange>>,
-    /// Set once callers are to end.
+    /// Set to make all callers stop.
     pub stop_requested: Cell<bool>,
 }
 
-/// One caller, until `over`.
+/// Sends requests of one caller, one after the other, until callers are stopped.
 pub async fn run_caller(callers: Rc<Callers>, number: u32, seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let mut open: Option<(SocketAddr, Conn)> = None;
@@ -138,7 +140,7 @@
         let id = format_compact!("c{number}n{sent}");
         let (exchange, keep) = send_request(&callers, router, &mut conn, &mut rng, id).await;
         callers.exchange_log.borrow_mut().push(exchange);
-        // An open connection is used as long as the router keeps it.
+        // A connection is reused until the router closes it.
         open = keep.then_some((router, conn));
         sleep(Duration::from_millis(rng.u64(10..60))).await;
     }
@@ -164,7 +166,7 @@
     None
 }
 
-/// Asks one router which addresses to use.
+/// Requests the addresses of routers for a zone from one directory.
 async fn resolve(directory: SocketAddr, zone: &str) -> Option<Vec<SocketAddr>> {
     let mut conn = Conn::dial(directory, DIRECTORY_TIMEOUT).await.ok()?;
     let request = format!("GET /resolve?name={HOST}&zone={zone} HTTP/1.1\r\nHost: entry\r\n\r\n");
@@ -183,7 +185,7 @@
     rng: &mut Rng,
     id: CompactString,
 ) -> (Exchange, bool) {
-    let request_kind = rng.choice(RequestKind::ALL).expect("there are kinds");
+    let request_kind = rng.choice(RequestKind::ALL).expect("there is at least one kind of request");
     let org = rng.usize(..callers.keys.len());
     let tokens =
         if request_kind.is_stream() { (rng.u64(20..200), 2 * rng.u64(2..30)) } else { (0, 0) };
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold, from what callers got and targets ran.
+//! Checks the invariants on the responses that callers got and the requests that targets ran.
 
 use std::collections::HashMap;
 
@@ -7,10 +7,11 @@
 
 use crate::callers::Exchange;
 
-/// Statuses that say: not run, and never will be.
+/// Statuses which state that the request has not run and never will.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Everything that did not hold, a line each.
+/// Returns one line for each violation: a wrong response, a request that ran too often or despite a
+/// refusal, or an organisation that used more than its prepaid tokens.
 pub fn check(exchanges: &[Exchange], runs: &[Seen], prepaid: &[u64]) -> Vec<String> {
     let mut run_counts: HashMap<&CompactString, u64> = HashMap::new();
     runs.iter().for_each(|r| *run_counts.entry(&r.id).or_default() += 1);
@@ -34,9 +35,10 @@
     violations
 }
 
-/// What is wrong with one answer.
+/// Returns the violation in one response, if any.
 fn check_response(e: &Exchange) -> Option<String> {
-    // Each request of these callers is sent once: none can be the cause of targets' ends.
+    // These callers send each request once, so their requests cannot be the ones that crash targets
+    // and must never be quarantined.
     if e.status == Some(503) && e.body.contains("ends_targets") {
         return Some(format!("{}: held back as if it ended targets", e.id));
     }
--- a/soak/src/fatal.rs
+++ b/soak/src/fatal.rs
@@ -1,5 +1,5 @@
-//! A caller whose requests end every target that runs them, and who sends them again and again, time_per_variant
-//! time under a new id and at any router.
+//! A caller whose requests crash every target that runs them. It repeats each request under a new
+//! id and through any router, and the check counts how many targets it crashes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 
 /// Pause between two attempts.
 const SEND_PAUSE: Duration = Duration::from_millis(150);
-/// Sends of a request that may follow once it has ended so many targets that it counts as the
-/// cause.
+/// How often a request may still run after it has crashed enough targets to be quarantined.
 const MAX_SENDS_AFTER_QUARANTINE: usize = 3;
 
-/// Sends one fatal request after the other for `time_per_variant`; the last of `variants` until all is over.
+/// Sends each of `variants` different requests repeatedly for `time_per_variant`, and the last one
+/// until callers are stopped.
 pub async fn send_fatal_requests(
     callers: Rc<Callers>,
     variants: u32,
@@ -35,7 +35,7 @@
         if let Some((_, mut conn)) = connect(&callers, &mut rng, sent).await {
             let bytes = request(&path, sent, &callers.keys[0]);
             sent += 1;
-            // What becomes of it is seen at the targets.
+            // The outcome is checked at the targets.
             let _ = timeout(REQUEST_TIMEOUT, async {
                 conn.write(&bytes).await?;
                 conn.has_more().await
@@ -61,7 +61,7 @@
     bytes
 }
 
-/// How often time_per_variant fatal request ran, by path.
+/// How often each fatal request ran, by path.
 fn runs_by_path(runs: &[Seen]) -> Vec<(CompactString, usize)> {
     let mut paths: Vec<_> = runs.iter().filter(|r| r.body == FATAL_BODY).collect();
     paths.sort_by(|a, b| a.target.cmp(&b.target));
@@ -69,8 +69,9 @@
     by_path.map(|same| (same[0].target.clone(), same.len())).collect()
 }
 
-/// What is excess with the runs of fatal requests, from all runs before it was calm and all by now:
-/// in the calm every router hears of every target's end.
+/// Returns the fatal requests that crashed too many targets between `before` and `after`, the runs
+/// at the start and at the end of the recovery check. Without faults every router is informed of
+/// every crash of a target.
 pub fn check(before: &[Seen], after: &[Seen]) -> Vec<String> {
     let earlier = runs_by_path(before);
     let excess = |(path, runs): (CompactString, usize)| {
--- a/soak/src/fault_injection.rs
+++ b/soak/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults, one after the other, brought about in a running testbed.
+//! Injects faults into a running testbed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,20 +16,22 @@
 use crate::routers::RouterProcess;
 use crate::testbed::{PREPAID_TOKENS, START_TIMEOUT, Setup, TARGET_COUNT, Testbed};
 
-/// What a raise adds.
+/// Tokens that a top-up adds to an organisation's prepaid tokens.
 const TOP_UP_TOKENS: u64 = 5_000;
-/// Routes by which the configuration grows: some 750 kB on the wire, which a narrow link carries in
-/// 2 s. A call to the store that has a fixed time for its whole answer never gets it.
+/// Number of unused routes that are added to the configuration. It then has about 750 kB on the
+/// wire, which a narrow link transfers in 2 s. A store call with a fixed timeout for the whole
+/// response would never receive it.
 const EXTRA_ROUTES: usize = 2_500;
-/// Apart from the seed of the faults, whose series stays as it is.
+/// Combined with the seed by XOR for the random sequence of notices, so that the sequence of faults
+/// does not depend on it. The bytes spell "notices".
 const NOTICE_SEED_MASK: u64 = 0x006e_6f74_6963_6573;
-/// Pause between two looks whether a router wait_until_listening.
+/// Pause between two checks whether a router listens.
 const LISTEN_POLL: Duration = Duration::from_millis(10);
 
 impl Testbed {
-    /// Breaks things for the time of the setup, and waits until all of it is stopped: a stop may be
-    /// asked for while the one before still takes its whole grace, and begins only after it. Returns
-    /// how many.
+    /// Injects faults for the duration in `setup` and waits until all have ended: a stop may wait
+    /// for an earlier stop of the same router that uses its whole grace period, and starts only
+    /// after it. Returns the number of faults.
     pub(crate) async fn inject_faults(self: &Rc<Testbed>, setup: &Setup) -> usize {
         let mut rng = Rng::with_seed(setup.seed);
         let fleet = FleetSize {
@@ -49,32 +51,33 @@
             injections.push(spawn_local(self.clone().inject(fault)));
         }
         let faults = injections.len();
-        for inject in injections {
-            if let Err(e) = inject.await {
+        for injection in injections {
+            if let Err(e) = injection.await {
                 self.record_violation(format!("a fault could not be brought about: {e}"));
             }
         }
         faults
     }
 
-    /// One target after the other says that it leaves, and does so later, or asks for rest.
+    /// Makes one target after the other either announce that it is leaving, with a replacement
+    /// later, or refuse requests with a `Retry-After`.
     pub(crate) async fn send_notices(self: Rc<Testbed>, until: Instant, seed: u64) {
         let mut rng = Rng::with_seed(seed ^ NOTICE_SEED_MASK);
         loop {
             let (n, leaves) = (rng.usize(..TARGET_COUNT), rng.bool());
-            let lasts = if leaves { notices::LEAVING_MS } else { notices::SHEDDING_MS };
-            let lasts = Duration::from_millis(rng.u64(lasts));
+            let notice_time = if leaves { notices::LEAVING_MS } else { notices::SHEDDING_MS };
+            let notice_time = Duration::from_millis(rng.u64(notice_time));
             let pause = Duration::from_millis(rng.u64(notices::PAUSE_MS));
-            if Instant::now() + pause + lasts > until {
+            if Instant::now() + pause + notice_time > until {
                 return;
             }
             sleep(pause).await;
             let target = self.targets.borrow()[n].0.clone();
             target.set_says_leaving(leaves);
             target.set_rests(rng.choice(notices::RETRY_AFTER_S).filter(|_| !leaves));
-            sleep(lasts).await;
+            sleep(notice_time).await;
             target.set_rests(None);
-            // A fault may have put another one in its place.
+            // A fault may have replaced the target in the meantime.
             let is_there = self.targets.borrow()[n].0.id == target.id;
             if leaves && is_there {
                 self.replace_target(n).await;
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Makes the configuration large after a while.
+    /// Adds the extra routes to the configuration after a delay.
     async fn grow_config(self: Rc<Testbed>, after: Duration) {
         sleep(after).await;
         self.extra_routes.set(EXTRA_ROUTES);
@@ -138,7 +141,7 @@
             }
             Fault::Stop(r) => {
                 let mut router = self.routers[r].lock().await;
-                // A paused process could not hear it.
+                // A paused process could not handle SIGTERM.
                 router.signal(Signal::CONT);
                 router.wait_until_listening().await;
                 let from = Instant::now();
@@ -165,9 +168,11 @@
         self.link_disturbances.borrow_mut().push(disturbance);
     }
 
-    /// Tells a router that its settings changed, once its process takes signals. The router is not
-    /// held while it starts: a pause that began before its own code ran could not end, and the
-    /// signal would end the process as it does any program.
+    /// Sends SIGHUP to a router once its process handles signals; before that, the signal's default
+    /// action would end the process.
+    ///
+    /// The router's lock is released between two checks. If it were held while the process starts,
+    /// a pause that began before the process ran its own code could not end.
     async fn reload_router(&self, r: usize) {
         let until = Instant::now() + START_TIMEOUT;
         while Instant::now() < until {
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,5 +1,5 @@
-//! Which fault comes next: drawn from a seed, so that a seed gives the same series of faults.
-//! Faults overlap: each has a time of its own.
+//! Draws random faults from a seed, so that a seed always gives the same sequence. Each fault has
+//! its own duration, and faults may overlap.
 
 use std::time::Duration;
 
@@ -9,53 +9,54 @@
 
 use crate::proxy::LinkMode;
 
-/// One thing that goes wrong, or that operators do.
+/// A fault, or an operation that operators perform while faults occur. Routers, targets and
+/// organisations are given by their index.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A router's calls to the store fail.
+    /// A router's calls to the store fail for a time.
     Store(usize, StoreFault, Duration),
     /// The store drops its history of changes.
     Compact,
-    /// A partition of the store answers nobody.
+    /// An organisation's partition of the store does not answer for a time.
     Partition(usize, Duration),
-    /// A router's link to the store.
+    /// A router's link to the store is in this mode for a time.
     StoreLink(usize, LinkMode, Duration),
-    /// All routers' links to the store.
+    /// All routers' links to the store are in this mode for a time.
     AllStoreLinks(LinkMode, Duration),
     /// A router's connections to the store are reset.
     StoreReset(usize),
-    /// The link to a target.
+    /// The link to a target is in this mode for a time.
     TargetLink(usize, LinkMode, Duration),
     /// A target's connections are reset.
     TargetReset(usize),
-    /// The next requests of a target fail.
+    /// The next request of a target fails.
     Target(usize, TargetFault),
-    /// A target leaves; another takes its place.
+    /// A target is replaced by a new one.
     Replace(usize),
-    /// A router stands still.
+    /// A router's process is paused for a time.
     Pause(usize, Duration),
-    /// A router is killed and started again after a while.
+    /// A router is killed and restarted after this time.
     Kill(usize, Duration),
-    /// All routers are killed at once and started again.
+    /// All routers are killed at once and restarted after this time.
     KillAll(Duration),
-    /// A router is told to stop, and started again once it has.
+    /// A router is stopped gracefully and restarted once it has ended.
     Stop(usize),
-    /// A router is told that its settings changed.
+    /// A router reloads its settings.
     Reload(usize),
-    /// An organisation's amount is raised.
+    /// An organisation's prepaid tokens are topped up.
     TopUp(usize),
-    /// A new configuration without any difference for callers.
+    /// A new version of the configuration is written that changes nothing for callers.
     Configure,
 }
 
-/// What there is to break.
+/// The numbers of parts that faults can be applied to.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Organisations.
+    /// Number of organisations.
     pub orgs: usize,
 }
 
@@ -96,7 +97,7 @@
     }
 }
 
-/// The next fault, and the pause before it.
+/// Draws the next fault and the pause before it.
 pub fn random_fault(rng: &mut Rng, fleet: FleetSize) -> (Duration, Fault) {
     let pause = random_millis(rng, 50, 600);
     let router = rng.usize(..fleet.routers);
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,6 +1,8 @@
-//! A fault soak: the daemon as separate processes on one machine, before stand-ins of the
-//! platform's store and of targets, behind proxies on the loopback, under random faults from
-//! outside. What must hold is checked from what callers and targets see.
+//! Soak test of the router daemon under random faults.
+//!
+//! Routers run as separate processes on one machine, with stand-ins for the platform's store and
+//! for targets. They reach both through loopback proxies, and faults are injected from outside. The
+//! invariants are checked on what callers and targets observe.
 
 pub mod callers;
 pub mod checks;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall-soak`: one or more seeds, one after the other. Exits with 1 if one failed.
+//! Runs the soak test for one seed after the other. Exits with 1 if a seed failed.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -16,25 +16,25 @@
 #[derive(Bpaf)]
 #[bpaf(options)]
 struct Args {
-    /// First seed; without it a fresh one
+    /// First seed; random if absent
     #[bpaf(argument("N"))]
     seed: Option<u64>,
-    /// How many seeds, counted up from the first
+    /// Number of seeds, counting up from the first
     #[bpaf(argument("N"), fallback(1))]
     seeds: u64,
-    /// How long faults go on for each seed, in seconds
+    /// How long faults are injected for each seed, in seconds
     #[bpaf(argument("S"), fallback(20))]
     seconds: u64,
-    /// Routers, two in each availability zone
+    /// Number of routers, two in each availability zone
     #[bpaf(argument("N"), fallback(4))]
     routers: u8,
-    /// Callers
+    /// Number of callers
     #[bpaf(argument("N"), fallback(16))]
     callers: u32,
-    /// Seeds that failed once, a line each, as in soak/seeds.txt; played instead of others
+    /// File of seeds to run instead, one a line with seconds and routers, as in soak/seeds.txt
     #[bpaf(argument("FILE"))]
     again: Option<PathBuf>,
-    /// The daemon; default_daemon this program by default
+    /// Executable of the daemon; by default the one in the directory of this program
     #[bpaf(argument("FILE"))]
     daemon: Option<PathBuf>,
 }
@@ -69,13 +69,22 @@
     Ok(if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Reads seed, seconds and routers of each line; what follows them is the cause.
+/// Reads the seed, the seconds of faults and the number of routers from each line, and ignores the
+/// rest of the line, which states the cause.
 fn read_runs(file: &Path) -> Result<Vec<(u64, u64, u8)>> {
     let text = std::fs::read_to_string(file).wrap_err_with(|| file.display().to_string())?;
     let lines = text.lines().enumerate();
     let runs = lines.filter(|(_, l)| !l.is_empty() && !l.starts_with('#'));
-    runs.map(|(n, l)| read_run(l).ok_or_else(|| eyre!("{}:{}: {l}", file.display(), n + 1)))
-        .collect()
+    runs.map(|(n, l)| {
+        read_run(l).ok_or_else(|| {
+            eyre!(
+                "{}:{}: expected seed, seconds and routers as numbers, found: {l}",
+                file.display(),
+                n + 1
+            )
+        })
+    })
+    .collect()
 }
 
 fn read_run(line: &str) -> Option<(u64, u64, u8)> {
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -1,5 +1,6 @@
-//! Targets that say in their answers that they leave, or ask for backoff, while their entries say that
-//! they are ready and faults go on.
+//! Checks that routers follow the notices in targets' responses, a leaving announcement or a
+//! `Retry-After`, while the targets' entries in the store say that they are ready and faults are
+//! injected.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,30 +12,32 @@
 
 use crate::callers::Exchange;
 
-/// The span after an answer that says so in_backoff which requests may still reach a target that leaves.
+/// How long after a response that announces leaving requests may still be sent to the target.
 const LEAVING_GRACE: Duration = Duration::from_secs(2);
-/// The span after a refusal in_backoff which requests may still reach a target that asked for backoff.
+/// How long after a refusal with `Retry-After` requests may still reach the target.
 const BACKOFF_GRACE: Duration = Duration::from_millis(500);
-/// Requests of one router that may reach it in the backoff of that time.
+/// Maximum number of requests from one router that may reach the target in the remainder of the
+/// backoff.
 const MAX_REQUESTS_IN_BACKOFF: usize = 2;
-/// How long a target says that it leaves earlier_notice another takes its place, ms.
+/// Range of the time for which a target announces that it is leaving before it is replaced, in
+/// milliseconds.
 pub const LEAVING_MS: std::ops::Range<u64> = 3_500..6_000;
-/// How long a target turns everything away, ms.
+/// Range of the time for which a target refuses all requests, in milliseconds.
 pub const SHEDDING_MS: std::ops::Range<u64> = 500..3_000;
-/// The rests that it asks for, s.
+/// Values of `Retry-After`, in seconds.
 pub const RETRY_AFTER_S: [&str; 3] = ["1", "2.5", "3"];
-/// Pause between two targets that say something, ms.
+/// Range of the pause between two targets with notices, in milliseconds.
 pub const PAUSE_MS: std::ops::Range<u64> = 300..1_500;
 
-/// A router was paused, killed or stopped, or the link to a target was is_disturbed: what was noticed_at may be
-/// gone, and what was sent may come late_arrival.
+/// A period in which a router was paused, killed or stopped, or the link to a target was impaired.
+/// Notices may be lost in it, and requests may arrive late.
 #[derive(Clone, Debug)]
 pub struct Disturbance<T> {
-    /// Which router or target.
+    /// The router, by the address that callers connect to, or the target, by its id.
     pub subject: T,
-    /// When it began.
+    /// When the period began.
     pub from: Instant,
-    /// When it was over.
+    /// When the period ended.
     pub to: Instant,
 }
 
@@ -47,17 +50,17 @@
     disturbances.iter().any(|h| h.subject == *subject && h.from <= to && h.to >= from)
 }
 
-/// What was observed of one run.
+/// Everything that was recorded in one run.
 pub struct Observations<'a> {
-    /// What callers got.
+    /// The requests that callers sent and the responses they got.
     pub exchanges: &'a [Exchange],
-    /// Harms of routers, by where callers connect.
+    /// Disturbances of routers, by the address that callers connect to.
     pub routers: &'a [Disturbance<SocketAddr>],
-    /// Harms of links to targets, by target.
+    /// Disturbances of the links to targets, by target.
     pub links: &'a [Disturbance<CompactString>],
 }
 
-/// What is wrong with what targets got after they had said something.
+/// Returns the violations at all targets: requests that arrived despite a notice.
 pub fn check(targets: &[StandinTarget], observed: &Observations<'_>) -> Vec<String> {
     let by_id: HashMap<&str, &Exchange> =
         observed.exchanges.iter().map(|e| (e.id.as_str(), e)).collect();
@@ -72,7 +75,8 @@
     targets.iter().flat_map(check_one).collect()
 }
 
-/// Requests that came through a router which had passed on that the target leaves.
+/// Returns the requests that arrived through a router which had already forwarded a response of the
+/// target that announces leaving.
 pub fn check_leaving(
     target: &str,
     arrivals: &[(&Exchange, &Arrival)],
@@ -99,7 +103,8 @@
     arrivals.iter().filter_map(late_arrival).collect()
 }
 
-/// Requests of a router that the target had asked for backoff.
+/// Returns the refusals with `Retry-After` after which the same router sent too many requests to
+/// the target during the backoff.
 pub fn check_backoff(
     target: &str,
     arrivals: &[(&Exchange, &Arrival)],
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy on the loopback that delays, resets, cuts one way or silences connections, and that may
-//! be narrow.
+//! A loopback proxy that can delay connections, reset them, stall them in one or both directions,
+//! and limit their bandwidth.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,47 +14,48 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Bytes that are passed on at once.
+/// Maximum number of bytes that are forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// How often held bytes look whether the link is back.
+/// Pause between two checks whether a stalled link forwards bytes again.
 const STALL_POLL: Duration = Duration::from_millis(10);
 
-/// How a link behaves.
+/// How a link treats bytes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LinkMode {
-    /// Passes everything on.
+    /// Forwards everything.
     #[default]
     Pass,
-    /// Holds every piece for so long.
+    /// Delays every chunk by this time.
     Delay(Duration),
-    /// Nothing arrives at the far end; what the far end sends does.
+    /// Holds bytes to the server; bytes to the client are forwarded.
     StallForward,
-    /// Nothing comes back.
+    /// Holds bytes to the client; bytes to the server are forwarded.
     StallBackward,
-    /// Neither way; new connections open and stay silent.
+    /// Holds bytes in both directions. New connections are accepted but transfer nothing.
     StallBoth,
 }
 
-/// A link between a router and whatever it calls.
+/// A link between a router and a server that it calls.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where to connect to.
+    /// The address that clients connect to.
     pub addr: SocketAddr,
     upstream: SocketAddr,
     mode: Rc<Cell<LinkMode>>,
-    /// Bytes a second that come back, over all connections; without one as many as there are.
+    /// Bandwidth towards clients in bytes a second, shared by all connections; unlimited if `None`.
     return_bytes_per_s: Option<u64>,
-    /// When the bytes that are on their way back have arrived.
+    /// When all bytes in transfer towards clients will have arrived.
     busy_until: Rc<Cell<Instant>>,
     resets: Rc<RefCell<watch::Sender<u64>>>,
     closed: Rc<watch::Sender<bool>>,
 }
 
 impl Proxy {
-    /// A proxy at a free port of `ip` for `to`, over which `return_bytes_per_s` bytes a second come back.
+    /// Starts a proxy at a free port of `ip` for the server at `upstream`. Its bandwidth towards
+    /// clients is `return_bytes_per_s`.
     ///
     /// # Errors
-    /// Those of listening.
+    /// Fails if the port cannot be bound.
     pub async fn start(
         ip: &str,
         upstream: SocketAddr,
@@ -80,7 +81,7 @@
             };
             tokio::select! {
                 biased;
-                // `serving` keeps the sender: the channel cannot be closed.
+                // `serving` holds the sender, so the channel cannot close.
                 _ = closed.wait_for(|closed| *closed) => (),
                 () = accept => (),
             }
@@ -88,7 +89,8 @@
         Ok(proxy)
     }
 
-    /// Sets how the link behaves from now on. What was held arrives once it passes again.
+    /// Sets how the link treats bytes from now on. Held bytes are delivered once the link forwards
+    /// again.
     pub fn set(&self, mode: LinkMode) {
         self.mode.set(mode);
     }
@@ -98,7 +100,8 @@
         self.resets.borrow().send_modify(|n| *n += 1);
     }
 
-    /// Stops listening: the process behind it has ended. Open connections end with the process.
+    /// Stops listening, because the process behind the proxy has ended. Open connections end with
+    /// that process.
     pub fn close(&self) {
         self.closed.send_replace(true);
     }
@@ -114,14 +117,14 @@
             _ = reset.changed() => true,
         };
         if was_reset {
-            // A socket that is already closed cannot be reset any more.
+            // A socket that is already closed can no longer be reset.
             let _ = client_r.as_ref().set_zero_linger();
             let _ = server_r.as_ref().set_zero_linger();
         }
     }
 
-    /// Passes bytes one way until that way ends. A half that ends ends the whole connection once
-    /// its last bytes have gone out.
+    /// Copies bytes in one direction until it ends. The end of either direction ends the whole
+    /// connection once the last bytes have been written.
     async fn copy_one_way(
         &self,
         reader: &mut OwnedReadHalf,
@@ -145,7 +148,7 @@
                 sleep(STALL_POLL).await;
             }
             if n == 0 {
-                // The far end reads the end only after everything before it.
+                // The receiver sees the end of the stream only after all bytes before it.
                 let _ = writer.shutdown().await;
                 sleep(STALL_POLL).await;
                 return;
--- a/soak/src/routers.rs
+++ b/soak/src/routers.rs
@@ -1,5 +1,5 @@
-//! Routers as separate processes: started, signalled, ended. Only processes that were started
-//! here are ever signalled, by their ids.
+//! Runs routers as separate processes: starts, signals and ends them. Signals are sent only to
+//! processes that were started here, by their ids.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -16,26 +16,26 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// Seconds from the order to stop to the forced end.
+/// Seconds between SIGTERM and the forced end of a router.
 pub const STOP_GRACE_S: u64 = 8;
-/// Looks whether a process wait_until_listening, at most, and the pause between two.
+/// Maximum number of checks whether a process listens, and the pause between two checks.
 const LISTEN_POLLS: u32 = 200;
 const LISTEN_POLL_PAUSE: Duration = Duration::from_millis(10);
-/// Time for an answer to the question whether a router serves, and the answer's head, in bytes.
+/// Timeout of a readiness check, and the maximum size of its response head, in bytes.
 const READY_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_HEAD_BYTES: usize = 4 * 1024;
-/// Ports of a router at an address of its own.
+/// Ports of a router. They are the same for all routers, because each has its own IP address.
 const FRONT_PORT: u16 = 8227;
 const READY_PORT: u16 = 8220;
 const DIRECTORY_PORT: u16 = 8224;
 
-/// One place for a router process.
+/// One router: its settings and log, and its process while one runs.
 pub struct RouterProcess {
-    /// Its name.
+    /// The router's name, as in its settings.
     pub name: CompactString,
-    /// Its address.
+    /// The router's IP address.
     pub ip: CompactString,
-    /// Its availability zone.
+    /// The router's availability zone.
     pub zone: CompactString,
     settings: PathBuf,
     log: PathBuf,
@@ -44,10 +44,10 @@
 }
 
 impl RouterProcess {
-    /// A place whose processes reach the store at `store`. Nothing is started yet.
+    /// Writes the settings of a router that reaches the store at `store`. Does not start a process.
     ///
     /// # Errors
-    /// Those of writing the settings file.
+    /// Fails if the settings file cannot be written.
     pub fn new(
         dir: &Path,
         daemon: &Path,
@@ -66,7 +66,7 @@
              cold_over: 1.5, cold_slack: 5 }}\nzones: {REGIONS}\n\
              platform: {{ address: \"{store}\" }}\n"
         );
-        std::fs::write(&settings, text).wrap_err("settings file")?;
+        std::fs::write(&settings, text).wrap_err("failed to write the router's settings file")?;
         Ok(RouterProcess {
             log: dir.join(format!("{name}.log")),
             name,
@@ -78,25 +78,29 @@
         })
     }
 
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub fn front_addr(&self) -> SocketAddr {
-        format!("{}:{FRONT_PORT}", self.ip).parse().expect("an address")
+        format!("{}:{FRONT_PORT}", self.ip)
+            .parse()
+            .expect("an IP address and a port form a socket address")
     }
 
-    /// Where it says which routers callers should use.
+    /// The address of the router's directory, which lists the routers that callers should use.
     pub fn directory_addr(&self) -> SocketAddr {
-        format!("{}:{DIRECTORY_PORT}", self.ip).parse().expect("an address")
+        format!("{}:{DIRECTORY_PORT}", self.ip)
+            .parse()
+            .expect("an IP address and a port form a socket address")
     }
 
-    /// Whether a process runs here.
+    /// Whether a process was started and not ended by this object.
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Starts a process.
+    /// Starts a process that appends its output to the log.
     ///
     /// # Errors
-    /// Those of starting it.
+    /// Fails if the log cannot be opened or the daemon cannot be started.
     pub fn start(&mut self) -> Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let child = Command::new(&self.daemon)
@@ -116,13 +120,13 @@
         let id = self.child.as_ref().and_then(Child::id);
         let pid = id.and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         if let Some(pid) = pid {
-            // A process that has just ended needs no signal.
+            // The process may have ended in the meantime.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Waits until the process wait_until_listening: from then on it takes every signal. Before it runs its
-    /// own code no program can.
+    /// Waits until the process listens, or until the checks are used up. A listening process
+    /// handles every signal; no program can before its own code runs.
     pub async fn wait_until_listening(&self) {
         for _ in 0..LISTEN_POLLS {
             if self.is_listening().await {
@@ -132,14 +136,16 @@
         }
     }
 
-    /// Whether the process wait_until_listening now.
+    /// Whether the process accepts connections at its directory address.
     pub async fn is_listening(&self) -> bool {
         TcpStream::connect(self.directory_addr()).await.is_ok()
     }
 
-    /// Whether the process says that it serves.
+    /// Whether the process reports that it is ready.
     pub async fn is_ready(&self) -> bool {
-        let addr = format!("{}:{READY_PORT}", self.ip).parse().expect("an address");
+        let addr = format!("{}:{READY_PORT}", self.ip)
+            .parse()
+            .expect("an IP address and a port form a socket address");
         let probe = async {
             let mut conn = Conn::dial(addr, READY_TIMEOUT).await.ok()?;
             conn.write(b"GET /readyz HTTP/1.1\r\nHost: router\r\n\r\n").await.ok()?;
@@ -151,13 +157,13 @@
     /// Kills the process and waits for its end.
     pub async fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // The process may have ended by itself.
             let _ = child.kill().await;
         }
     }
 
-    /// Asks the process to stop, and ends it by force after the grace time. Returns whether it
-    /// ended by itself in time.
+    /// Sends SIGTERM to the process and kills it after the grace period. Returns whether it ended
+    /// by itself in time.
     pub async fn stop(&mut self) -> bool {
         self.signal(Signal::TERM);
         let Some(mut child) = self.child.take() else { return true };
@@ -168,7 +174,7 @@
         ended
     }
 
-    /// How the process ended, if it did though nobody ended it.
+    /// The exit status of a process that ended without being killed or stopped.
     pub fn unexpected_exit(&mut self) -> Option<ExitStatus> {
         self.child.as_mut()?.try_wait().ok().flatten()
     }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One seed from start to end.
+//! Runs one seed from start to end and checks the results.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -21,27 +21,29 @@
 use crate::testbed::{PREPAID_TOKENS, Testbed};
 use crate::zones;
 
-/// Time without faults before the last requests: the longest fault, and a stop by force.
+/// Time without faults before the recovery check. It covers the longest fault and a router that is
+/// killed at the end of its grace period.
 const SETTLE_TIME: Duration = Duration::from_secs(STOP_GRACE_S + 4);
-/// Time in which the last requests are counted.
+/// How long requests are counted for the recovery check.
 const RECOVERY_WINDOW: Duration = Duration::from_secs(3);
-/// Requests that end targets, one after the other while faults go on.
+/// Number of different requests that crash targets. They are sent one after the other while faults
+/// are injected.
 const FATAL_REQUESTS: u32 = 3;
-/// Pause between two looks at the ledgers.
+/// Pause between two audits of the ledgers.
 const AUDIT_PAUSE: Duration = Duration::from_millis(200);
 
-/// What came of it.
+/// The result of one seed.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The seed.
+    /// The seed of the faults and requests.
     pub seed: u64,
-    /// Requests by how they ended: whole successes, refusals, all.
+    /// Number of requests: complete responses with status 200, refusals with status 503, and all.
     pub counts: (usize, usize, usize),
-    /// Faults.
+    /// Number of injected faults.
     pub faults: usize,
-    /// Everything that did not hold.
+    /// One line for each violated invariant.
     pub violations: Vec<String>,
-    /// Where the routers' logs are; kept only if something did not hold.
+    /// Directory of the routers' logs. It is removed if there are no violations.
     pub logs: PathBuf,
 }
 
@@ -59,14 +61,16 @@
     }
 }
 
-/// Plays one seed.
+/// Runs one seed.
 ///
 /// # Errors
-/// Those of starting; what did not hold is in the report.
+/// Fails if the testbed cannot be started, if a background task panics, or if the logs cannot be
+/// removed. Violated invariants are returned in the report.
 pub async fn run(setup: &Setup) -> Result<Report> {
     let dir = std::env::temp_dir().join(format!("kingcupwall-soak-{}", std::process::id()));
     let logs = dir.join(setup.seed.to_string());
-    std::fs::create_dir_all(&logs).wrap_err("directory for logs")?;
+    std::fs::create_dir_all(&logs)
+        .wrap_err("failed to create the directory for the routers' logs")?;
     let testbed = Testbed::start(setup, &logs).await?;
     spawn_local(testbed.clone().audit());
     for n in 0..setup.callers {
@@ -112,7 +116,8 @@
 }
 
 impl Testbed {
-    /// Looks at the ledgers all the while: what is promised must never exceed what is prepaid.
+    /// Audits the ledgers until callers stop: the tokens committed for an organisation must never
+    /// exceed its prepaid tokens.
     async fn audit(self: Rc<Testbed>) {
         while !self.callers.stop_requested.get() {
             for org in 0..PREPAID_TOKENS.len() {
@@ -130,7 +135,7 @@
     }
 
     async fn committed(&self, org: &str) -> Option<u64> {
-        // A partition that is silent is looked at the next time.
+        // The next audit reads a partition that did not answer.
         let page = self.store.scan("budgets", org).await.ok()?;
         let value = page.rows.first()?.value.clone()?;
         match Ledger::decode(&value) {
@@ -142,8 +147,8 @@
         }
     }
 
-    /// Once all faults are over, every router serves, and requests of the organisation that has
-    /// plenty are served.
+    /// Checks that, after all faults, every router is ready and that most requests of the
+    /// organisation with ample prepaid tokens are served.
     async fn check_recovery(&self) {
         for router in &self.routers {
             let router = router.lock().await;
@@ -166,17 +171,17 @@
     }
 
     fn check_notices(&self) {
-        let exchange_log = notices::Observations {
+        let observations = notices::Observations {
             exchanges: &self.callers.exchange_log.borrow(),
             routers: &self.router_disturbances.borrow(),
             links: &self.link_disturbances.borrow(),
         };
-        notices::check(&self.all_targets(), &exchange_log)
+        notices::check(&self.all_targets(), &observations)
             .into_iter()
             .for_each(|v| self.record_violation(v));
     }
 
-    /// All runs at all targets so far.
+    /// All runs at all targets so far, including removed targets.
     fn runs(&self) -> Vec<Seen> {
         self.all_targets().iter().flat_map(StandinTarget::runs).collect()
     }
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store over HTTP, for the routers of a soak.
+//! Serves the platform's store over HTTP to the routers of a soak.
 
 use kingcupwall::http1::Conn;
 use kingcupwall::rows::{
@@ -10,22 +10,21 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// How long bytes to a router may stay unacknowledged.
+/// How long bytes that were sent to a router may stay unacknowledged.
 const ACK_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest call, in bytes.
-const MAX_CALL_BYTES: u64 = 1024 * 1024;
+/// Maximum size of a call's body, in bytes.
+const MAX_BYTES: u64 = 1024 * 1024;
 
-/// Serves a handle of the store, for ever. Its fault is that of the handle.
+/// Serves calls through a handle of the store, without end. Faults that are set on the handle apply
+/// to these calls.
 pub async fn serve(listener: TcpListener, rows: MemoryRows) {
     while let Ok((io, _)) = listener.accept().await {
         let rows = rows.clone();
         spawn_local(async move {
             let Ok(mut conn) = Conn::new(io, ACK_TIMEOUT) else { return };
             while let Ok(head) = conn.read_request(64 * 1024).await {
-                let Ok(Some(body)) = conn.read_body(head.body, MAX_CALL_BYTES).await else {
-                    return;
-                };
-                // A lost answer shows as a connection that ends without one.
+                let Ok(Some(body)) = conn.read_body(head.body, MAX_BYTES).await else { return };
+                // A lost answer is simulated by closing the connection without a response.
                 let Some(reply) = handle_call(&rows, &head.target, &body).await else { return };
                 if conn.write(&reply).await.is_err() {
                     return;
@@ -69,7 +68,7 @@
 }
 
 fn encode(status: u16, page: Page) -> Vec<u8> {
-    let body = serde_json::to_string(&WirePage::from(page)).expect("a page is JSON");
+    let body = serde_json::to_string(&WirePage::from(page)).expect("a page can be written as JSON");
     let len = body.len();
     format!(
         "HTTP/1.1 {status} Stated\r\nContent-Type: application/json\r\nContent-Length: {len}\r\n\r\n{body}"
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -1,4 +1,4 @@
-//! Everything that runs in one seed: the store, targets, routers and callers.
+//! The testbed of one seed: the store, targets, routers and callers.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -24,44 +24,44 @@
 use crate::store;
 use crate::zones;
 
-/// Targets of the only service.
+/// Number of targets. All belong to one service.
 pub(crate) const TARGET_COUNT: usize = 4;
-/// Organisations, and what each has: the first runs out, the last does not.
+/// Prepaid tokens of each organisation. The first one runs out of tokens, the last one does not.
 pub(crate) const PREPAID_TOKENS: [u64; 3] = [40_000, 400_000, 40_000_000];
 /// Pause between two events of a stream.
 const EVENT_GAP: Duration = Duration::from_millis(4);
-/// How long routers may take to serve after their start.
+/// How long routers may take from their start until they serve.
 pub(crate) const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Bytes a second that every second router gets from the store.
+/// Bandwidth from the store to every second router, in bytes a second.
 const NARROW_LINK_BYTES_PER_S: u64 = 400_000;
-/// How long a target that has ended is down.
+/// How long a crashed target is down before its replacement starts.
 const TARGET_DOWNTIME: Duration = Duration::from_secs(1);
-/// Pause between two looks whether all routers are known.
+/// Pause between two checks whether all routers have registered.
 const START_POLL: Duration = Duration::from_millis(200);
 
-/// A soak.
+/// Parameters of one seed's run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The seed of its faults and requests.
+    /// Seed of the faults and requests.
     pub seed: u64,
-    /// How long faults go on.
+    /// How long faults are injected.
     pub faults_for: Duration,
-    /// Routers.
+    /// Number of routers.
     pub routers: u8,
-    /// Callers.
+    /// Number of callers.
     pub callers: u32,
-    /// The daemon.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
 }
 
-/// Everything that runs.
+/// All parts of a running testbed.
 pub(crate) struct Testbed {
     pub(crate) store: MemoryRows,
     pub(crate) store_handles: Vec<MemoryRows>,
     pub(crate) store_links: Vec<Proxy>,
     pub(crate) routers: Vec<Mutex<RouterProcess>>,
     pub(crate) targets: RefCell<Vec<(StandinTarget, Proxy)>>,
-    /// Targets that have left; what they ran still counts.
+    /// Replaced targets. The checks still include their runs.
     pub(crate) removed_targets: RefCell<Vec<StandinTarget>>,
     pub(crate) callers: Rc<Callers>,
     pub(crate) prepaid: RefCell<Vec<u64>>,
@@ -76,9 +76,10 @@
 
 impl Testbed {
     pub(crate) async fn start(setup: &Setup, logs: &Path) -> Result<Rc<Testbed>> {
-        let network = u16::try_from(std::process::id() % 60_000).unwrap_or_default() + 2_000;
-        // A network of this soak's own on the loopback: others do not use its addresses.
-        let ip = format_compact!("127.{}.{}", network / 250 + 1, network % 250 + 1);
+        let network_number = u16::try_from(std::process::id() % 60_000).unwrap_or_default() + 2_000;
+        // Each soak process uses a loopback network of its own, so that two soaks on one machine do
+        // not share addresses.
+        let ip = format_compact!("127.{}.{}", network_number / 250 + 1, network_number % 250 + 1);
         let store = MemoryRows::new();
         let (mut store_handles, mut store_links, mut routers) =
             (Vec::new(), Vec::new(), Vec::new());
@@ -89,8 +90,8 @@
             let link =
                 Proxy::start(&format!("{ip}.251"), listener.local_addr()?, bytes_per_s).await?;
             spawn_local(store::serve(listener, handle.clone()));
-            let (at, zone) = (format!("{ip}.{}", n + 1), format!("zone-{}", n / 2 % 2));
-            let router = RouterProcess::new(logs, &setup.daemon, &at, n, &zone, link.addr)?;
+            let (router_ip, zone) = (format!("{ip}.{}", n + 1), format!("zone-{}", n / 2 % 2));
+            let router = RouterProcess::new(logs, &setup.daemon, &router_ip, n, &zone, link.addr)?;
             store_handles.push(handle);
             store_links.push(link);
             routers.push(router);
@@ -140,14 +141,16 @@
                 sleep(START_POLL).await;
             }
         };
-        timeout_at(until, all_registered).await.map_err(|_| eyre!("the routers do not start"))
+        timeout_at(until, all_registered)
+            .await
+            .map_err(|_| eyre!("not all routers registered in the store before the start timeout"))
     }
 
     pub(crate) fn record_violation(&self, violation: String) {
         self.recorded_violations.borrow_mut().push(violation);
     }
 
-    /// Writes a configuration with the amounts as they stand.
+    /// Writes a new version of the configuration with the current prepaid tokens and routes.
     pub(crate) fn write_config(&self) {
         self.version.set(self.version.get() + 3);
         let kind = |a: RequestKind| match a {
@@ -187,7 +190,7 @@
         let target = StandinTarget::start_named(&id, "model", &zone, headers).await?;
         target.set_event_gap(EVENT_GAP);
         let link = Proxy::start(&format!("{}.252", self.ip), target.addr, None).await?;
-        // The first targets were there before the routers.
+        // The initial targets start before the routers and are warm.
         let is_cold = self.replacements.get() > 0;
         if is_cold {
             zones::start_warm_up(&target);
@@ -208,7 +211,8 @@
         Ok(())
     }
 
-    /// Once a target has ended, nobody wait_until_listening in its place; another starts there after a while.
+    /// Waits until a target has crashed, closes its proxy so that connections are refused, and
+    /// starts a replacement after a pause.
     async fn restart_after_end(self: Rc<Testbed>, n: usize, target: StandinTarget, link: Proxy) {
         target.wait_end().await;
         link.close();
@@ -226,7 +230,7 @@
         }
     }
 
-    /// All targets, also those that have left.
+    /// All targets, including replaced ones.
     pub(crate) fn all_targets(&self) -> Vec<StandinTarget> {
         let (targets, removed_targets) = (self.targets.borrow(), self.removed_targets.borrow());
         targets.iter().map(|(t, _)| t).chain(removed_targets.iter()).cloned().collect()
--- a/soak/src/zones.rs
+++ b/soak/src/zones.rs
@@ -1,5 +1,5 @@
-//! Zones that are emptied and taken back, and requests that are bound to one region, while faults
-//! go on.
+//! Empties zones and returns them to service while faults are injected, sends requests that are
+//! bound to one region, and checks where requests ran.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,40 +12,42 @@
 
 use crate::callers::{Callers, HOST, REQUEST_TIMEOUT, connect};
 
-/// The region of each zone, as settings write it.
+/// The region of each zone, in the format of the router's settings.
 pub const REGIONS: &str = "{ zone-0: south, zone-1: north }";
-/// The prefix of the route whose requests stay in the region of the first zone.
+/// Prefix of the route whose requests must stay in the region of the first zone.
 pub const BOUND_PREFIX: &str = "/bound/";
-/// The region that they stay in.
+/// Region in which bound requests must stay.
 pub const HOME_REGION: &str = "south";
-/// How targets warm up: how long, s, and requests a second.
+/// Duration of a target's warm-up, in seconds.
 pub const WARM_UP_S: f64 = 1.5;
-/// See [`WARM_UP_S`].
+/// Requests a second that a target accepts during its warm-up.
 pub const WARM_UP_PER_S: f64 = 8.0;
-/// Requests in one second at a cold target: 1.5 periods the rate, and 5.
+/// Maximum number of requests in one second at a cold target: 1.5 times [`WARM_UP_PER_S`], plus 5.
+/// The factor and the slack are in the routers' settings.
 pub const MAX_COLD_REQUESTS_PER_S: usize = 17;
-/// Pauses before an order and before it is taken back, ms.
+/// Range of the pause before a zone is emptied, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 1_000..4_000;
+/// Range of the time for which a zone stays emptied, in milliseconds.
 const EMPTIED_MS: std::ops::Range<u64> = 6_000..9_000;
-/// Time after an order in which requests may still arrive: routers are paused for up to 3 s, and
-/// have requests in hand then.
+/// How long requests may still arrive after a zone was emptied. Routers are paused for up to 3 s
+/// and may have requests in flight at that time.
 const EMPTY_GRACE: Duration = Duration::from_secs(5);
 /// Pause between two bound requests.
 const BOUND_PAUSE: Duration = Duration::from_millis(80);
 
-/// A time in which a zone was emptied.
+/// A period in which a zone was emptied.
 #[derive(Clone, Debug)]
 pub struct EmptiedPeriod {
-    /// The zone.
+    /// The availability zone.
     pub zone: &'static str,
-    /// When it was ordered.
+    /// When the order to empty the zone was written.
     pub from: Instant,
-    /// When it was taken back.
+    /// When the zone was returned to service.
     pub to: Instant,
 }
 
-/// Empties one zone after the other and takes it back, until `until`. Targets of a zone are cold
-/// for a while once it is back. Returns when each was emptied.
+/// Empties one zone after the other and returns it to service, until `until`. The targets of a zone
+/// are cold for a while after its return. Returns the periods in which zones were emptied.
 pub async fn empty_zones(
     store: MemoryRows,
     targets: impl Fn() -> Vec<StandinTarget>,
@@ -56,23 +58,23 @@
     let mut periods = Vec::new();
     loop {
         let pause = Duration::from_millis(rng.u64(PAUSE_MS));
-        let lasts = Duration::from_millis(rng.u64(EMPTIED_MS));
+        let emptied_for = Duration::from_millis(rng.u64(EMPTIED_MS));
         let zone = if rng.bool() { "zone-0" } else { "zone-1" };
-        if Instant::now() + pause + lasts > until {
+        if Instant::now() + pause + emptied_for > until {
             return periods;
         }
         sleep(pause).await;
         let key = format!("{}{zone}", names::EMPTIED);
         store.put(names::CONFIG.0, &key, b"{}");
         let from = Instant::now();
-        sleep(lasts).await;
+        sleep(emptied_for).await;
         targets().iter().filter(|t| t.zone == zone).for_each(start_warm_up);
         store.remove(names::CONFIG.0, &key);
         periods.push(EmptiedPeriod { zone, from, to: Instant::now() });
     }
 }
 
-/// Counts what a target gets while it is cold.
+/// Marks a target as cold for the duration of a warm-up, so that it records its peak request rate.
 pub fn start_warm_up(target: &StandinTarget) {
     target.set_cold(Some(usize::MAX));
     let target = target.clone();
@@ -82,7 +84,7 @@
     });
 }
 
-/// Sends requests that are bound to one region, until all is over.
+/// Sends requests that are bound to one region until callers are stopped.
 pub async fn send_bound_requests(callers: Rc<Callers>, seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let names = names::headers();
@@ -98,7 +100,7 @@
                 callers.keys[callers.keys.len() - 1],
             );
             sent += 1;
-            // What becomes of it is seen at the targets.
+            // The outcome is checked at the targets.
             let _ = timeout(REQUEST_TIMEOUT, async {
                 conn.write(bytes.as_bytes()).await?;
                 conn.has_more().await
@@ -109,16 +111,17 @@
     }
 }
 
-/// What is wrong with what targets got.
+/// Returns the violations found in the requests that targets received: too many at a cold target,
+/// outside the region, or in an emptied zone.
 pub fn check(targets: &[StandinTarget], emptied: &[EmptiedPeriod]) -> Vec<String> {
     targets.iter().flat_map(|t| check_target(t, emptied)).collect()
 }
 
 fn check_target(target: &StandinTarget, emptied: &[EmptiedPeriod]) -> Vec<String> {
     let mut violations = Vec::new();
-    let most = target.most_while_cold();
-    if most > MAX_COLD_REQUESTS_PER_S {
-        violations.push(format!("{}: {most} requests in one second while cold", target.id));
+    let peak_rate = target.most_while_cold();
+    if peak_rate > MAX_COLD_REQUESTS_PER_S {
+        violations.push(format!("{}: {peak_rate} requests in one second while cold", target.id));
     }
     let runs = target.runs();
     let is_outside_region = |path: &str| path.starts_with(BOUND_PREFIX) && target.zone != "zone-0";
