--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -146,6 +146,8 @@
     }
 }
 
+/// Connects to a router that a directory lists for the caller's zone. Directories are tried in random
+/// order. The zone depends on whether `number` is even.
 pub(crate) async fn connect(
     callers: &Callers,
     rng: &mut Rng,
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -57,20 +57,29 @@
 /// All parts of a running testbed.
 pub(crate) struct Testbed {
     pub(crate) store: MemoryRows,
+    /// One handle of the store for each router, so that faults can be set for one router.
     pub(crate) store_handles: Vec<MemoryRows>,
+    /// The link of each router to the store.
     pub(crate) store_links: Vec<Proxy>,
     pub(crate) routers: Vec<Mutex<RouterProcess>>,
+    /// The current targets, each with the link to it.
     pub(crate) targets: RefCell<Vec<(StandinTarget, Proxy)>>,
     /// Replaced targets. The checks still include their runs.
     pub(crate) removed_targets: RefCell<Vec<StandinTarget>>,
     pub(crate) callers: Rc<Callers>,
+    /// Prepaid tokens of each organisation, including top-ups.
     pub(crate) prepaid: RefCell<Vec<u64>>,
+    /// Version of the configuration.
     pub(crate) version: Cell<u64>,
+    /// Number of unused routes in the configuration.
     pub(crate) extra_routes: Cell<usize>,
+    /// Number of targets that were replaced, which makes the ids of targets unique.
     pub(crate) replacements: Cell<u64>,
+    /// Violations that were found while the testbed ran.
     pub(crate) recorded_violations: RefCell<Vec<String>>,
     pub(crate) router_disturbances: RefCell<Vec<Disturbance<SocketAddr>>>,
     pub(crate) link_disturbances: RefCell<Vec<Disturbance<CompactString>>>,
+    /// The first three octets of the testbed's loopback addresses.
     pub(crate) ip: CompactString,
 }
 
@@ -130,6 +139,7 @@
         Ok(testbed)
     }
 
+    /// Waits until all routers have registered in the store.
     async fn wait_until_serving(&self) -> Result<()> {
         let until = Instant::now() + START_TIMEOUT;
         let all_registered = async {
@@ -183,6 +193,8 @@
         self.store.put(names::CONFIG.0, names::CONFIG.1, config.to_string().as_bytes());
     }
 
+    /// Starts a target as number `n` with its proxy and registers it in the store. Replaces the current
+    /// target of this number, if any.
     pub(crate) async fn add_target(self: &Rc<Testbed>, n: usize) -> Result<()> {
         let id = format_compact!("t{n}-{}", self.replacements.get());
         let zone = format!("zone-{}", n % 2);
--- a/soak/tests/tests.rs
+++ b/soak/tests/tests.rs
@@ -1,11 +1,11 @@
-//! The soak itself: its checks find what they are for, and a short run holds.
+//! Tests of the soak itself: its checks report violations and only those, and a short run passes.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::time::Duration;
 
 use kingcupwall::http1::Header;
-use kingcupwall::standin::gateway_target::{Arrival, Seen as Ran};
+use kingcupwall::standin::gateway_target::{Arrival, Seen as TargetRun};
 use kingcupwall_soak::callers::{Exchange, RequestKind};
 use kingcupwall_soak::checks::check;
 use kingcupwall_soak::faults::{FleetSize, random_fault};
@@ -33,28 +33,38 @@
     }
 }
 
-fn ran(id: &str) -> Ran {
+fn run_of(id: &str) -> TargetRun {
     let headers: Vec<Header> = Vec::new();
-    Ran { id: id.into(), target: "/x".into(), headers, body: Vec::new().into(), at: Instant::now() }
+    TargetRun {
+        id: id.into(),
+        target: "/x".into(),
+        headers,
+        body: Vec::new().into(),
+        at: Instant::now(),
+    }
 }
 
 fn event(n: u64) -> String {
     format!("id: {n}\ndata: token {n}\n\n")
 }
 
+// Guards against false alarms: valid responses, complete streams and refusals of requests that did
+// not run are no violations.
 #[test]
-fn check_holds() {
+fn check_accepts_valid_exchanges() {
     let stream: String = (1..=3).map(event).collect();
-    let seen = [
+    let exchanges = [
         exchange(RequestKind::NonIdempotent, 200, "answer of t1 to a"),
         exchange(RequestKind::Stream, 200, &stream),
         exchange(RequestKind::Idempotent, 503, ""),
     ];
-    assert_eq!(check(&seen, &[ran("a")], &[1_000]), Vec::<String>::new());
+    assert_eq!(check(&exchanges, &[run_of("a")], &[1_000]), Vec::<String>::new());
 }
 
+// A router that mixes up connections returns the response to another request, which shows in the
+// body or in the seal.
 #[test]
-fn check_answer_of_another() {
+fn check_reports_response_to_another_request() {
     let mut wrong = exchange(RequestKind::Idempotent, 200, "answer of t1 to b");
     assert_eq!(check(&[wrong.clone()], &[], &[1_000]).len(), 1);
     wrong.body = "answer of t1 to a".into();
@@ -62,8 +72,10 @@
     assert_eq!(check(&[wrong], &[], &[1_000]).len(), 1);
 }
 
+// A resumed stream may skip events, and a router may end a truncated stream as if it were complete.
+// A stream whose connection visibly breaks off is no violation.
 #[test]
-fn check_stream_gap_and_short() {
+fn check_reports_stream_gap_and_truncation() {
     let gap = [event(1), event(3)].concat();
     assert_eq!(check(&[exchange(RequestKind::Stream, 200, &gap)], &[], &[1_000]).len(), 1);
     let short = [event(1), event(2)].concat();
@@ -73,33 +85,38 @@
     assert_eq!(check(&[cut], &[], &[1_000]).len(), 0);
 }
 
+// A retry of a request that may run once can run it twice, and a refusal can be returned for a
+// request that a target has run.
 #[test]
-fn check_ran_twice_or_after_refusal() {
+fn check_reports_second_run_and_run_after_refusal() {
     let once = exchange(RequestKind::NonIdempotent, 200, "answer of t1 to a");
-    assert_eq!(check(&[once], &[ran("a"), ran("a")], &[1_000]).len(), 1);
+    assert_eq!(check(&[once], &[run_of("a"), run_of("a")], &[1_000]).len(), 1);
     assert_eq!(
-        check(&[exchange(RequestKind::NonIdempotent, 503, "")], &[ran("a")], &[1_000]).len(),
+        check(&[exchange(RequestKind::NonIdempotent, 503, "")], &[run_of("a")], &[1_000]).len(),
         1
     );
 }
 
+// Routers that grant more than an organisation has prepaid let it use more tokens.
 #[test]
-fn check_overspent() {
+fn check_reports_overspending() {
     let stream: String = (1..=3).map(event).collect();
-    let seen = [exchange(RequestKind::Stream, 200, &stream)];
-    assert_eq!(check(&seen, &[ran("a")], &[15]), ["organisation 0: used 16 of 15"]);
+    let exchanges = [exchange(RequestKind::Stream, 200, &stream)];
+    assert_eq!(check(&exchanges, &[run_of("a")], &[15]), ["organisation 0: used 16 of 15"]);
 }
 
 fn seconds(s: f64) -> Duration {
     Duration::from_secs_f64(s)
 }
 
+// A router that ignores a leaving announcement sends later requests to that target. Requests within
+// the 2 s grace period, or through a router that lost the notice in a restart, are no violation.
 #[rstest]
-#[case::soon_after(1.9, None, 0)]
-#[case::late(2.1, None, 1)]
-#[case::router_started_again(2.1, Some(1.0), 0)]
-#[case::router_started_again_before(2.1, Some(-1.0), 1)]
-fn check_leaving_counts(
+#[case::within_grace(1.9, None, 0)]
+#[case::after_grace(2.1, None, 1)]
+#[case::restart_after_notice(2.1, Some(1.0), 0)]
+#[case::restart_before_notice(2.1, Some(-1.0), 1)]
+fn check_leaving_cases(
     #[case] sent_s: f64,
     #[case] killed_s: Option<f64>,
     #[case] expected: usize,
@@ -118,17 +135,19 @@
         .into_iter()
         .collect();
     let exchanges = [notified, late];
-    let seen = Observations { exchanges: &exchanges, routers: &disturbances, links: &[] };
-    assert_eq!(check_leaving("t1", &[(&exchanges[1], &arrival)], &seen).len(), expected);
+    let observed = Observations { exchanges: &exchanges, routers: &disturbances, links: &[] };
+    assert_eq!(check_leaving("t1", &[(&exchanges[1], &arrival)], &observed).len(), expected);
 }
 
+// A router that ignores `Retry-After` keeps sending requests to the target. Two requests after the
+// first 0.5 s, or any number while the link is disturbed, are no violation.
 #[rstest]
-#[case::on_their_way(&[0.0, 0.1, 0.2, 0.4], false, 0)]
-#[case::two(&[0.0, 0.6, 2.9], false, 0)]
-#[case::three(&[0.0, 0.6, 0.7, 2.9], false, 1)]
-#[case::after_it(&[0.0, 3.1, 3.2, 3.3], false, 0)]
-#[case::link_harmed(&[0.0, 0.6, 0.7, 2.9], true, 0)]
-fn check_rest_counts(#[case] at_s: &[f64], #[case] disturbed: bool, #[case] expected: usize) {
+#[case::within_grace(&[0.0, 0.1, 0.2, 0.4], false, 0)]
+#[case::two_in_backoff(&[0.0, 0.6, 2.9], false, 0)]
+#[case::three_in_backoff(&[0.0, 0.6, 0.7, 2.9], false, 1)]
+#[case::after_backoff(&[0.0, 3.1, 3.2, 3.3], false, 0)]
+#[case::link_disturbed(&[0.0, 0.6, 0.7, 2.9], true, 0)]
+fn check_backoff_cases(#[case] at_s: &[f64], #[case] disturbed: bool, #[case] expected: usize) {
     let start = Instant::now();
     let one = exchange(RequestKind::NonIdempotent, 503, "");
     let arrival = |(i, s): (usize, &f64)| Arrival {
@@ -143,10 +162,11 @@
         .then(|| Disturbance { subject: "t1".into(), from: at, to: at })
         .into_iter()
         .collect();
-    let seen = Observations { exchanges: &[], routers: &[], links: &links };
-    assert_eq!(check_backoff("t1", &arrivals, &seen).len(), expected);
+    let observed = Observations { exchanges: &[], routers: &[], links: &links };
+    assert_eq!(check_backoff("t1", &arrivals, &observed).len(), expected);
 }
 
+// A seed can only reproduce a failure if it always gives the same faults.
 #[test]
 fn random_fault_same_seed() {
     let fleet = FleetSize { routers: 4, targets: 4, orgs: 3 };
@@ -158,8 +178,10 @@
     assert_ne!(series(7), series(8));
 }
 
+// Guards the fleet and the soak together: a short run with faults must serve requests and report no
+// violation.
 #[test]
-fn run_short() {
+fn run_short_without_violations() {
     let setup = Setup {
         seed: 1,
         faults_for: Duration::from_secs(4),
