--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -228,7 +228,7 @@
             }
         }
         exchange.is_complete = true;
-        Some(head.keep)
+        Some(head.keep_alive)
     };
     let keep = timeout(REQUEST_TIMEOUT, exchanged).await.ok().flatten().unwrap_or(false);
     (exchange, keep)
--- a/soak/src/fatal.rs
+++ b/soak/src/fatal.rs
@@ -38,7 +38,7 @@
             // The outcome is checked at the targets.
             let _ = timeout(REQUEST_TIMEOUT, async {
                 conn.write(&bytes).await?;
-                conn.has_more().await
+                conn.wait_for_data().await
             })
             .await;
         }
--- a/soak/src/zones.rs
+++ b/soak/src/zones.rs
@@ -103,7 +103,7 @@
             // The outcome is checked at the targets.
             let _ = timeout(REQUEST_TIMEOUT, async {
                 conn.write(bytes.as_bytes()).await?;
-                conn.has_more().await
+                conn.wait_for_data().await
             })
             .await;
         }
--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -18,16 +18,16 @@
 pub async fn stop<P: Platform>(gw: &Rc<Gateway<P>>) {
     let requested_at = Instant::now();
     let end = requested_at + gw.settings.grace.saturating_sub(FINAL_WRITES_TIME);
-    gw.log.note("stop", format_args!("phase=leaving active={}", gw.active.get()));
+    gw.log.note("stop", format_args!("phase=leaving active={}", gw.active_requests.get()));
     gw.phase.send_replace(Phase::Leaving);
     members::mark_leaving(gw);
-    gw.keeper.stop_lending();
+    gw.budget_shares.stop_lending();
     sleep(gw.settings.entry_ttl * MAX_ENTRY_AGE_TTLS).await;
-    gw.log.note("stop", format_args!("phase=finishing active={}", gw.active.get()));
+    gw.log.note("stop", format_args!("phase=finishing active={}", gw.active_requests.get()));
     gw.phase.send_replace(Phase::Finishing);
-    while gw.active.get() > 0 {
-        let idle = gw.idle.notified();
-        if gw.active.get() > 0 && timeout_at(end, idle).await.is_err() {
+    while gw.active_requests.get() > 0 {
+        let idle = gw.no_active_requests.notified();
+        if gw.active_requests.get() > 0 && timeout_at(end, idle).await.is_err() {
             break;
         }
     }
@@ -35,13 +35,13 @@
         "stop",
         format_args!(
             "phase=last_writes active={} ms={}",
-            gw.active.get(),
+            gw.active_requests.get(),
             requested_at.elapsed().as_millis()
         ),
     );
     // Budget that is still lent to other routers when this one exits is charged at its maximum.
-    if timeout_at(end, gw.keeper.wait_for_loans()).await.is_err() {
+    if timeout_at(end, gw.budget_shares.wait_for_loans()).await.is_err() {
         gw.log.note("stop", format_args!("outcome=loans_left"));
     }
-    gw.keeper.stop().await;
+    gw.budget_shares.stop().await;
 }
--- a/src/gateway/outcome.rs
+++ b/src/gateway/outcome.rs
@@ -98,12 +98,12 @@
         SendOutcome::NotRun | SendOutcome::OtherTarget => {
             NextStep::Answer(not_run_answer(ran_before))
         }
-        SendOutcome::Failed if kind.repeats() && runs_left && sends_left => {
+        SendOutcome::Failed if kind.allows_repeats() && runs_left && sends_left => {
             NextStep::Retry(FinalAnswer::TargetAnswer)
         }
         SendOutcome::Failed => NextStep::Answer(FinalAnswer::TargetAnswer),
         SendOutcome::NoAnswer | SendOutcome::Silent | SendOutcome::Truncated
-            if kind.repeats() && runs_left && sends_left =>
+            if kind.allows_repeats() && runs_left && sends_left =>
         {
             NextStep::Retry(FinalAnswer::Unknown)
         }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -9,14 +9,14 @@
 use super::cold::AdmissionLimit;
 use super::datagram::{MAX_DATAGRAM_BYTES, Topic};
 use super::hints;
-use super::request::Part;
+use super::request::PromptPart;
 use super::state::{Gateway, Platform};
 use super::timing::PrefillWork;
 
 /// Sends the outgoing messages of the budget keeper. Never returns.
 pub async fn send_budget_messages<P: Platform>(gw: Rc<Gateway<P>>, socket: Rc<UdpSocket>) {
     loop {
-        for out in gw.keeper.outgoing().await {
+        for out in gw.budget_shares.outgoing().await {
             // Not retried here: the keeper repeats messages that were lost.
             if let Err(e) = socket.try_send_to(&Topic::Budgets.frame(&out.bytes), out.to) {
                 gw.log.routine("peer", format_args!("to={} outcome=unsent cause={e}", out.to));
@@ -42,9 +42,9 @@
         }
         match topic {
             Some((Topic::Hints, payload)) => apply_hints(&gw, payload),
-            Some((Topic::Budgets, payload)) => gw.keeper.receive(from, payload),
+            Some((Topic::Budgets, payload)) => gw.budget_shares.receive(from, payload),
             Some((Topic::Crashes, payload)) => {
-                gw.crashes.handle_datagram(payload, gw.keeper.store_now())
+                gw.crashes.handle_datagram(payload, gw.budget_shares.store_now())
             }
             Some((Topic::Orders, payload)) => {
                 gw.zones.merge_newer(&gw.zones.parse(payload), "peer")
@@ -80,7 +80,7 @@
     let config = gw.config();
     let cache_limit = |service: &str| config.as_ref().map_or(0, |c| c.cache_tokens(service));
     for hint in hints::parse(bytes) {
-        let parts: Vec<Part> = hint.parts().collect();
+        let parts: Vec<PromptPart> = hint.parts().collect();
         let work = PrefillWork::of(u64::from(hint.prompt), u64::from(hint.uncached));
         gw.targets.apply_hint(hint.target, work, &parts, cache_limit);
     }
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -1,4 +1,4 @@
-//! The tasks of one router.
+//! Start of a router's background tasks.
 
 use std::rc::Rc;
 
@@ -8,8 +8,8 @@
 use super::state::{Gateway, Platform};
 use super::{front, members, peers, sync};
 
-/// Starts a router's tasks: callers come in by `listener`, datagrams of other routers by `socket`.
-/// The first task is the one that follows the configuration.
+/// Starts the tasks of a router. Callers connect to `listener`; other routers send datagrams to
+/// `socket`. The first task is the one that follows the configuration.
 pub fn start<P: Platform>(
     gw: &Rc<Gateway<P>>,
     listener: TcpListener,
@@ -25,8 +25,8 @@
         spawn_local(sync::follow_targets(gw.clone())),
         spawn_local(sync::sweep_targets(gw.clone())),
         spawn_local(members::run(gw.clone())),
-        spawn_local(gw.keeper.clone().run()),
-        spawn_local(gw.keeper.clone().report_loans()),
+        spawn_local(gw.budget_shares.clone().run()),
+        spawn_local(gw.budget_shares.clone().report_loans()),
         spawn_local(async move { hints.hints.run_sender(&hints_socket).await }),
         spawn_local(async move { crashes.crashes.broadcast(&crashes_socket).await }),
         spawn_local(async move { zones.zones.run_sender(&zones_socket).await }),
--- a/src/gateway/stats.rs
+++ b/src/gateway/stats.rs
@@ -1,16 +1,16 @@
-//! Short cuts from outcomes to figures.
+//! Functions that map outcomes to metrics.
 
 use super::notice::{Notice, RetryAfter};
 use super::outcome::SendOutcome;
 use crate::stats::{EndLabels, Reason, Stats};
 
-/// Counts the end of a request.
-pub fn ended(stats: &Stats, kind: &'static str, outcome: &'static str) {
+/// Counts a finished request by route kind and outcome.
+pub fn count_request_end(stats: &Stats, kind: &'static str, outcome: &'static str) {
     stats.requests.get_or_create(&EndLabels { kind, outcome }).inc();
 }
 
-/// Counts a failed send.
-pub fn sent(stats: &Stats, ended: SendOutcome) {
+/// Counts a failed send by its reason.
+pub fn count_failed_send(stats: &Stats, ended: SendOutcome) {
     let reason = match ended {
         SendOutcome::NotSent => "not_sent",
         SendOutcome::HeldOff => "held_off",
@@ -24,8 +24,8 @@
     stats.sends.get_or_create(&Reason { reason }).inc();
 }
 
-/// Counts what an answer says of its target.
-pub fn noticed(stats: &Stats, notice: Notice) {
+/// Counts what an answer reports about its target.
+pub fn count_notice(stats: &Stats, notice: Notice) {
     let count = |reason| {
         stats.notices.get_or_create(&Reason { reason }).inc();
     };
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -8,10 +8,10 @@
 use compact_str::CompactString;
 use tokio::time::Instant;
 
-use super::backend::{Backend, StartedMs, TargetInfo, TargetState, millis};
+use super::backend::{Backend, StartedMs, TargetInfo, TargetState, duration_from_ms};
 use super::notice::Availability;
 use super::place::Candidate;
-use super::request::Part;
+use super::request::PromptPart;
 use super::timing::{FirstTokenModel, PrefillWork};
 use super::zone_filter::{ExclusionReason, ZoneFilter};
 use crate::ids::Digest;
@@ -61,7 +61,7 @@
     /// Availability zone of this router.
     pub zone: &'a str,
     /// Parts of the prompt.
-    pub parts: &'a [Part],
+    pub parts: &'a [PromptPart],
     /// Number of tokens in the prompt.
     pub prompt: u64,
     /// Whether the service is a model engine.
@@ -98,22 +98,22 @@
             }
         };
         let known = all[i].info.borrow().clone();
-        if info.is_older(known.born) {
+        if info.started_before(known.started_at) {
             return Change::Outdated;
         }
-        let restarted = info.is_newer(known.born);
+        let restarted = info.started_after(known.started_at);
         if restarted || known.service != info.service || known.addr != info.addr {
             // Another service or address alone does not discard the notices that the target has
             // sent.
             let standing =
-                if restarted { Availability::default() } else { all[i].standing.clone() };
+                if restarted { Availability::default() } else { all[i].self_reported.clone() };
             all[i] = self.backend(info, standing);
             return Change::Restarted;
         }
-        info.born = info.born.or(known.born);
-        let back = all[i].lapsed.replace(false);
+        info.started_at = info.started_at.or(known.started_at);
+        let back = all[i].entry_lapsed.replace(false);
         let changed = back || known.state != info.state;
-        all[i].cool(info.warm_up);
+        all[i].extend_cold(info.warm_up);
         all[i].info.replace(info);
         if changed { Change::State } else { Change::Same }
     }
@@ -125,15 +125,19 @@
 
     /// Keeps the notices of a target whose entry was removed, while they still apply.
     fn remember_standing(&self, b: &Backend) {
-        if !b.standing.is_unavailable(Instant::now()) {
+        if !b.self_reported.is_unavailable(Instant::now()) {
             return;
         }
         let mut removed_targets = self.removed_targets.borrow_mut();
         if removed_targets.len() >= MAX_REMOVED_TARGETS {
             removed_targets.pop_front();
         }
-        let born = b.info.borrow().born;
-        removed_targets.push_back(RemovedTarget { id: b.id(), born, standing: b.standing.clone() });
+        let born = b.info.borrow().started_at;
+        removed_targets.push_back(RemovedTarget {
+            id: b.id(),
+            born,
+            standing: b.self_reported.clone(),
+        });
     }
 
     /// The notices that a target sent before its entry was removed.
@@ -141,7 +145,7 @@
         let mut removed_targets = self.removed_targets.borrow_mut();
         let found = removed_targets.iter().rposition(|p| p.id == info.id);
         let known = found.and_then(|i| removed_targets.remove(i));
-        known.filter(|p| !info.is_newer(p.born)).map(|p| p.standing).unwrap_or_default()
+        known.filter(|p| !info.started_after(p.born)).map(|p| p.standing).unwrap_or_default()
     }
 
     /// The shared first-token model of a service's engines.
@@ -174,14 +178,14 @@
     pub fn lapse(&self, id: &str) {
         let all = self.all.borrow();
         if let Ok(i) = all.binary_search_by(|b| b.info.borrow().id.as_str().cmp(id)) {
-            all[i].lapsed.set(true);
+            all[i].entry_lapsed.set(true);
         }
     }
 
     /// Removes the targets whose entries are still missing. Returns their ids.
     pub fn remove_lapsed(&self) -> Vec<CompactString> {
         let mut all = self.all.borrow_mut();
-        let (gone, left): (Vec<_>, Vec<_>) = all.drain(..).partition(|b| b.lapsed.get());
+        let (gone, left): (Vec<_>, Vec<_>) = all.drain(..).partition(|b| b.entry_lapsed.get());
         *all = left;
         gone.iter().for_each(|b| self.remember_standing(b));
         gone.iter().map(|b| b.id()).collect()
@@ -193,28 +197,28 @@
         &self,
         word: u64,
         work: PrefillWork,
-        parts: &[Part],
+        parts: &[PromptPart],
         cache_tokens: impl Fn(&str) -> u64,
     ) {
         let all = self.all.borrow();
-        let Some(b) = all.iter().find(|b| b.word == word) else { return };
+        let Some(b) = all.iter().find(|b| b.id_digest == word) else { return };
         let now = Instant::now();
         let mut load = b.load.borrow_mut();
         let estimate = b.timing.borrow().estimate();
         let prefill_ms = estimate.map_or(0.0, |e| e.prefill_ms(work)) * load.slowdown.get();
-        load.add_prefill(millis(prefill_ms), now);
+        load.add_prefill(duration_from_ms(prefill_ms), now);
         load.cache.insert_parts(parts, now, cache_tokens(&b.info.borrow().service));
     }
 
     /// Number of targets that have announced their shutdown.
     pub fn count_leaving(&self) -> usize {
-        self.all.borrow().iter().filter(|b| b.standing.is_leaving()).count()
+        self.all.borrow().iter().filter(|b| b.self_reported.is_leaving()).count()
     }
 
     /// Number of targets that accept no requests for a while, after they rejected one.
     pub fn count_backing_off(&self) -> usize {
         let now = Instant::now();
-        self.all.borrow().iter().filter(|b| b.standing.backoff_left(now).is_some()).count()
+        self.all.borrow().iter().filter(|b| b.self_reported.backoff_left(now).is_some()).count()
     }
 
     /// Number of targets that are cold.
@@ -225,7 +229,7 @@
 
     /// The target with the digest `word`.
     pub fn by_digest(&self, word: u64) -> Option<Rc<Backend>> {
-        self.all.borrow().iter().find(|b| b.word == word).cloned()
+        self.all.borrow().iter().find(|b| b.id_digest == word).cloned()
     }
 
     /// All targets.
@@ -300,8 +304,8 @@
         in_flight_requests: load.in_flight_requests,
         slots: info.slots,
         rank,
-        unhealthy: b.lapsed.get() || load.unhealthy_until.is_some_and(|t| t > now),
-        backoff: b.standing.backoff_left(now),
+        unhealthy: b.entry_lapsed.get() || load.unhealthy_until.is_some_and(|t| t > now),
+        backoff: b.self_reported.backoff_left(now),
         tried: req.tried.contains(&info.id),
         room_in: b.is_cold(now).then(|| {
             b.no_room_until.get().map_or(Duration::ZERO, |t| t.saturating_duration_since(now))
@@ -310,12 +314,12 @@
 }
 
 /// The parts that other requests may share: all but the last, which is specific to the request.
-fn shareable_parts(parts: &[Part]) -> &[Part] {
+fn shareable_parts(parts: &[PromptPart]) -> &[PromptPart] {
     parts.split_last().map_or(parts, |(_, shared)| shared)
 }
 
 /// Key that requests with the same cached prompt have in common: the last part that they share.
-fn affinity_key(parts: &[Part]) -> u64 {
+fn affinity_key(parts: &[PromptPart]) -> u64 {
     shareable_parts(parts).last().or(parts.last()).map_or_else(|| fastrand::u64(..), |p| p.id)
 }
 
--- a/tests/test_gateway_cold.rs
+++ b/tests/test_gateway_cold.rs
@@ -16,7 +16,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::gatedir::{Call, eventually, local};
+use crate::gateway_fleet::{Call, eventually, run_local};
 
 const BOUND: ColdRateLimit = ColdRateLimit { rate_factor: 1.5, slack: 5.0 };
 
@@ -211,7 +211,7 @@
 fn cold_target_with_many_routers() {
     // Guards against a restarted target that crashes because every router sends it a few requests
     // at the same time.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(5, 1, 0).await;
         let answered = fleet.burst(12).await;
         let cold = &fleet.targets[0];
@@ -223,7 +223,7 @@
 #[test]
 fn cold_target_with_warm_targets() {
     // Guards against refusals because one of several targets is cold.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(3, 1, 2).await;
         assert_eq!(fleet.burst(10).await, 30);
         assert!(!fleet.targets[0].has_ended());
@@ -234,7 +234,7 @@
 #[test]
 fn cold_refusal_has_retry_after() {
     // Guards against refusals at a cold target without a `Retry-After`.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 1, 0).await;
         let front = fleet.routers[0].front;
         let mut refused = None;
@@ -253,7 +253,7 @@
 fn cold_target_after_zone_is_restored() {
     // Guards against sending all requests at once to targets that became cold while their zone was
     // emptied. Their entries do not show this yet.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(2, 0, 1).await;
         fleet.platform.empty_zone("zone-1");
         for r in &fleet.routers {
@@ -273,7 +273,7 @@
 fn cold_target_unknown_when_zone_is_restored() {
     // Guards against sending all requests at once to a target whose zone was restored before this
     // router knew the target or the configuration.
-    local(async {
+    run_local(async {
         let mut fleet = Fleet::start(1, 0, 1).await;
         fleet.platform.empty_zone("zone-1");
         let gw = fleet.routers[0].gw.clone();
@@ -295,10 +295,10 @@
 fn cold_target_after_refused_connection() {
     // Guards against sending all requests at once to a restarted target whose entry does not show
     // the restart because the store is unavailable.
-    local(async {
+    run_local(async {
         let fleet = Fleet::start(1, 0, 1).await;
         let backend = fleet.routers[0].gw.targets.all().remove(0);
-        backend.life.connect_failed(&std::io::ErrorKind::ConnectionRefused.into());
+        backend.process_state.connect_failed(&std::io::ErrorKind::ConnectionRefused.into());
         fleet.targets[0].set_cold(Some(COLD_CAPACITY));
         fleet.burst(30).await;
         assert!(!fleet.targets[0].has_ended());
@@ -310,7 +310,7 @@
 fn cold_target_with_unresponsive_owner() {
     // Guards against routers that send requests without an admission when the owner does not
     // answer.
-    local(async {
+    run_local(async {
         let mut fleet = Fleet::start(2, 1, 0).await;
         let owner_of = |r: &GatewayHost| r.gw.cold.owner_of("t1", "zone-1").unwrap();
         let name = owner_of(&fleet.routers[0]);
--- a/tests/test_gateway_targets.rs
+++ b/tests/test_gateway_targets.rs
@@ -3,17 +3,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupwall::gateway::backend::target_word;
-use kingcupwall::gateway::backend::{Backend, Flight, Planned, StartedMs, TargetInfo, TargetState};
+use kingcupwall::gateway::backend::target_digest;
+use kingcupwall::gateway::backend::{
+    Backend, InFlight, PlacementPlan, StartedMs, TargetInfo, TargetState,
+};
 use kingcupwall::gateway::notice::{Availability, Notice, RetryAfter};
-use kingcupwall::gateway::request::Part;
+use kingcupwall::gateway::request::PromptPart;
 use kingcupwall::gateway::targets::{Change, PlacementRequest, Targets};
 use kingcupwall::gateway::timing::PrefillWork;
 use kingcupwall::gateway::zone_filter::ZoneFilter;
 use rstest::rstest;
 use tokio::time::Instant;
 
-const PARTS: [Part; 2] = [Part { id: 7, tokens: 5_000 }, Part { id: 8, tokens: 1_000 }];
+const PARTS: [PromptPart; 2] =
+    [PromptPart { id: 7, tokens: 5_000 }, PromptPart { id: 8, tokens: 1_000 }];
 
 fn entry(born: Option<u64>, state: TargetState) -> TargetInfo {
     TargetInfo {
@@ -24,7 +27,7 @@
         slots: 8,
         state,
         warm_up: Duration::ZERO,
-        born: born.map(StartedMs),
+        started_at: born.map(StartedMs),
     }
 }
 
@@ -40,8 +43,8 @@
     }
 }
 
-fn plan() -> Planned {
-    Planned {
+fn plan() -> PlacementPlan {
+    PlacementPlan {
         engine: true,
         prompt: 6_000,
         uncached: 6_000,
@@ -107,10 +110,10 @@
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
     let before = only(&targets);
-    let flight = Flight::begin(&before, &plan(), Instant::now());
-    flight.leaves(&PARTS);
-    before.failed();
-    before.failed();
+    let flight = InFlight::begin(&before, &plan(), Instant::now());
+    flight.record_sent(&PARTS);
+    before.record_failure();
+    before.record_failure();
     let seen = targets.candidates(&request()).candidates.remove(0).1;
     assert_eq!((seen.uncached, seen.in_flight_requests, seen.unhealthy), (0, 1, true));
     assert!(seen.wait_ms > 90.0);
@@ -150,8 +153,8 @@
     const KEPT: u64 = 20_000;
     let targets = Targets::default();
     targets.set(entry(None, READY));
-    let word = target_word("t1");
-    let hint = |parts: &[Part]| {
+    let word = target_digest("t1");
+    let hint = |parts: &[PromptPart]| {
         let prompt: u64 = parts.iter().map(|p| p.tokens).sum();
         targets.apply_hint(word, PrefillWork::of(prompt, prompt), parts, |_| KEPT);
     };
@@ -159,10 +162,10 @@
     let uncached = || targets.candidates(&request()).candidates.remove(0).1.uncached;
     assert_eq!(uncached(), 0);
     for id in 100..113 {
-        hint(&[Part { id, tokens: 1_000 }]);
+        hint(&[PromptPart { id, tokens: 1_000 }]);
     }
     assert_eq!(uncached(), 0, "all parts still fit");
-    hint(&[Part { id: 200, tokens: 5_000 }]);
+    hint(&[PromptPart { id: 200, tokens: 5_000 }]);
     assert_eq!(uncached(), 6_000);
 }
 
@@ -185,7 +188,7 @@
 ) {
     let targets = Targets::default();
     targets.set(entry(born, READY));
-    only(&targets).standing.apply_notice(LEAVING, Instant::now());
+    only(&targets).self_reported.apply_notice(LEAVING, Instant::now());
     if gone {
         targets.remove("t1");
     }
@@ -199,7 +202,7 @@
 fn set_keeps_leaving_at_other_address() {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
-    only(&targets).standing.apply_notice(LEAVING, Instant::now());
+    only(&targets).self_reported.apply_notice(LEAVING, Instant::now());
     let moved = TargetInfo { addr: "127.0.0.9:81".parse().unwrap(), ..entry(Some(5), READY) };
     targets.set(moved);
     targets.set(entry(Some(5), READY));
@@ -210,7 +213,7 @@
 fn remove_lapsed_keeps_leaving() {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
-    only(&targets).standing.apply_notice(LEAVING, Instant::now());
+    only(&targets).self_reported.apply_notice(LEAVING, Instant::now());
     targets.lapse("t1");
     assert_eq!(targets.remove_lapsed(), ["t1"]);
     targets.set(entry(Some(5), READY));
@@ -249,7 +252,7 @@
 async fn set_keeps_backoff(#[case] next: Option<u64>, #[case] accepting: usize) {
     let targets = Targets::default();
     targets.set(entry(Some(5), READY));
-    only(&targets).standing.back_off(Instant::now(), Duration::from_secs(3));
+    only(&targets).self_reported.back_off(Instant::now(), Duration::from_secs(3));
     targets.remove("t1");
     targets.set(entry(next, READY));
     let count_accepting = |t: &Targets| {
