--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -138,10 +138,10 @@
         };
         sent += 1;
         let id = format_compact!("c{number}n{sent}");
-        let (exchange, keep) = send_request(&callers, router, &mut conn, &mut rng, id).await;
+        let (exchange, keep_alive) = send_request(&callers, router, &mut conn, &mut rng, id).await;
         callers.exchange_log.borrow_mut().push(exchange);
         // A connection is reused until the router closes it.
-        open = keep.then_some((router, conn));
+        open = keep_alive.then_some((router, conn));
         sleep(Duration::from_millis(rng.u64(10..60))).await;
     }
 }
@@ -230,8 +230,8 @@
         exchange.is_complete = true;
         Some(head.keep_alive)
     };
-    let keep = timeout(REQUEST_TIMEOUT, exchanged).await.ok().flatten().unwrap_or(false);
-    (exchange, keep)
+    let keep_alive = timeout(REQUEST_TIMEOUT, exchanged).await.ok().flatten().unwrap_or(false);
+    (exchange, keep_alive)
 }
 
 fn record_head(exchange: &mut Exchange, head: &ResponseHead) {
