--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use compact_str::CompactString;
-use kingcupwall::standin::gateway_target::{Seen, TOKENS_PER_EVENT};
+use kingcupwall::standin::gateway_target::{ReceivedRequest, TOKENS_PER_EVENT};
 
 use crate::callers::Exchange;
 
@@ -12,7 +12,7 @@
 
 /// Returns one line for each violation: a wrong response, a request that ran too often or despite a
 /// refusal, or an organisation that used more than its prepaid tokens.
-pub fn check(exchanges: &[Exchange], runs: &[Seen], prepaid: &[u64]) -> Vec<String> {
+pub fn check(exchanges: &[Exchange], runs: &[ReceivedRequest], prepaid: &[u64]) -> Vec<String> {
     let mut run_counts: HashMap<&CompactString, u64> = HashMap::new();
     runs.iter().for_each(|r| *run_counts.entry(&r.id).or_default() += 1);
     let mut violations: Vec<String> = exchanges.iter().filter_map(check_response).collect();
--- a/soak/src/fault_injection.rs
+++ b/soak/src/fault_injection.rs
@@ -73,10 +73,10 @@
             }
             sleep(pause).await;
             let target = self.targets.borrow()[n].0.clone();
-            target.set_says_leaving(leaves);
-            target.set_rests(rng.choice(notices::RETRY_AFTER_S).filter(|_| !leaves));
+            target.set_leaving(leaves);
+            target.set_reject_all(rng.choice(notices::RETRY_AFTER_S).filter(|_| !leaves));
             sleep(notice_time).await;
-            target.set_rests(None);
+            target.set_reject_all(None);
             // A fault may have replaced the target in the meantime.
             let is_there = self.targets.borrow()[n].0.id == target.id;
             if leaves && is_there {
--- a/soak/src/zones.rs
+++ b/soak/src/zones.rs
@@ -64,12 +64,12 @@
             return periods;
         }
         sleep(pause).await;
-        let key = format!("{}{zone}", names::EMPTIED);
-        store.put(names::CONFIG.0, &key, b"{}");
+        let key = format!("{}{zone}", names::EVACUATE_KEY_PREFIX);
+        store.put(names::CONFIG_ROW.0, &key, b"{}");
         let from = Instant::now();
         sleep(emptied_for).await;
         targets().iter().filter(|t| t.zone == zone).for_each(start_warm_up);
-        store.remove(names::CONFIG.0, &key);
+        store.remove(names::CONFIG_ROW.0, &key);
         periods.push(EmptiedPeriod { zone, from, to: Instant::now() });
     }
 }
@@ -119,7 +119,7 @@
 
 fn check_target(target: &StandinTarget, emptied: &[EmptiedPeriod]) -> Vec<String> {
     let mut violations = Vec::new();
-    let peak_rate = target.most_while_cold();
+    let peak_rate = target.peak_while_cold();
     if peak_rate > MAX_COLD_REQUESTS_PER_S {
         violations.push(format!("{}: {peak_rate} requests in one second while cold", target.id));
     }
--- a/soak/tests/tests.rs
+++ b/soak/tests/tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kingcupwall::http1::Header;
-use kingcupwall::standin::gateway_target::{Arrival, Seen as TargetRun};
+use kingcupwall::standin::gateway_target::{Arrival, ReceivedRequest as TargetRun};
 use kingcupwall_soak::callers::{Exchange, RequestKind};
 use kingcupwall_soak::checks::check;
 use kingcupwall_soak::faults::{FleetSize, random_fault};
--- a/src/api/operator.rs
+++ b/src/api/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' API: status, budgets, the configuration and submissions.
+//! API for operators: status, budgets, configuration and submissions.
 
 use std::sync::atomic::Ordering;
 
@@ -9,19 +9,19 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use super::{App, Body, bearer, whole};
+use super::{BodyResult, NodeState, bearer, full_body};
 use crate::budget::actor::versioned;
 use crate::budget::ledger::{BudgetRow, GrantRow, HolderState, Versioned, budget_key, grant_key};
 use crate::config::store::{Submission, read_revisions, submit};
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, Incarnation, Revision, Tokens};
-use crate::membership::wire::Mesh;
+use crate::membership::wire::PeerClient;
 use crate::router::node::Node;
-use crate::router::tasks::{publish_revision, read_holders};
+use crate::router::tasks::{publish_revision, read_holder_rows};
 use crate::table::{Platform, RowKey};
 
-fn check_operator<P: Platform, E: Engine, M: Mesh>(
+fn check_operator<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     headers: &HeaderMap,
 ) -> Result<()> {
@@ -32,9 +32,9 @@
     }
 }
 
-/// `GET /operator/status`: routers, targets, revision, counts.
-pub async fn status<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
+/// `GET /operator/status`: routers, targets, configuration revision and counters.
+pub async fn status<P: Platform, E: Engine, M: PeerClient>(
+    State(node): NodeState<P, E, M>,
     headers: HeaderMap,
 ) -> Response {
     if let Err(e) = check_operator(&node, &headers) {
@@ -52,10 +52,10 @@
         .collect();
     let silent: Vec<_> = {
         let view = node.lock_view();
-        let dead = |(e, quiet): &(crate::membership::view::Entry, crate::ids::Millis)| {
-            !view.alive(now, &e.incarnation) && quiet.0 < 3_600_000
+        let dead = |(e, quiet): &(crate::membership::view::RouterInfo, crate::ids::Millis)| {
+            !view.is_router_alive(now, &e.incarnation) && quiet.0 < 3_600_000
         };
-        let known = view.known(now);
+        let known = view.known_peers(now);
         known
             .iter()
             .filter(|k| dead(k))
@@ -76,7 +76,7 @@
     let (in_flight, waiting) = node.gates.load();
     Json(json!({
         "me": node.session().incarnation,
-        "revision": node.lock_view().me().revision,
+        "revision": node.lock_view().local_router().revision,
         "draining": node.is_draining(),
         "routers": routers,
         "silent": silent,
@@ -85,51 +85,51 @@
                       "retries": get(&c.retries), "joined": get(&c.joined), "in_flight": in_flight,
                       "waiting": waiting },
         "ledger": { "pockets": totals.budgets, "holds": totals.holds, "pending_bills": totals.pending_bills,
-                    "queued_writes": node.session().committer.queued(), "copies_out": node.session().copies() },
+                    "queued_writes": node.session().committer.queued(), "copies_out": node.session().copy_count() },
     }))
     .into_response()
 }
 
-/// What one holder has of a budget.
+/// Usage of a budget by one holder.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct HolderPart {
-    /// The holder.
+pub struct HolderUsage {
+    /// Incarnation that holds the grant.
     pub holder: Incarnation,
-    /// `live`, `left` or `sealed`, as its row says.
+    /// State of the holder according to its row: `live`, `left` or `sealed`.
     pub state: HolderState,
-    /// Whether the asked router hears from it.
+    /// Whether the queried router receives heartbeats from the holder.
     pub alive: bool,
-    /// Its grant.
+    /// Size of the grant.
     pub granted: Tokens,
-    /// Recorded bills of it.
+    /// Cost of the recorded bills.
     pub settled: Tokens,
 }
 
-/// A budget as the ledger has it.
+/// A budget according to the ledger.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct BudgetReport {
-    /// The budget.
+    /// Id of the budget.
     pub budget: BudgetId,
-    /// Everything prepaid.
+    /// Prepaid amount.
     pub prepaid: Tokens,
-    /// Recorded cost.
+    /// Cost of all recorded bills.
     pub settled: Tokens,
-    /// Granted to live holders and not settled.
+    /// Unsettled part of the grants of live holders.
     pub granted: Tokens,
-    /// Granted to holders that are silent or sealed, and not settled: counted as spent until
-    /// evidence comes.
+    /// Unsettled part of the grants of holders that are silent or sealed. It counts as spent until
+    /// the outcomes of their runs are known.
     pub in_doubt: Tokens,
-    /// Free to grant.
+    /// Tokens that can still be granted.
     pub free: Tokens,
-    /// By holder.
-    pub holders: Vec<HolderPart>,
+    /// Usage by holder.
+    pub holders: Vec<HolderUsage>,
 }
 
-/// `GET /operator/budget/ORGANISATION`: its budgets, by holder.
-pub async fn budget<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
+/// `GET /operator/budget/ORGANISATION`: the organisation's budgets, by holder.
+pub async fn budget<P: Platform, E: Engine, M: PeerClient>(
+    State(node): NodeState<P, E, M>,
     Path(organisation): Path<String>,
     headers: HeaderMap,
 ) -> Response {
@@ -142,18 +142,18 @@
     }
 }
 
-async fn budget_reports<P: Platform, E: Engine, M: Mesh>(
+async fn budget_reports<P: Platform, E: Engine, M: PeerClient>(
     node: &Node<P, E, M>,
     organisation: &str,
 ) -> Result<Vec<BudgetReport>> {
     let budgets: Vec<(BudgetId, Tokens)> = {
-        let cfg = node.cfg.read().expect("never poisoned");
+        let cfg = node.cfg.read().expect("the lock is never poisoned");
         cfg.budgets_of(organisation).map(|b| (b.id.clone(), b.prepaid)).collect()
     };
     if budgets.is_empty() {
         return Err(Error::new(Kind::NotFound, format!("no budget of {organisation}")));
     }
-    let holders = read_holders(&node.platform).await?;
+    let holders = read_holder_rows(&node.platform).await?;
     let mut out = Vec::new();
     for (id, prepaid) in budgets {
         let mut keys: Vec<RowKey> = holders.iter().map(|(h, _)| grant_key(h, &id)).collect();
@@ -166,9 +166,9 @@
         for (holder, h) in &holders {
             let grant: Versioned<GrantRow> = versioned(find(grant_key(holder, &id)))?;
             if grant.version.is_some() {
-                let alive = node.lock_view().alive(now, holder);
+                let alive = node.lock_view().is_router_alive(now, holder);
                 let (granted, settled) = (grant.row.granted, grant.row.settled);
-                parts.push(HolderPart {
+                parts.push(HolderUsage {
                     holder: holder.clone(),
                     state: h.state,
                     alive,
@@ -190,12 +190,12 @@
     budget: BudgetId,
     prepaid: Tokens,
     row: BudgetRow,
-    holders: Vec<HolderPart>,
+    holders: Vec<HolderUsage>,
 ) -> BudgetReport {
-    let open = |p: &&HolderPart| p.alive && p.state == HolderState::Live;
-    let rest = |p: &HolderPart| p.granted.minus(p.settled);
-    let granted = sum(holders.iter().filter(open).map(rest));
-    let in_doubt = sum(holders.iter().filter(|p| !open(p)).map(rest));
+    let counts_as_granted = |p: &&HolderUsage| p.alive && p.state == HolderState::Live;
+    let unsettled = |p: &HolderUsage| p.granted.minus(p.settled);
+    let granted = sum(holders.iter().filter(counts_as_granted).map(unsettled));
+    let in_doubt = sum(holders.iter().filter(|p| !counts_as_granted(p)).map(unsettled));
     let settled = row.closed.plus(sum(holders.iter().map(|p| p.settled)));
     BudgetReport {
         budget,
@@ -208,9 +208,9 @@
     }
 }
 
-/// `GET /operator/config`: the revision in force and its text.
-pub async fn config<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
+/// `GET /operator/config`: the active configuration revision and its text.
+pub async fn config<P: Platform, E: Engine, M: PeerClient>(
+    State(node): NodeState<P, E, M>,
     headers: HeaderMap,
 ) -> Response {
     if let Err(e) = check_operator(&node, &headers) {
@@ -222,18 +222,18 @@
         .into_response()
 }
 
-/// Where a listing starts.
+/// Query parameters for listing revisions.
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub struct After {
+pub struct RevisionsQuery {
     #[serde(default)]
     after: u64,
 }
 
-/// `GET /operator/revisions?after=N`: accepted revisions with their edits.
-pub async fn revisions<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
-    Query(after): Query<After>,
+/// `GET /operator/revisions?after=N`: accepted revisions after `N`, with their edits.
+pub async fn revisions<P: Platform, E: Engine, M: PeerClient>(
+    State(node): NodeState<P, E, M>,
+    Query(after): Query<RevisionsQuery>,
     headers: HeaderMap,
 ) -> Response {
     if let Err(e) = check_operator(&node, &headers) {
@@ -245,16 +245,17 @@
     }
 }
 
-/// `POST /operator/submit`: a submission.
-pub async fn submit_edits<P: Platform, E: Engine, M: Mesh>(
-    State(node): App<P, E, M>,
+/// `POST /operator/submit`: submits a configuration change.
+pub async fn submit_edits<P: Platform, E: Engine, M: PeerClient>(
+    State(node): NodeState<P, E, M>,
     headers: HeaderMap,
-    body: Body,
+    body: BodyResult,
 ) -> Response {
     if let Err(e) = check_operator(&node, &headers) {
         return e.into_response();
     }
-    let submission: Submission = match whole(body).and_then(|b| Ok(serde_json::from_slice(&b)?)) {
+    let submission: Submission = match full_body(body).and_then(|b| Ok(serde_json::from_slice(&b)?))
+    {
         Ok(s) => s,
         Err(e) => return e.into_response(),
     };
--- a/src/budget/actor.rs
+++ b/src/budget/actor.rs
@@ -348,7 +348,7 @@
         }
         let limit = self.limit(&msg.budget);
         let now = self.now();
-        let ledger_unavailable = self.deps.committer.is_stuck();
+        let ledger_unavailable = self.deps.committer.is_write_failing();
         let wait_for_grant = msg.wait_for_grant && !ledger_unavailable;
         let (admit, effects) = self.holder.admit(
             now,
--- a/src/budget/reclaim.rs
+++ b/src/budget/reclaim.rs
@@ -12,7 +12,7 @@
     holder_key,
 };
 use super::witness::{HoldCopy, Witness};
-use crate::engine::{Cancelled, Engine, Parts, Piece, RunUsage};
+use crate::engine::{CancelOutcome, Engine, Piece, PieceStream, RunUsage};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Incarnation, RunId, TargetId, Tokens};
 use crate::table::committer::Committer;
@@ -135,7 +135,7 @@
     }
 
     fn lock_witness(&self) -> std::sync::MutexGuard<'_, Witness> {
-        self.witness.lock().expect("the witness lock is never poisoned")
+        self.witness.lock().expect(" the witness lock is never poisoned")
     }
 
     fn is_assigned(&self, row: &HolderRow) -> bool {
@@ -245,7 +245,7 @@
 
     /// Determines the outcome of a run whose router crashed.
     ///
-    /// Returns `Some(Some(bill))` for a run to be billed, `Some(None)` if there is nothing to bill,
+    /// Returns `Some (Some(bill))` for a run to be billed,`Some(None)` if there is nothing to bill,
     /// and `None` if the outcome could not be determined. In the last case the hold stays counted
     /// as spent.
     pub async fn outcome(&self, copy: &HoldCopy) -> Option<Option<Bill>> {
@@ -336,8 +336,8 @@
     /// may still send the request.
     async fn cancel_run(&self, addr: &str, run: &RunId) -> Result<RunStatus> {
         Ok(match self.engine.cancel(addr, run).await? {
-            Cancelled::NeverRan => RunStatus::NeverRan,
-            Cancelled::Stopped(usage) | Cancelled::Ended(usage) => RunStatus::Ended(usage),
+            CancelOutcome::NeverRan => RunStatus::NeverRan,
+            CancelOutcome::Stopped(usage) | CancelOutcome::Ended(usage) => RunStatus::Ended(usage),
         })
     }
 }
--- a/src/config/revision.rs
+++ b/src/config/revision.rs
@@ -1,58 +1,58 @@
-//! Revisions of the configuration as sets of edited sections.
+//! Configuration revisions as sets of edited sections.
 //!
-//! A small edit stays small whatever the size of the whole: a revision carries only the sections
-//! that changed, and the digest of the whole is a sum over its sections, so that it can be kept
-//! up to date in the time of the edit.
+//! The cost of an edit does not depend on the size of the configuration: a revision contains only
+//! the sections that changed, and the digest of the whole is the sum of the digests of its
+//! sections, so that it can be updated from the edited sections alone.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-use super::ini::{Finding, findings_error, sections};
+use super::ini::{Finding, findings_error, parse_sections};
 use super::parse::{check_references, read_section};
-use super::{Config, order_key};
+use super::{Config, budget_sort_key};
 use crate::error::{Error, Kind, Result};
 use crate::ids::{BudgetId, Digest, Revision, Tokens};
 
-/// First word of a snapshot, followed by its format version.
+/// First word of a snapshot, before its format version.
 const SNAPSHOT_MAGIC: &str = "kingcupwall-snapshot";
-/// The snapshot format that this program writes, and the newest that it reads.
+/// The snapshot format version that this program writes, and the newest that it reads.
 const SNAPSHOT_FORMAT: u32 = 1;
 
-/// A change of one section.
+/// An edit of one section.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Edit {
-    /// What stands between the brackets, such as `budget acme/main`.
+    /// Text between the brackets of the header, such as `budget acme/main`.
     pub header: CompactString,
-    /// The lines below it; `None` removes the section.
+    /// The lines below the header; `None` removes the section.
     pub body: Option<String>,
 }
 
-/// The row of one accepted revision.
+/// The table row of one accepted revision.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct RevisionRow {
-    /// The revision that the edits lead to.
+    /// The revision after the edits.
     pub revision: Revision,
-    /// Id of the submission, for finding a lost answer.
+    /// Id of the submission, so that its outcome can be found after a lost response.
     pub submission: CompactString,
-    /// Digest of the whole before the edits.
+    /// Digest of the configuration before the edits.
     pub before: Digest,
-    /// Digest of the whole after the edits.
+    /// Digest of the configuration after the edits.
     pub after: Digest,
-    /// The edits, or none when they are in [`RevisionRow::object`].
+    /// The edits; empty when they are stored in [`RevisionRow::object`].
     pub edits: Vec<Edit>,
-    /// Object with the edits, when they are too large for a row.
+    /// Name of the object with the edits, when they are too large for a row.
     pub object: Option<CompactString>,
 }
 
-/// The row that names the revision in force.
+/// The table row that names the current revision.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Head {
     /// The newest accepted revision.
     pub revision: Revision,
-    /// Digest of the whole.
+    /// Digest of the configuration.
     pub digest: Digest,
 }
 
@@ -62,40 +62,42 @@
     }
 }
 
-/// A whole configuration text by section, with its running digest.
+/// A configuration text by section, with its digest kept up to date.
 #[derive(Clone, Debug, Default)]
 pub struct Document {
-    /// Sections in header order.
+    /// Headers and bodies, sorted by header.
     sections: Vec<(CompactString, Box<str>)>,
-    sum: u128,
+    digest_sum: u128,
 }
 
-fn section_number(header: &str, body: &str) -> u128 {
+fn section_digest(header: &str, body: &str) -> u128 {
     Digest::of(format!("[{header}]\n{body}").as_bytes()).number()
 }
 
 impl Document {
-    /// Splits a text. Comments stay with the section above them; what stands before the first
-    /// section is dropped.
+    /// Splits a text into sections. Comments belong to the section above them; text before the
+    /// first section is dropped.
     pub fn parse(text: &str) -> Document {
         let mut doc = Document::default();
-        let edits = split(text).into_iter().map(|(header, body)| Edit { header, body: Some(body) });
+        let edits = split_sections(text)
+            .into_iter()
+            .map(|(header, body)| Edit { header, body: Some(body) });
         doc.apply(&edits.collect::<Vec<_>>());
         doc
     }
 
-    /// The digest of the whole.
+    /// Digest of the whole text, which does not depend on the order of the sections.
     pub fn digest(&self) -> Digest {
-        Digest::from_number(self.sum)
+        Digest::from_number(self.digest_sum)
     }
 
-    /// The body of a section.
+    /// The body of the section with this header.
     pub fn section(&self, header: &str) -> Option<&str> {
-        let place = self.sections.binary_search_by(|(h, _)| h.as_str().cmp(header)).ok()?;
-        Some(&self.sections[place].1)
+        let index = self.sections.binary_search_by(|(h, _)| h.as_str().cmp(header)).ok()?;
+        Some(&self.sections[index].1)
     }
 
-    /// Applies edits; the digest follows.
+    /// Applies edits and updates the digest.
     pub fn apply(&mut self, edits: &[Edit]) {
         if edits.len() > 1_000 && edits.len() > self.sections.len() / 8 {
             return self.apply_many(edits);
@@ -104,19 +106,19 @@
     }
 
     fn apply_one(&mut self, edit: &Edit) {
-        let found = self.sections.binary_search_by(|(h, _)| h.cmp(&edit.header));
-        if let Ok(place) = found {
-            let (header, body) = &self.sections[place];
-            self.sum = self.sum.wrapping_sub(section_number(header, body));
+        let position = self.sections.binary_search_by(|(h, _)| h.cmp(&edit.header));
+        if let Ok(index) = position {
+            let (header, body) = &self.sections[index];
+            self.digest_sum = self.digest_sum.wrapping_sub(section_digest(header, body));
         }
         if let Some(body) = &edit.body {
-            self.sum = self.sum.wrapping_add(section_number(&edit.header, body));
+            self.digest_sum = self.digest_sum.wrapping_add(section_digest(&edit.header, body));
         }
-        match (found, &edit.body) {
-            (Ok(place), Some(body)) => self.sections[place].1 = body.as_str().into(),
-            (Ok(place), None) => drop(self.sections.remove(place)),
-            (Err(place), Some(body)) => {
-                self.sections.insert(place, (edit.header.clone(), body.as_str().into()));
+        match (position, &edit.body) {
+            (Ok(index), Some(body)) => self.sections[index].1 = body.as_str().into(),
+            (Ok(index), None) => drop(self.sections.remove(index)),
+            (Err(index), Some(body)) => {
+                self.sections.insert(index, (edit.header.clone(), body.as_str().into()));
             }
             (Err(_), None) => {}
         }
@@ -132,60 +134,64 @@
             }
         }
         self.sections = all.into_iter().collect();
-        let numbers = self.sections.iter().map(|(h, b)| section_number(h, b));
-        self.sum = numbers.fold(0, u128::wrapping_add);
+        let numbers = self.sections.iter().map(|(h, b)| section_digest(h, b));
+        self.digest_sum = numbers.fold(0, u128::wrapping_add);
     }
 
-    /// The edits that lead from this document to `other`.
+    /// The edits that turn this document into `other`.
     pub fn diff(&self, other: &Document) -> Vec<Edit> {
-        let gone = self.sections.iter().filter(|(h, _)| other.section(h).is_none());
-        let gone = gone.map(|(h, _)| Edit { header: h.clone(), body: None });
-        let new = other.sections.iter().filter(|(h, b)| self.section(h) != Some(b));
-        let new = new.map(|(h, b)| Edit { header: h.clone(), body: Some(b.to_string()) });
-        gone.chain(new).collect()
+        let removed = self.sections.iter().filter(|(h, _)| other.section(h).is_none());
+        let removed = removed.map(|(h, _)| Edit { header: h.clone(), body: None });
+        let changed = other.sections.iter().filter(|(h, b)| self.section(h) != Some(b));
+        let changed = changed.map(|(h, b)| Edit { header: h.clone(), body: Some(b.to_string()) });
+        removed.chain(changed).collect()
     }
 
-    /// The whole as text, sections in header order.
+    /// The whole text, with sections in header order.
     pub fn text(&self) -> String {
         let part = |(h, b): &(CompactString, Box<str>)| format!("[{h}]\n{b}");
         self.sections.iter().map(part).collect()
     }
 
-    /// The whole as a snapshot: a line with format, revision and digest, then the text.
+    /// Encodes a snapshot: a header line with format version, revision and digest, then the text.
     pub fn snapshot(&self, revision: Revision) -> Vec<u8> {
-        let first = format!("{SNAPSHOT_MAGIC} {SNAPSHOT_FORMAT} {revision} {}\n", self.digest());
-        (first + &self.text()).into_bytes()
+        let header_line =
+            format!("{SNAPSHOT_MAGIC} {SNAPSHOT_FORMAT} {revision} {}\n", self.digest());
+        (header_line + &self.text()).into_bytes()
     }
 
-    /// Reads a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
-    /// `BadFormat` for one that is damaged, cut short, or of a newer format.
+    /// `BadFormat` when the snapshot is damaged, truncated or of a newer format version.
     pub fn from_snapshot(data: &[u8]) -> Result<(Revision, Document)> {
-        let bad = |what: &str| Error::new(Kind::BadFormat, format!("snapshot: {what}"));
-        let text = std::str::from_utf8(data).map_err(|_| bad("not UTF-8"))?;
-        let (first, rest) =
-            text.split_once('\n').ok_or_else(|| bad("cut short in its first line"))?;
-        let words: Vec<&str> = first.split(' ').collect();
+        let format_error = |what: &str| Error::new(Kind::BadFormat, format!("snapshot: {what}"));
+        let text = std::str::from_utf8(data).map_err(|_| format_error("not UTF-8"))?;
+        let (header_line, body) =
+            text.split_once('\n').ok_or_else(|| format_error("truncated in its first line"))?;
+        let words: Vec<&str> = header_line.split(' ').collect();
         let [SNAPSHOT_MAGIC, format, revision, digest] = words[..] else {
-            return Err(bad("first line is no snapshot header"));
+            return Err(format_error("first line is not a snapshot header"));
         };
-        let format: u32 = format.parse().map_err(|_| bad("format is no number"))?;
+        let format: u32 =
+            format.parse().map_err(|_| format_error("format version is not a number"))?;
         if format > SNAPSHOT_FORMAT {
-            return Err(bad(&format!(
-                "format {format} is newer than {SNAPSHOT_FORMAT}, update this program"
+            return Err(format_error(&format!(
+                "format version {format} is newer than {SNAPSHOT_FORMAT}; update this program"
             )));
         }
-        let doc = Document::parse(rest);
+        let doc = Document::parse(body);
         if doc.digest() != digest.parse()? {
-            return Err(bad("content does not match its digest; it is damaged or cut short"));
+            return Err(format_error(
+                "content does not match its digest; it is damaged or truncated",
+            ));
         }
         Ok((revision.parse()?, doc))
     }
 }
 
 /// Splits a text into `(header, body)` pairs.
-fn split(text: &str) -> Vec<(CompactString, String)> {
+fn split_sections(text: &str) -> Vec<(CompactString, String)> {
     let mut out: Vec<(CompactString, String)> = Vec::new();
     for line in text.lines() {
         let trimmed = line.trim();
@@ -200,38 +206,39 @@
     out
 }
 
-/// The edits in a file that holds only changed sections. A section whose only line is `remove`
-/// is removed.
+/// Parses a file that contains only the changed sections. A section whose only line is `remove` is
+/// removed.
 pub fn parse_edits(text: &str) -> Vec<Edit> {
     let edit = |(header, body): (CompactString, String)| match body.trim() {
         "remove" => Edit { header, body: None },
         _ => Edit { header, body: Some(body) },
     };
-    split(text).into_iter().map(edit).collect()
+    split_sections(text).into_iter().map(edit).collect()
 }
 
-/// A budget whose ledger row has to be looked at before an edit is accepted.
+/// A budget whose ledger row must be checked before an edit is accepted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LedgerCheck {
-    /// The budget.
+    /// Id of the budget.
     pub budget: BudgetId,
-    /// The new prepaid amount; `None`: the budget is removed.
+    /// The new prepaid amount; `None` when the budget is removed.
     pub prepaid: Option<Tokens>,
-    /// Whether routers may know a larger amount.
-    pub lowers: bool,
+    /// Whether the amount is reduced or the budget removed, so that some routers may still have a
+    /// larger amount configured.
+    pub is_reduction: bool,
 }
 
 impl Config {
-    /// Applies edits to a configuration.
+    /// Validates and applies edits.
     ///
     /// # Errors
-    /// `BadConfig` with every finding; the configuration is then unchanged.
+    /// `BadConfig` with all findings; the configuration is then unchanged.
     pub fn apply(&mut self, edits: &[Edit]) -> Result<()> {
         let parsed = self.check(edits)?;
         for e in edits {
             self.remove(&e.header);
         }
-        let many = parsed.budgets.len() > 1_000;
+        let is_bulk = parsed.budgets.len() > 1_000;
         parsed.services.into_iter().for_each(|s| self.services.push(s));
         if !parsed.organisations.is_empty() {
             self.organisations.extend(parsed.organisations);
@@ -243,14 +250,15 @@
         if edits.iter().any(|e| e.header == "fleet") {
             self.fleet = parsed.fleet;
         }
-        if many {
+        if is_bulk {
             self.budgets.extend(parsed.budgets);
-            self.budgets.sort_by(super::budget_order);
+            self.budgets.sort_by(super::compare_budgets);
             return Ok(());
         }
         for b in parsed.budgets {
-            let place = self.budgets.partition_point(|x| order_key(&x.id) < order_key(&b.id));
-            self.budgets.insert(place, b);
+            let index =
+                self.budgets.partition_point(|x| budget_sort_key(&x.id) < budget_sort_key(&b.id));
+            self.budgets.insert(index, b);
         }
         Ok(())
     }
@@ -264,54 +272,56 @@
             }
             ("budget", name) => {
                 if let Ok(id) = name.parse::<BudgetId>()
-                    && let Ok(place) =
-                        self.budgets.binary_search_by(|b| order_key(&b.id).cmp(&order_key(&id)))
+                    && let Ok(index) = self
+                        .budgets
+                        .binary_search_by(|b| budget_sort_key(&b.id).cmp(&budget_sort_key(&id)))
                 {
-                    self.budgets.remove(place);
+                    self.budgets.remove(index);
                 }
             }
             _ => {}
         }
     }
 
-    /// Parses edits and checks that the configuration holds together after them.
+    /// Parses edits and checks that all references are valid after them. Returns only what the
+    /// edits define.
     ///
     /// # Errors
-    /// `BadConfig` with every finding.
+    /// `BadConfig` with all findings.
     pub fn check(&self, edits: &[Edit]) -> Result<Config> {
         let text: String = edits
             .iter()
             .filter_map(|e| e.body.as_ref().map(|b| format!("[{}]\n{b}", e.header)))
             .collect();
         let mut findings = Vec::new();
-        let parts = sections(&text, &mut findings);
+        let parsed_sections = parse_sections(&text, &mut findings);
         let mut parsed = Config::default();
-        parts.iter().for_each(|s| read_section(s, &mut parsed, &mut findings));
+        parsed_sections.iter().for_each(|s| read_section(s, &mut parsed, &mut findings));
         parsed.index();
-        let mut known = Config {
+        let mut merged = Config {
             services: self.services.clone(),
             organisations: self.organisations.clone(),
             ..Config::default()
         };
         for e in edits.iter().filter(|e| !e.header.starts_with("budget ")) {
-            known.remove(&e.header);
+            merged.remove(&e.header);
         }
-        known.services.extend(parsed.services.iter().cloned());
-        known.organisations.extend(parsed.organisations.iter().cloned());
-        known.index();
-        check_references(&parts, &known, &mut findings);
-        self.check_removed(edits, &known, &mut findings);
+        merged.services.extend(parsed.services.iter().cloned());
+        merged.organisations.extend(parsed.organisations.iter().cloned());
+        merged.index();
+        check_references(&parsed_sections, &merged, &mut findings);
+        self.check_removed(edits, &merged, &mut findings);
         if findings.is_empty() { Ok(parsed) } else { Err(findings_error("edit", &findings)) }
     }
 
-    /// A removed organisation or service must not be named by what stays.
-    fn check_removed(&self, edits: &[Edit], known: &Config, findings: &mut Vec<Finding>) {
+    /// Reports removed organisations and services that remaining sections still refer to.
+    fn check_removed(&self, edits: &[Edit], merged: &Config, findings: &mut Vec<Finding>) {
         let edited = |b: &BudgetId| {
             edits.iter().any(|e| e.header.strip_prefix("budget ") == Some(b.as_str()))
         };
         for e in edits.iter().filter(|e| e.body.is_none()) {
             let (kind, name) = e.header.split_once(' ').unwrap_or((&e.header, ""));
-            let users: Vec<&BudgetId> = match kind {
+            let dependent_budgets: Vec<&BudgetId> = match kind {
                 "organisation" => {
                     self.budgets_of(name).map(|b| &b.id).filter(|b| !edited(b)).collect()
                 }
@@ -327,10 +337,14 @@
                 _ => continue,
             };
             let depends =
-                known.services.iter().filter(|s| s.depends.iter().any(|d| d.as_str() == name));
-            let message = |who: String| format!("{} cannot go: {who} needs it", e.header);
+                merged.services.iter().filter(|s| s.depends.iter().any(|d| d.as_str() == name));
+            let message = |dependent: String| {
+                format!("{} cannot be removed: {dependent} refers to it", e.header)
+            };
             findings.extend(
-                users.first().map(|b| Finding { line: 0, message: message(format!("budget {b}")) }),
+                dependent_budgets
+                    .first()
+                    .map(|b| Finding { line: 0, message: message(format!("budget {b}")) }),
             );
             if kind == "service" {
                 findings.extend(
@@ -343,14 +357,18 @@
         }
     }
 
-    /// The budgets that edits lower, remove, or bring back after a removal.
+    /// The budgets whose prepaid amount the edits reduce, and those that they remove or add.
     pub fn ledger_checks(&self, edits: &[Edit], parsed: &Config) -> Vec<LedgerCheck> {
         let check = |e: &Edit| {
             let budget: BudgetId = e.header.strip_prefix("budget ")?.parse().ok()?;
-            let was = self.budget(&budget).map(|b| b.prepaid);
+            let previous = self.budget(&budget).map(|b| b.prepaid);
             let prepaid = parsed.budget(&budget).map(|b| b.prepaid);
-            let lowers = was.is_some() && prepaid < was;
-            (lowers || was.is_none()).then_some(LedgerCheck { budget, prepaid, lowers })
+            let is_reduction = previous.is_some() && prepaid < previous;
+            (is_reduction || previous.is_none()).then_some(LedgerCheck {
+                budget,
+                prepaid,
+                is_reduction,
+            })
         };
         edits.iter().filter_map(check).collect()
     }
--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -1,4 +1,4 @@
-//! Puts a node together over any platform, targets and links, and starts its tasks.
+//! Assembles a node over any platform, engine and mesh, and starts its tasks.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, RwLock};
@@ -11,91 +11,93 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::node::{Node, NodeParts};
-use super::peers::PeerAnswers;
-use super::session::{News, Session, SessionParts};
-use super::tasks::{LoanBook, start_all};
+use super::peers::NodePeerHandler;
+use super::session::{Session, SessionEvent, SessionParts};
+use super::tasks::{Loans, start_tasks};
 use crate::budget::ledger::{HolderRow, HolderState};
 use crate::budget::sizing::Sizing;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::config::settings::Settings;
-use crate::config::store::Follower;
+use crate::config::store::ConfigFollower;
 use crate::engine::Engine;
 use crate::ids::{Digest, Incarnation};
-use crate::membership::view::{Entry, View};
-use crate::membership::wire::Mesh;
+use crate::membership::view::{RouterInfo, View};
+use crate::membership::wire::PeerClient;
 use crate::route::picker::{Picker, Policy};
 use crate::table::Platform;
 
-/// Pause between attempts to reach the platform.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Time for the last write of a holder that leaves.
-const LEAVE: Duration = Duration::from_secs(2);
+/// Interval between attempts to reach the platform.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Time limit for the last write of a leaving holder.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a node is started with.
-pub struct Boot<P, E, M> {
-    /// Its settings.
+/// Dependencies and options for starting a node.
+pub struct BootOptions<P, E, M> {
+    /// Settings of the router.
     pub settings: Settings,
-    /// The platform.
+    /// Client for the platform: table, object store and instance list.
     pub platform: P,
-    /// Targets.
+    /// Client for the targets.
     pub engine: E,
-    /// Other routers.
+    /// Links to the other routers.
     pub mesh: M,
-    /// Time.
+    /// Source of the current time.
     pub clock: Clock,
-    /// Its listener for callers.
+    /// Address of the listener for callers.
     pub api: CompactString,
-    /// Its listener for routers.
+    /// Address of the listener for other routers.
     pub peer: CompactString,
-    /// How targets are chosen.
+    /// Policy for choosing targets.
     pub policy: Policy,
-    /// Overrides the sizing of grants, for experiments.
+    /// Overrides the configured sizing of grants, for experiments.
     pub sizing: Option<Sizing>,
-    /// Whether it borrows from others, off only in experiments.
+    /// Whether the router borrows tokens from others; `false` only in experiments.
     pub lending: bool,
-    /// Metrics.
+    /// Client for metrics.
     pub metrics: StatsdClient,
 }
 
-/// A node at work.
-pub struct Booted<P: Platform, E: Engine, M: Mesh> {
+/// A started node.
+pub struct BootedNode<P: Platform, E: Engine, M: PeerClient> {
     /// The node.
     pub node: Arc<Node<P, E, M>>,
-    /// Answers other routers.
-    pub answers: PeerAnswers<P, E, M>,
-    /// Its tasks; they end when this is dropped.
+    /// Handler for messages from other routers.
+    pub peer_handler: NodePeerHandler<P, E, M>,
+    /// Background tasks; they stop when this is dropped.
     pub tasks: JoinSet<()>,
 }
 
-/// A name that no other start ever had. Wall clock and process alone could repeat on instances
-/// that are restored, so random bits are part of it.
+/// Returns a name for a new incarnation, unique across all starts. Time and a counter could repeat
+/// on an instance that is restored from an image, so random bytes are included.
 pub fn new_incarnation(instance: &str) -> Incarnation {
     static COUNT: AtomicU64 = AtomicU64::new(0);
     let n = COUNT.fetch_add(1, Ordering::Relaxed);
     let micros = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros());
     let mut salt = [0; 16];
-    getrandom::fill(&mut salt).expect("the system has random bytes");
+    getrandom::fill(&mut salt).expect("the random number generator of the system works");
     let word = Digest::of(&[&salt[..], &micros.to_le_bytes(), &n.to_le_bytes()].concat()).word();
     let name = format!("{instance}@{word:016x}");
-    name.parse().expect("settings checked the instance's name")
+    name.parse().expect("the settings validate the instance name")
 }
 
-/// Starts a node. It waits for the platform: without the configuration's head and a holder row
-/// there is nothing that it may serve.
-pub async fn boot<P: Platform, E: Engine, M: Mesh>(b: Boot<P, E, M>) -> Booted<P, E, M> {
+/// Starts a node. Waits until the platform is available, because a router cannot serve anything
+/// without the head of the configuration and a holder row.
+pub async fn boot<P: Platform, E: Engine, M: PeerClient>(
+    options: BootOptions<P, E, M>,
+) -> BootedNode<P, E, M> {
     let cfg: Arc<RwLock<Config>> = Arc::default();
-    let mut follower = Follower::default();
-    while let Err(e) = follower.catch_up(&b.platform, &cfg).await {
+    let mut follower = ConfigFollower::default();
+    while let Err(e) = follower.catch_up(&options.platform, &cfg).await {
         log::warn!("start=waits for=configuration error={:?}", e.message);
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
-    let (session, news) = first_session(&b, &cfg).await;
-    let me = Entry {
+    let (session, events) = first_session(&options, &cfg).await;
+    let me = RouterInfo {
         incarnation: session.incarnation.clone(),
-        zone: b.settings.zone.clone(),
-        api: b.api,
-        peer: b.peer,
+        zone: options.settings.zone.clone(),
+        api: options.api,
+        peer: options.peer,
         beat: 0,
         leaving: false,
         revision: follower.head().revision,
@@ -103,60 +105,63 @@
     };
     let seed = Digest::of(session.incarnation.as_str().as_bytes()).word();
     let node = Arc::new(Node::new(NodeParts {
-        clock: b.clock,
-        platform: b.platform,
-        engine: b.engine,
-        mesh: b.mesh,
+        clock: options.clock,
+        platform: options.platform,
+        engine: options.engine,
+        mesh: options.mesh,
         cfg,
         follower,
-        view: View::new(me, b.settings.dead_after),
-        picker: Picker::new(b.policy, b.settings.zone.clone(), seed),
+        view: View::new(me, options.settings.dead_after),
+        picker: Picker::new(options.policy, options.settings.zone.clone(), seed),
         session,
-        metrics: b.metrics,
-        settings: b.settings,
-        lending: b.lending,
-        sizing: b.sizing,
+        metrics: options.metrics,
+        settings: options.settings,
+        lending: options.lending,
+        sizing: options.sizing,
     }));
-    let loans: Arc<LoanBook> = Arc::default();
-    let answers = PeerAnswers { node: node.clone(), loans: loans.clone() };
-    let tasks = start_all(&node, &loans, news);
-    Booted { node, answers, tasks }
+    let loans: Arc<Loans> = Arc::default();
+    let peer_handler = NodePeerHandler { node: node.clone(), loans: loans.clone() };
+    let tasks = start_tasks(&node, &loans, events);
+    BootedNode { node, peer_handler, tasks }
 }
 
-async fn first_session<P: Platform, E: Engine, M: Mesh>(
-    b: &Boot<P, E, M>,
+async fn first_session<P: Platform, E: Engine, M: PeerClient>(
+    options: &BootOptions<P, E, M>,
     cfg: &Arc<RwLock<Config>>,
-) -> (Arc<Session<P, M>>, mpsc::UnboundedReceiver<News>) {
+) -> (Arc<Session<P, M>>, mpsc::UnboundedReceiver<SessionEvent>) {
     loop {
         let parts = SessionParts {
-            platform: b.platform.clone(),
-            mesh: b.mesh.clone(),
-            incarnation: new_incarnation(&b.settings.instance),
+            platform: options.platform.clone(),
+            mesh: options.mesh.clone(),
+            incarnation: new_incarnation(&options.settings.instance),
             row: HolderRow {
-                zone: b.settings.zone.clone(),
-                api: b.api.clone(),
-                peer: b.peer.clone(),
+                zone: options.settings.zone.clone(),
+                api: options.api.clone(),
+                peer: options.peer.clone(),
                 witness: None,
                 backup: None,
                 state: HolderState::Live,
             },
             cfg: cfg.clone(),
-            clock: b.clock,
-            commit_interval: b.settings.commit_interval.duration(),
-            sizing: b.sizing,
+            clock: options.clock,
+            commit_interval: options.settings.commit_interval.duration(),
+            sizing: options.sizing,
         };
         match Session::start(parts).await {
             Ok(started) => return started,
             Err(e) => log::warn!("start=waits for=holder_row error={:?}", e.message),
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Gives grants back, flushes bills, and leaves. What is not done by `limit` is left to the
-/// witness.
-pub async fn give_back<P: Platform, E: Engine, M: Mesh>(node: &Node<P, E, M>, limit: Instant) {
-    const LOOK: Duration = Duration::from_millis(100);
+/// Releases all grants, flushes the bills and marks the incarnation as left. Whatever is not done
+/// by `limit` is left to the witness.
+pub async fn release_and_leave<P: Platform, E: Engine, M: PeerClient>(
+    node: &Node<P, E, M>,
+    limit: Instant,
+) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(100);
     let session = node.session();
     loop {
         session.release_all().await;
@@ -165,9 +170,9 @@
         if empty || Instant::now() >= limit {
             break;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    if !matches!(timeout(LEAVE, session.leave()).await, Ok(Ok(()))) {
+    if !matches!(timeout(LEAVE_TIMEOUT, session.leave()).await, Ok(Ok(()))) {
         log::warn!("drain=left_to_witness incarnation={}", session.incarnation);
     }
 }
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -1,151 +1,154 @@
-//! Answers to other routers.
+//! Handler for messages from other routers.
 
 use std::sync::Arc;
 
 use super::node::Node;
-use super::tasks::LoanBook;
+use super::tasks::Loans;
 use crate::engine::Engine;
 use crate::error::{Error, Kind, Result};
 use crate::ids::{OrganisationId, RequestKey, Revision, Tokens};
-use crate::membership::link::Answerer;
-use crate::membership::wire::{Ask, Found, Mesh, Reply};
+use crate::membership::link::PeerHandler;
+use crate::membership::wire::{KnownRequest, PeerClient, PeerReply, PeerRequest};
 use crate::request::runs::{Run, RunEnd};
 use crate::table::Platform;
 
-/// Answers questions about a node.
-pub struct PeerAnswers<P: Platform, E: Engine, M: Mesh> {
-    /// The node.
+/// Handles messages from other routers to a node.
+pub struct NodePeerHandler<P: Platform, E: Engine, M: PeerClient> {
+    /// The node that receives the messages.
     pub node: Arc<Node<P, E, M>>,
-    /// Holds lent to others.
-    pub loans: Arc<LoanBook>,
+    /// Holds lent to other routers.
+    pub loans: Arc<Loans>,
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Clone for PeerAnswers<P, E, M> {
+impl<P: Platform, E: Engine, M: PeerClient> Clone for NodePeerHandler<P, E, M> {
     fn clone(&self) -> Self {
-        PeerAnswers { node: self.node.clone(), loans: self.loans.clone() }
+        NodePeerHandler { node: self.node.clone(), loans: self.loans.clone() }
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> Answerer for PeerAnswers<P, E, M> {
-    async fn answer(&self, ask: Ask) -> Reply {
-        self.try_answer(ask).await.unwrap_or_else(Reply::from)
+impl<P: Platform, E: Engine, M: PeerClient> PeerHandler for NodePeerHandler<P, E, M> {
+    async fn handle_request(&self, ask: PeerRequest) -> PeerReply {
+        self.try_answer(ask).await.unwrap_or_else(PeerReply::from)
     }
 }
 
-impl<P: Platform, E: Engine, M: Mesh> PeerAnswers<P, E, M> {
-    async fn try_answer(&self, ask: Ask) -> Result<Reply> {
+impl<P: Platform, E: Engine, M: PeerClient> NodePeerHandler<P, E, M> {
+    async fn try_answer(&self, ask: PeerRequest) -> Result<PeerReply> {
         let node = &self.node;
         match ask {
-            Ask::Beat(entries) => {
+            PeerRequest::Beat(entries) => {
                 let now = node.now();
                 let mut view = node.lock_view();
                 view.merge(now, entries);
-                let mine = view.entries(now);
-                let newer = view.newest_revision(now) > view.me().revision;
+                let mine = view.gossip_entries(now);
+                let newer = view.newest_revision(now) > view.local_router().revision;
                 drop(view);
                 if newer {
                     node.new_revision.notify_one();
                 }
-                Ok(Reply::Beat(mine))
+                Ok(PeerReply::Beat(mine))
             }
-            Ask::Keep { keeper, holder, copies } => {
-                node.check_keeper(&keeper)?;
-                let mut witness =
-                    node.witness.lock().expect("no code panics while it holds the witness");
-                // An empty message, too, has to be refused for a sealed holder.
+            PeerRequest::Keep { keeper, holder, copies } => {
+                node.check_own_incarnation(&keeper)?;
+                let mut witness = node.witness.lock().expect("the witness lock is never poisoned");
+                // The check is also needed if `copies` is empty: a sealed holder must always be
+                // refused.
                 witness.check(&holder)?;
                 copies.into_iter().try_for_each(|c| witness.keep(&holder, c))?;
-                Ok(Reply::Done)
+                Ok(PeerReply::Done)
             }
-            Ask::Forget { holder, holds } => {
+            PeerRequest::Forget { holder, holds } => {
                 node.witness
                     .lock()
-                    .expect("no code panics while it holds the witness")
+                    .expect("the witness lock is never poisoned")
                     .forget(&holder, &holds);
-                Ok(Reply::Done)
+                Ok(PeerReply::Done)
             }
-            Ask::Seal { keeper, holder } => {
-                node.check_keeper(&keeper)?;
+            PeerRequest::Seal { keeper, holder } => {
+                node.check_own_incarnation(&keeper)?;
                 log::info!("witness=seal holder={holder} role=backup");
-                let mut witness =
-                    node.witness.lock().expect("no code panics while it holds the witness");
-                Ok(Reply::Copies(witness.seal(&holder)))
+                let mut witness = node.witness.lock().expect("the witness lock is never poisoned");
+                Ok(PeerReply::Copies(witness.seal(&holder)))
             }
-            Ask::Find { organisation, key } => Ok(Reply::Found(self.find(&organisation, &key))),
-            Ask::Free(budget) => {
+            PeerRequest::Find { organisation, key } => {
+                Ok(PeerReply::Found(self.find(&organisation, &key)))
+            }
+            PeerRequest::Free(budget) => {
                 let free = if node.is_draining() {
                     Tokens::ZERO
                 } else {
                     node.session().usage(budget).await.free
                 };
-                Ok(Reply::Free(free))
+                Ok(PeerReply::Free(free))
             }
-            Ask::Borrow { budget, amount, copy } => {
+            PeerRequest::Borrow { budget, amount, copy } => {
                 if node.is_draining() {
                     return Err(Error::new(Kind::Draining, "this router drains"));
                 }
                 let session = node.session();
                 let hold = session.lend(&budget, amount, copy.clone()).await?;
-                self.loans.lent(hold, copy);
-                Ok(Reply::Held(hold))
+                self.loans.add_loan(hold, copy);
+                Ok(PeerReply::Held(hold))
             }
-            Ask::Repay { lender, hold, bill } => {
-                // A loan of an incarnation that was sealed since is its witness's to settle. Taken
-                // for one of this incarnation's, it would free a hold whose run goes on.
+            PeerRequest::Repay { lender, hold, bill } => {
+                // A loan of a sealed incarnation is settled by that incarnation's witness. Hold ids
+                // are unique only within an incarnation, so treating it as a loan of the current
+                // one could free a hold whose run is still going on.
                 let session = node.session();
-                let known = lender == session.incarnation && self.loans.repaid(hold).is_some();
+                let known = lender == session.incarnation && self.loans.end_loan(hold).is_some();
                 log::debug!(
                     "loan=repaid hold={} known={known} bill={:?}",
                     hold.0,
                     bill.as_ref().map(|b| b.cost)
                 );
                 if known {
-                    session.repaid(hold, bill).await;
+                    session.end_loan(hold, bill).await;
                 }
-                Ok(Reply::Done)
+                Ok(PeerReply::Done)
             }
-            Ask::Move { lender, hold, target } => {
+            PeerRequest::Move { lender, hold, target } => {
                 let session = node.session();
-                let moved =
-                    self.loans.moved(hold, target).filter(|_| lender == session.incarnation);
+                let retargeted =
+                    self.loans.retarget(hold, target).filter(|_| lender == session.incarnation);
                 let settled = || Error::new(Kind::Fenced, "this loan is settled");
-                session.lent_moved(hold, moved.ok_or_else(settled)?).await?;
-                Ok(Reply::Done)
+                session.retarget_loan(hold, retargeted.ok_or_else(settled)?).await?;
+                Ok(PeerReply::Done)
             }
-            Ask::Release(budget) => {
+            PeerRequest::Release(budget) => {
                 node.session().release(budget).await;
-                // Two commits: what is free has to be in the table before the asker looks again.
+                // Waits for two group commits, so that the released tokens are in the table before
+                // the asking router tries again.
                 tokio::time::sleep(node.settings.commit_interval.duration() * 2).await;
-                Ok(Reply::Done)
+                Ok(PeerReply::Done)
             }
-            Ask::Revisions(from) => Ok(Reply::Revisions(self.revisions(from).await)),
-            Ask::TargetLeaves(target) => {
+            PeerRequest::Revisions(from) => Ok(PeerReply::Revisions(self.revisions(from).await)),
+            PeerRequest::TargetLeaves(target) => {
                 node.lock_picker().mark_leaving(&target);
-                Ok(Reply::Done)
+                Ok(PeerReply::Done)
             }
         }
     }
 
-    /// A run of this router, or one whose copy it keeps.
-    fn find(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<Found> {
+    /// Returns what is known of a request that runs at this router or whose copy this router keeps.
+    fn find(&self, organisation: &OrganisationId, key: &RequestKey) -> Option<KnownRequest> {
         if let Some(run) = self.node.lock_runs().get(organisation, key) {
-            return found(&run);
+            return found_from_run(&run);
         }
-        self.node.found_copy(organisation, key)
+        self.node.find_copy(organisation, key)
     }
 
     async fn revisions(&self, from: Revision) -> Vec<crate::config::revision::RevisionRow> {
-        self.node.follower.lock().await.after(from)
+        self.node.follower.lock().await.revisions_after(from)
     }
 }
 
-fn found(run: &Arc<Run>) -> Option<Found> {
+fn found_from_run(run: &Arc<Run>) -> Option<KnownRequest> {
     let view = run.view(usize::MAX);
     let service = match view.end {
-        // What failed here is no reason to fail elsewhere.
+        // The failure may be specific to this router, so other routers must not report it.
         Some(RunEnd::Failed(_)) => return None,
         Some(RunEnd::Service(answer)) => Some(answer),
         _ => None,
     };
-    Some(Found { content: run.content, run: run.execution(), service })
+    Some(KnownRequest { content: run.content, run: run.execution(), service })
 }
--- a/src/router/tasks.rs
+++ b/src/router/tasks.rs
@@ -1,5 +1,5 @@
-//! What a router does besides serving: heartbeats, following the configuration, load reports,
-//! the instance list, its witness, dead wards, loans, expiry.
+//! Background tasks of a router: heartbeats, configuration updates, instance list, load reports,
+//! choice of witness, reclaiming grants of dead routers, settling loans and expiry of old requests.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::boot::new_incarnation;
 use super::node::Node;
-use super::session::{News, Pair, Session, SessionParts, Watch};
+use super::session::{Session, SessionEvent, SessionParts, WitnessAssignment, WitnessPair};
 use crate::budget::holder::HoldId;
 use crate::budget::ledger::{HOLDERS_PREFIX, HolderRow, HolderState};
 use crate::budget::witness::HoldCopy;
@@ -17,29 +17,31 @@
 use crate::engine::Engine;
 use crate::error::{Kind, Result};
 use crate::ids::{Incarnation, TargetId};
-use crate::membership::entry::{backup, witness};
-use crate::membership::view::Entry;
-use crate::membership::wire::{Ask, Mesh, Reply};
+use crate::membership::selection::{select_backup, select_witness};
+use crate::membership::view::RouterInfo;
+use crate::membership::wire::{PeerClient, PeerReply, PeerRequest};
 use crate::route::picker::ListedTarget;
 use crate::table::{InstanceState, Platform, scan_all};
 
-/// Others that get each heartbeat besides the witness.
-const FANOUT: usize = 3;
-/// Pause between looks at the instance list.
-const LIST_POLL: Duration = Duration::from_millis(500);
-/// Pause between looks at the holder rows.
-const HOLDERS_POLL: Duration = Duration::from_secs(5);
-/// Pause between looks at witness, wards and loans.
-const CARE: Duration = Duration::from_millis(100);
-/// Pause before a reclaim that could not be finished is tried again.
-const RECLAIM_PAUSE: Duration = Duration::from_millis(500);
-/// Room at the gate beyond the targets' batches, in percent.
-const OVERCOMMIT: u64 = 125;
-
-/// A node of any kind.
-pub type Shared<P, E, M> = Arc<Node<P, E, M>>;
-
-/// One hold lent to another router.
+/// Number of routers that get each heartbeat, in addition to the witness, the backup and one silent
+/// router.
+const HEARTBEAT_FANOUT: usize = 3;
+/// Interval between reads of the instance list.
+const INSTANCE_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Mean interval between reads of the holder rows. Each interval is jittered by 25 % in either
+/// direction.
+const HOLDER_POLL_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between checks of the witness, of dead holders and of loans.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay before a failed reclaim is retried.
+const RECLAIM_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Requests admitted by all routers together, in percent of the batch slots of the targets.
+const OVERCOMMIT_PERCENT: u64 = 125;
+
+/// A shared node over any platform, engine and mesh.
+pub type SharedNode<P, E, M> = Arc<Node<P, E, M>>;
+
+/// A hold lent to another router.
 #[derive(Clone, Debug)]
 struct Loan {
     hold: HoldId,
@@ -49,34 +51,36 @@
 
 /// Holds lent to other routers.
 #[derive(Debug, Default)]
-pub struct LoanBook(Mutex<Vec<Loan>>);
+pub struct Loans(Mutex<Vec<Loan>>);
 
-impl LoanBook {
+impl Loans {
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Loan>> {
-        self.0.lock().expect("no code panics while it holds the loans")
+        self.0.lock().expect("the loans lock is never poisoned")
     }
 
-    /// A hold was lent.
-    pub fn lent(&self, hold: HoldId, copy: HoldCopy) {
+    /// Adds a hold that was lent.
+    pub fn add_loan(&self, hold: HoldId, copy: HoldCopy) {
         self.lock().push(Loan { hold, copy, settling: false });
     }
 
-    /// A lent hold's run goes to another target; `None` when the loan is settled or about to be.
-    pub fn moved(&self, hold: HoldId, target: TargetId) -> Option<HoldCopy> {
+    /// Changes the target in the copy of a lent hold and returns the new copy, or `None` if the
+    /// loan is settled or is being settled.
+    pub fn retarget(&self, hold: HoldId, target: TargetId) -> Option<HoldCopy> {
         let mut loans = self.lock();
         let loan = loans.iter_mut().find(|l| l.hold == hold && !l.settling)?;
         loan.copy.target = target;
         Some(loan.copy.clone())
     }
 
-    /// A lent hold is dealt with; `None` when it was already.
-    pub fn repaid(&self, hold: HoldId) -> Option<HoldCopy> {
+    /// Removes a loan and returns its copy, or `None` if it was already removed.
+    pub fn end_loan(&self, hold: HoldId) -> Option<HoldCopy> {
         let mut loans = self.lock();
-        let place = loans.iter().position(|l| l.hold == hold)?;
-        Some(loans.swap_remove(place).copy)
+        let index = loans.iter().position(|l| l.hold == hold)?;
+        Some(loans.swap_remove(index).copy)
     }
 
-    /// Whether the caller is the one to settle a dead borrower's loan.
+    /// Marks a loan as being settled. Returns `false` if the loan is gone or another task already
+    /// settles it.
     fn start_settling(&self, hold: HoldId) -> bool {
         let mut loans = self.lock();
         let found = loans.iter_mut().find(|l| l.hold == hold && !l.settling);
@@ -92,82 +96,83 @@
     }
 }
 
-/// Starts all tasks. They end when the set is dropped.
-pub fn start_all<P: Platform, E: Engine, M: Mesh>(
-    node: &Shared<P, E, M>,
-    loans: &Arc<LoanBook>,
-    news: mpsc::UnboundedReceiver<News>,
+/// Starts all tasks. They stop when the set is dropped.
+pub fn start_tasks<P: Platform, E: Engine, M: PeerClient>(
+    node: &SharedNode<P, E, M>,
+    loans: &Arc<Loans>,
+    events: mpsc::UnboundedReceiver<SessionEvent>,
 ) -> tokio::task::JoinSet<()> {
     let mut set = tokio::task::JoinSet::new();
-    set.spawn(beat(node.clone()));
+    set.spawn(send_heartbeats(node.clone()));
     set.spawn(follow_config(node.clone()));
-    set.spawn(poll_list(node.clone()));
-    set.spawn(poll_reports(node.clone()));
-    set.spawn(poll_holders(node.clone()));
-    set.spawn(care(node.clone(), loans.clone()));
-    set.spawn(hear_news(node.clone(), loans.clone(), news));
+    set.spawn(poll_instances(node.clone()));
+    set.spawn(poll_load_reports(node.clone()));
+    set.spawn(poll_holder_rows(node.clone()));
+    set.spawn(maintain(node.clone(), loans.clone()));
+    set.spawn(handle_session_events(node.clone(), loans.clone(), events));
     set
 }
 
-fn every(period: Duration) -> tokio::time::Interval {
+fn ticker(period: Duration) -> tokio::time::Interval {
     let mut ticks = interval(period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks
 }
 
-/// Heartbeats: to the witness and a few others in turn. Bounded whatever the size of the fleet.
-async fn beat<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
-    let mut ticks = every(node.settings.heartbeat.duration());
-    let mut turn = 0;
+/// Sends heartbeats to the witness, the backup and a few other routers in turn. The number of
+/// messages per interval does not grow with the fleet.
+async fn send_heartbeats<P: Platform, E: Engine, M: PeerClient>(node: SharedNode<P, E, M>) {
+    let mut ticks = ticker(node.settings.heartbeat.duration());
+    let mut offset = 0;
     loop {
         ticks.tick().await;
         let now = node.now();
         let load = node.gates.load().0;
         let (entries, to) = {
             let mut view = node.lock_view();
-            view.update_me(|e| e.load = load);
-            let me = view.me().incarnation.clone();
-            let mut others = view.live(now);
+            view.update_local(|e| e.load = load);
+            let me = view.local_router().incarnation.clone();
+            let mut others = view.live_routers(now);
             others.retain(|e| e.incarnation != me);
-            (view.beat(now), others)
+            (view.next_heartbeat(now), others)
         };
-        let candidate = node.lock_view().next_candidate(now);
+        let candidate = node.lock_view().next_silent_candidate(now);
         let n = to.len().max(1);
-        let mut chosen: Vec<Entry> =
-            (0..FANOUT.min(to.len())).map(|i| to[(turn + i) % n].clone()).collect();
-        turn = (turn + FANOUT) % n;
-        if let Watch::By(Some(pair)) = node.session().watch() {
-            let missing = |m: &&Entry| !chosen.iter().any(|c| c.incarnation == m.incarnation);
-            let missing: Vec<Entry> = pair.members().filter(missing).cloned().collect();
+        let mut chosen: Vec<RouterInfo> =
+            (0..HEARTBEAT_FANOUT.min(to.len())).map(|i| to[(offset + i) % n].clone()).collect();
+        offset = (offset + HEARTBEAT_FANOUT) % n;
+        if let WitnessAssignment::Stable(Some(pair)) = node.session().assignment() {
+            let missing = |m: &&RouterInfo| !chosen.iter().any(|c| c.incarnation == m.incarnation);
+            let missing: Vec<RouterInfo> = pair.members().filter(missing).cloned().collect();
             chosen.extend(missing);
         }
         chosen.extend(candidate);
         for peer in chosen {
-            tokio::spawn(beat_one(node.clone(), peer, entries.clone()));
+            tokio::spawn(send_heartbeat(node.clone(), peer, entries.clone()));
         }
     }
 }
 
-async fn beat_one<P: Platform, E: Engine, M: Mesh>(
-    node: Shared<P, E, M>,
-    peer: Entry,
-    entries: Vec<Entry>,
+async fn send_heartbeat<P: Platform, E: Engine, M: PeerClient>(
+    node: SharedNode<P, E, M>,
+    peer: RouterInfo,
+    entries: Vec<RouterInfo>,
 ) {
-    if let Ok(Reply::Beat(theirs)) = node.mesh.ask(&peer, Ask::Beat(entries)).await {
+    if let Ok(PeerReply::Beat(theirs)) = node.mesh.rpc(&peer, PeerRequest::Beat(entries)).await {
         let now = node.now();
         node.lock_view().merge(now, theirs);
     }
 }
 
-/// Follows the configuration: by polling its head, at once when another router runs a newer
-/// revision, and from other routers while the platform is away.
-async fn follow_config<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
+/// Keeps the configuration up to date: polls its head, reads it at once when another router runs a
+/// newer revision, and fetches revisions from other routers while the platform is unavailable.
+async fn follow_config<P: Platform, E: Engine, M: PeerClient>(node: SharedNode<P, E, M>) {
     loop {
         let before = node.follower.lock().await.head().revision;
         let result = node.follower.lock().await.catch_up(&node.platform, &node.cfg).await;
         if let Err(e) = result {
             log::warn!("config=behind revision={before} error={:?}", e.message);
-            from_peers(&node).await;
+            fetch_from_peers(&node).await;
         }
         publish_revision(&node).await;
         let _ = tokio::time::timeout(
@@ -178,21 +183,23 @@
     }
 }
 
-/// Tells the others which revision is in force here.
-pub async fn publish_revision<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>) {
+/// Announces the active configuration revision to the other routers.
+pub async fn publish_revision<P: Platform, E: Engine, M: PeerClient>(node: &SharedNode<P, E, M>) {
     let revision = node.follower.lock().await.head().revision;
     let mut view = node.lock_view();
-    if view.me().revision < revision {
-        view.update_me(|e| e.revision = revision);
+    if view.local_router().revision < revision {
+        view.update_local(|e| e.revision = revision);
         log::info!("config=in_force revision={revision}");
     }
 }
 
-async fn from_peers<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>) {
+async fn fetch_from_peers<P: Platform, E: Engine, M: PeerClient>(node: &SharedNode<P, E, M>) {
     let have = node.follower.lock().await.head().revision;
-    let ahead: Vec<Entry> = node.live().into_iter().filter(|e| e.revision > have).collect();
+    let ahead: Vec<RouterInfo> = node.live().into_iter().filter(|e| e.revision > have).collect();
     for peer in ahead {
-        if let Ok(Reply::Revisions(rows)) = node.mesh.ask(&peer, Ask::Revisions(have)).await {
+        if let Ok(PeerReply::Revisions(rows)) =
+            node.mesh.rpc(&peer, PeerRequest::Revisions(have)).await
+        {
             let mut follower = node.follower.lock().await;
             for row in &rows {
                 if let Err(e) = follower.apply(row, &node.cfg) {
@@ -204,9 +211,9 @@
     }
 }
 
-/// Targets, from the instance list. A list that cannot be read, or is empty, changes nothing.
-async fn poll_list<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
-    let mut ticks = every(LIST_POLL);
+/// Updates the targets from the instance list. A list that is empty or cannot be read is ignored.
+async fn poll_instances<P: Platform, E: Engine, M: PeerClient>(node: SharedNode<P, E, M>) {
+    let mut ticks = ticker(INSTANCE_POLL_INTERVAL);
     loop {
         ticks.tick().await;
         let list = match node.platform.list().await {
@@ -226,9 +233,10 @@
     }
 }
 
-/// Load reports, each target in turn. At many targets a report is asked for less often.
-async fn poll_reports<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
-    let mut ticks = every(node.settings.report_poll.duration());
+/// Polls the load reports of all targets. A round starts only after the previous one is complete,
+/// so with many targets each report is read less often.
+async fn poll_load_reports<P: Platform, E: Engine, M: PeerClient>(node: SharedNode<P, E, M>) {
+    let mut ticks = ticker(node.settings.report_poll.duration());
     loop {
         ticks.tick().await;
         let targets: Vec<_> =
@@ -242,7 +250,7 @@
                     node.lock_picker().targets().iter().any(|t| t.id == id && t.leaving);
                 if report.leaving && !known_leaving {
                     log::info!("target=leaving id={id} source=report");
-                    tell_leaving(&node, &id);
+                    announce_leaving(&node, &id);
                 }
                 let now = node.now();
                 node.lock_picker().reported(now, &id, report);
@@ -256,24 +264,25 @@
     }
 }
 
-fn tell_leaving<P: Platform, E: Engine, M: Mesh>(
-    node: &Shared<P, E, M>,
+fn announce_leaving<P: Platform, E: Engine, M: PeerClient>(
+    node: &SharedNode<P, E, M>,
     id: &crate::ids::TargetId,
 ) {
     for peer in node.live() {
-        let (node, ask) = (node.clone(), Ask::TargetLeaves(id.clone()));
+        let (node, ask) = (node.clone(), PeerRequest::TargetLeaves(id.clone()));
         tokio::spawn(async move {
-            let _ = node.mesh.ask(&peer, ask).await;
+            let _ = node.mesh.rpc(&peer, ask).await;
         });
     }
 }
 
-/// Each router lets through its share of what the targets can take, and a little more.
-fn set_capacities<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>) {
+/// Sets each gate's capacity to this router's share of what the targets can run at once, plus some
+/// overcommitment.
+fn set_capacities<P: Platform, E: Engine, M: PeerClient>(node: &SharedNode<P, E, M>) {
     let now = node.now();
     let routers = node.live().iter().filter(|e| !e.leaving).count().max(1) as u64;
     let services: Vec<_> = {
-        let cfg = node.cfg.read().expect("never poisoned");
+        let cfg = node.cfg.read().expect("the lock is never poisoned");
         let name = |k: &ServiceKind, id: &crate::ids::ServiceId| match k {
             ServiceKind::Model { model, .. } => model.clone(),
             ServiceKind::Plain { .. } => id.as_str().into(),
@@ -283,37 +292,38 @@
     node.lock_picker().set_routers(routers);
     for (service, name) in services {
         let slots = u64::from(node.lock_picker().slots(now, &name));
-        let capacity = (slots * OVERCOMMIT / 100).div_ceil(routers).max(1) as u32;
+        let capacity = (slots * OVERCOMMIT_PERCENT / 100).div_ceil(routers).max(1) as u32;
         node.gates.set_capacity(now, &service, capacity);
     }
 }
 
-/// Other routers, from the holder rows: how they find each other first, and how one that lost
-/// touch with all others finds them again.
-async fn poll_holders<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>) {
+/// Reads the other routers from the holder rows. This is how routers discover each other at
+/// startup, and how a router that lost contact with all others finds them again.
+async fn poll_holder_rows<P: Platform, E: Engine, M: PeerClient>(node: SharedNode<P, E, M>) {
     loop {
-        if let Ok(rows) = read_holders(&node.platform).await {
-            let (live, gone): (Vec<_>, Vec<_>) =
+        if let Ok(rows) = read_holder_rows(&node.platform).await {
+            let (live, ended): (Vec<_>, Vec<_>) =
                 rows.into_iter().partition(|(_, row)| row.state == HolderState::Live);
             let mut view = node.lock_view();
-            gone.iter().for_each(|(incarnation, _)| view.remove(incarnation));
-            view.set_candidates(live.into_iter().map(|(i, row)| entry_of(i, row)).collect());
+            ended.iter().for_each(|(incarnation, _)| view.mark_departed(incarnation));
+            view.set_candidates(live.into_iter().map(|(i, row)| entry_from_row(i, row)).collect());
         }
-        sleep(HOLDERS_POLL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
+        sleep(HOLDER_POLL_INTERVAL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
     }
 }
 
-/// All holder rows.
+/// Reads all holder rows.
 ///
 /// # Errors
-/// `PlatformAway`, or `BadFormat` for a row that cannot be read.
-pub async fn read_holders<P: Platform>(platform: &P) -> Result<Vec<(Incarnation, HolderRow)>> {
+///
+/// Returns `PlatformAway` if the table does not answer, or `BadFormat` if a row cannot be decoded.
+pub async fn read_holder_rows<P: Platform>(platform: &P) -> Result<Vec<(Incarnation, HolderRow)>> {
     let rows = scan_all(platform, HOLDERS_PREFIX).await?;
     rows.iter().map(|r| Ok((r.key[HOLDERS_PREFIX.len()..].parse()?, r.decode()?))).collect()
 }
 
-fn entry_of(incarnation: Incarnation, row: HolderRow) -> Entry {
-    Entry {
+fn entry_from_row(incarnation: Incarnation, row: HolderRow) -> RouterInfo {
+    RouterInfo {
         incarnation,
         zone: row.zone,
         api: row.api,
@@ -325,46 +335,55 @@
     }
 }
 
-/// Looks after the witness, dead wards, loans to the dead, and old requests.
-async fn care<P: Platform, E: Engine, M: Mesh>(node: Shared<P, E, M>, loans: Arc<LoanBook>) {
-    let mut ticks = every(CARE);
+/// Periodically expires old requests, checks the witness, reclaims the grants of dead holders and
+/// settles loans to dead routers.
+async fn maintain<P: Platform, E: Engine, M: PeerClient>(
+    node: SharedNode<P, E, M>,
+    loans: Arc<Loans>,
+) {
+    let mut ticks = ticker(MAINTENANCE_INTERVAL);
     let reclaimed = Reclaimed::default();
     loop {
         ticks.tick().await;
         let now = node.now();
         node.lock_runs().expire(now);
         let live = node.live();
-        // An organisation is named so many routers; only these hold parts of its budgets.
-        let width = node.cfg.read().expect("never poisoned").fleet.entry_width as usize;
+        // Callers of one organisation are sent to this many routers, and only these hold parts of
+        // its budgets.
+        let width = node.cfg.read().expect("the lock is never poisoned").fleet.entry_width as usize;
         let serving = live.iter().filter(|e| !e.leaving).count();
-        node.session().set_holders(serving as u64, serving.min(width) as u64).await;
-        care_witness(&node, &live).await;
-        reclaim_dead(&node, &reclaimed);
-        settle_loans(&node, &loans);
+        node.session().set_router_counts(serving as u64, serving.min(width) as u64).await;
+        maintain_witness(&node, &live).await;
+        reclaim_dead_holders(&node, &reclaimed);
+        settle_dead_borrowers(&node, &loans);
     }
 }
 
-async fn care_witness<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, live: &[Entry]) {
+async fn maintain_witness<P: Platform, E: Engine, M: PeerClient>(
+    node: &SharedNode<P, E, M>,
+    live: &[RouterInfo],
+) {
     let session = node.session();
-    let Watch::By(now) = session.watch() else { return };
-    let me = node.lock_view().me().clone();
+    let WitnessAssignment::Stable(current) = session.assignment() else { return };
+    let me = node.lock_view().local_router().clone();
     let suspects = session.suspects();
-    let trusted = |e: &&Entry| !suspects.contains(&e.incarnation);
-    let trusted: Vec<Entry> = live.iter().filter(trusted).cloned().collect();
-    let stays = |m: &Entry| trusted.iter().any(|e| e.incarnation == m.incarnation && !e.leaving);
-    let well = match &now {
-        None => trusted.len() < 2,
-        Some(pair) => pair.members().all(stays) && (pair.backup.is_some() || trusted.len() < 3),
+    let responsive = |e: &&RouterInfo| !suspects.contains(&e.incarnation);
+    let responsive: Vec<RouterInfo> = live.iter().filter(responsive).cloned().collect();
+    let usable =
+        |m: &RouterInfo| responsive.iter().any(|e| e.incarnation == m.incarnation && !e.leaving);
+    let healthy = match &current {
+        None => responsive.len() < 2,
+        Some(pair) => pair.members().all(usable) && (pair.backup.is_some() || responsive.len() < 3),
     };
-    if well || node.is_draining() {
+    if healthy || node.is_draining() {
         return;
     }
-    let to = witness(&trusted, &me).map(|w| {
-        let backup = backup(&trusted, &me, w).cloned();
-        Pair { witness: w.clone(), backup }
+    let to = select_witness(&responsive, &me).map(|w| {
+        let backup = select_backup(&responsive, &me, w).cloned();
+        WitnessPair { witness: w.clone(), backup }
     });
-    // Nobody to turn to: whom the row names is better than nobody.
-    if to.is_none() && !live.is_empty() && now.is_some() && trusted.len() < live.len() {
+    // No responsive router is left. The current witness, although suspected, is better than none.
+    if to.is_none() && !live.is_empty() && current.is_some() && responsive.len() < live.len() {
         return;
     }
     tokio::spawn(async move {
@@ -374,19 +393,24 @@
     });
 }
 
-/// Dead wards whose grants are being settled, or are.
+/// Dead holders whose grants this router has reclaimed or is reclaiming.
 type Reclaimed = Arc<Mutex<Vec<Incarnation>>>;
 
-/// Each dead ward is reclaimed by a task of its own: one whose backup cannot be reached must not
-/// keep this router from caring for its own witness.
-fn reclaim_dead<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, reclaimed: &Reclaimed) {
+/// Starts reclaiming the grants of holders that died. Each gets its own task, because an
+/// unreachable backup of one holder must not delay the checks of this router's own witness.
+fn reclaim_dead_holders<P: Platform, E: Engine, M: PeerClient>(
+    node: &SharedNode<P, E, M>,
+    reclaimed: &Reclaimed,
+) {
     let now = node.now();
-    let wards = node.witness.lock().expect("no code panics while it holds the witness").holders();
+    let watched = node.witness.lock().expect("the witness lock is never poisoned").holders();
     let dead: Vec<Incarnation> = {
         let view = node.lock_view();
-        let mut started = reclaimed.lock().expect("never poisoned");
-        let dead = |w: &Incarnation| view.knows(w) && !view.alive(now, w) && !started.contains(w);
-        let dead: Vec<Incarnation> = wards.into_iter().filter(dead).collect();
+        let mut started = reclaimed.lock().expect("the lock is never poisoned");
+        let dead = |w: &Incarnation| {
+            view.is_known(w) && !view.is_router_alive(now, w) && !started.contains(w)
+        };
+        let dead: Vec<Incarnation> = watched.into_iter().filter(dead).collect();
         started.extend(dead.iter().cloned());
         dead
     };
@@ -396,25 +420,29 @@
             let done = node.reclaimer().reclaim(&holder).await;
             if let Err(e) = &done {
                 log::warn!("reclaim=waits holder={holder} error={:?}", e.message);
-                sleep(RECLAIM_PAUSE).await;
+                sleep(RECLAIM_RETRY_DELAY).await;
             }
             if !matches!(done, Ok(true)) {
-                reclaimed.lock().expect("never poisoned").retain(|r| *r != holder);
+                reclaimed.lock().expect("the lock is never poisoned").retain(|r| *r != holder);
             }
         });
     }
 }
 
-/// A borrower that died cannot repay: the lender follows the run to its end itself. It must not
-/// stop it: a borrower that is only cut off still streams the answer to its caller.
-fn settle_loans<P: Platform, E: Engine, M: Mesh>(node: &Shared<P, E, M>, loans: &Arc<LoanBook>) {
+/// Settles loans whose borrower died and so cannot report the outcome. The lender follows the run
+/// until it ends and does not cancel it, because a borrower that is only cut off from the lender
+/// still streams the answer to its caller.
+fn settle_dead_borrowers<P: Platform, E: Engine, M: PeerClient>(
+    node: &SharedNode<P, E, M>,
+    loans: &Arc<Loans>,
+) {
     for (hold, copy) in loans.all() {
         let run = copy.bill.run.as_str();
         let borrower = run.rsplit_once('.').and_then(|(b, _)| b.parse::<Incarnation>().ok());
         let now = node.now();
         let dead = borrower.is_none_or(|b| {
             let view = node.lock_view();
-            view.knows(&b) && !view.alive(now, &b)
+            view.is_known(&b) && !view.is_router_alive(now, &b)
         });
         if !dead || !loans.start_settling(hold) {
             continue;
@@ -423,43 +451,45 @@
         tokio::spawn(async move {
             let session = node.session();
             let Some(bill) = node.reclaimer().outcome(&copy).await else { return };
-            if loans.repaid(hold).is_some() {
+            if loans.end_loan(hold).is_some() {
                 log::info!("loan=settled run={} billed={}", copy.bill.run, bill.is_some());
-                session.repaid(hold, bill).await;
+                session.end_loan(hold, bill).await;
             }
         });
     }
 }
 
-/// Tells the witness what the table has, and joins again when this incarnation was sealed.
-async fn hear_news<P: Platform, E: Engine, M: Mesh>(
-    node: Shared<P, E, M>,
-    loans: Arc<LoanBook>,
-    mut news: mpsc::UnboundedReceiver<News>,
+/// Drops the copies of recorded bills at the witness, and starts a new session when the current one
+/// is fenced.
+async fn handle_session_events<P: Platform, E: Engine, M: PeerClient>(
+    node: SharedNode<P, E, M>,
+    loans: Arc<Loans>,
+    mut events: mpsc::UnboundedReceiver<SessionEvent>,
 ) {
     loop {
-        match news.recv().await {
-            Some(News::Recorded(holds)) => {
+        match events.recv().await {
+            Some(SessionEvent::Recorded(holds)) => {
                 let session = node.session();
                 tokio::spawn(async move { session.forget(&holds).await });
             }
-            Some(News::Fenced) => {
+            Some(SessionEvent::Fenced) => {
                 loans.clear();
-                news = rejoin(&node).await;
+                events = rejoin(&node).await;
             }
             None => return,
         }
     }
 }
 
-/// A wrong suspicion or a long pause ended this incarnation: what it held is its witness's to
-/// settle, and a new one starts with nothing. Running streams go on.
-async fn rejoin<P: Platform, E: Engine, M: Mesh>(
-    node: &Shared<P, E, M>,
-) -> mpsc::UnboundedReceiver<News> {
+/// Starts a new session after the current incarnation was sealed, by a false suspicion or after a
+/// long pause. The witness settles what the old incarnation held, and the new one starts without
+/// grants. Running streams continue.
+async fn rejoin<P: Platform, E: Engine, M: PeerClient>(
+    node: &SharedNode<P, E, M>,
+) -> mpsc::UnboundedReceiver<SessionEvent> {
     loop {
         let incarnation = new_incarnation(&node.settings.instance);
-        let me = node.lock_view().me().clone();
+        let me = node.lock_view().local_router().clone();
         let parts = SessionParts {
             platform: node.platform.clone(),
             mesh: node.mesh.clone(),
@@ -478,18 +508,18 @@
             sizing: node.sizing,
         };
         match Session::start(parts).await {
-            Ok((session, news)) => {
+            Ok((session, events)) => {
                 node.set_session(session);
-                node.lock_view().update_me(|e| {
+                node.lock_view().update_local(|e| {
                     e.incarnation = incarnation.clone();
                     e.beat = 0;
                 });
                 log::warn!("rejoin=done incarnation={incarnation}");
-                return news;
+                return events;
             }
             Err(e) if e.kind == Kind::Conflict => {}
             Err(e) => log::warn!("rejoin=waits error={:?}", e.message),
         }
-        sleep(CARE).await;
+        sleep(MAINTENANCE_INTERVAL).await;
     }
 }
--- a/tests/test_api.rs
+++ b/tests/test_api.rs
@@ -1,4 +1,4 @@
-//! The callers' API over real sockets: bad input, refusals, streams.
+//! Tests of the API for callers over real sockets: bad input, refusals and streams.
 
 use std::time::Duration;
 
@@ -16,19 +16,20 @@
 
 use crate::workdir::name;
 
-struct Town {
+struct TestFleet {
     platform: PlatformHost,
     target: TargetHost,
     router: RouterHost,
 }
 
-async fn town() -> Town {
+async fn start_fleet() -> TestFleet {
     let platform = PlatformHost::start(PlatformLimits::default()).await.unwrap();
     let zone: ZoneId = name("a");
     let serves = vec!["m".into(), "filing".into()];
-    let setup = TargetSetup { serves, pace: Duration::from_millis(2), ..TargetSetup::default() };
+    let setup =
+        TargetSetup { serves, step_time: Duration::from_millis(2), ..TargetSetup::default() };
     let target = TargetHost::start(&platform.memory, "t0", &zone, setup).await.unwrap();
-    let settings = router_settings(platform.served.addr, "r0", &zone);
+    let settings = router_settings(platform.server.addr, "r0", &zone);
     let router = RouterHost::start(settings).await.unwrap();
     let text = format!(
         "[fleet]\nentry_lifetime = 1s\n[service chat]\nmodel = m\nbytes_per_token = 4\nmax_tokens = 500\n\
@@ -38,7 +39,7 @@
     );
     submit_first(router.api, &text).await.unwrap();
     router.ready().await;
-    Town { platform, target, router }
+    TestFleet { platform, target, router }
 }
 
 fn http() -> reqwest::Client {
@@ -57,8 +58,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn chat_bad_input() {
-    // Whatever a caller sends, it gets the right kind of refusal, and the router lives.
-    let t = town().await;
+    // Bad input must get an error of the right kind, and the router must keep serving.
+    let t = start_fleet().await;
     let url = format!("http://{}/v1/chat/completions", t.router.api);
     let post = |body: Vec<u8>| http().post(&url).bearer_auth("key").body(body);
     let json = |v: Value| post(v.to_string().into_bytes());
@@ -89,7 +90,7 @@
         ("unknown budget", json(chat()).header("x-budget", "nope"), 404, "not_found"),
     ];
     for (case, req, status, kind) in cases {
-        // A router may refuse a large body before it was read whole, and close.
+        // The router may refuse a large body and close the connection before the body is sent.
         let Ok(resp) = req.send().await else {
             assert_eq!(case, "large body");
             continue;
@@ -104,7 +105,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn chat_key_reused_and_replayed() {
-    let t = town().await;
+    let t = start_fleet().await;
     let url = format!("http://{}/v1/chat/completions", t.router.api);
     let send = |body: Value| {
         http().post(&url).bearer_auth("key").header(IDEMPOTENCY_KEY, "k1").json(&body).send()
@@ -125,9 +126,10 @@
 #[case::repeated(TargetFaults { repeat_tokens: true, ..TargetFaults::default() }, true)]
 #[case::crossed(TargetFaults { cross_runs: true, ..TargetFaults::default() }, true)]
 #[tokio::test(flavor = "multi_thread")]
-async fn chat_faulty_target(#[case] faults: TargetFaults, #[case] whole: bool) {
-    // A caller gets a cut answer for a whole one, or words twice, or another caller's words.
-    let t = town().await;
+async fn chat_faulty_target(#[case] faults: TargetFaults, #[case] complete: bool) {
+    // Guards against passing on a truncated answer as complete, repeated tokens, or tokens of
+    // another run, when a target is faulty.
+    let t = start_fleet().await;
     t.target.target.set_faults(faults);
     let caller = Caller::new(vec![t.router.api.to_string()], "key", None).unwrap();
     let call = ChatCall {
@@ -139,13 +141,13 @@
         patience: Duration::from_secs(3),
     };
     let got = caller.chat(&call, |_| {}).await;
-    assert_eq!(got.is_ok(), whole, "{got:?}");
+    assert_eq!(got.is_ok(), complete, "{got:?}");
     t.router.kill();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn service_needs_key() {
-    let t = town().await;
+async fn service_without_key() {
+    let t = start_fleet().await;
     let post = |path: &str| {
         http().post(format!("http://{}/v1/services/filing/{path}", t.router.api)).bearer_auth("key")
     };
@@ -161,9 +163,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_drains_open_stream() {
-    // A planned stop cuts an answer short.
-    // The router is told to stop with a stream open: it finishes it, and leaves nothing held.
-    let t = town().await;
+    // Guards against a graceful stop that truncates an answer or leaves a grant behind. The router
+    // is stopped while a stream is open and must finish it.
+    let t = start_fleet().await;
     let caller = Caller::new(vec![t.router.api.to_string()], "key", None).unwrap();
     let call = ChatCall {
         model: "chat".into(),
@@ -185,8 +187,8 @@
 }
 
 #[test]
-fn answer_table_is_closed() {
-    // Every kind has a name of its own and a status that a caller can act on.
+fn answer_kinds_distinct() {
+    // Every error kind must have a distinct name and a status in the error range.
     let mut names: Vec<&str> = Kind::ALL.iter().map(|k| k.answer().name).collect();
     names.sort();
     names.dedup();
