--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: each asks which routers to use, keeps its connection until the router ends it, and
-//! notes what it got.
+//! Callers that resolve a router through the directories, reuse their connection until the router
+//! closes it, and record each request with its response.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,114 +14,121 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The header with the proof of whose answer it is.
-pub const SEAL: &str = "Response-Seal";
+/// The response header that states which target answered which request, as `target.request`.
+pub const SEAL_HEADER: &str = "Response-Seal";
 /// The host of all routes.
 pub const HOST: &str = "shop.example";
-/// How long a caller waits for an answer.
-pub(crate) const TIME_LEFT: Duration = Duration::from_secs(4);
-/// How long it waits for an entry answer.
-const ENTRY: Duration = Duration::from_millis(800);
-/// How long an entry answer is kept.
-const ENTRY_KEPT: Duration = Duration::from_secs(1);
-
-/// A kind of request, named by its route's prefix.
+/// How long a caller waits for a complete response. It is also sent as the request's remaining
+/// time.
+pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long a caller waits for a directory's response, and then for a connection to a router.
+const DIRECTORY_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time-to-live of a directory's response. A caller that found no router retries after a tenth of
+/// it.
+const DIRECTORY_TTL: Duration = Duration::from_secs(1);
+
+/// A kind of request. Each has a route of its own.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Asked {
-    /// May run more than once.
-    Safe,
-    /// May run once.
-    Once,
-    /// A stream that may run once.
+pub enum RequestKind {
+    /// May be executed more than once.
+    Idempotent,
+    /// May be executed once.
+    NonIdempotent,
+    /// A streamed response, which may be produced once.
     Stream,
-    /// A stream that may go on elsewhere.
-    Resumable,
+    /// A streamed response that another target may resume.
+    ResumableStream,
 }
 
-impl Asked {
-    /// All kinds.
-    pub const ALL: [Asked; 4] = [Asked::Safe, Asked::Once, Asked::Stream, Asked::Resumable];
+impl RequestKind {
+    /// All kinds, in the order from which random requests are drawn.
+    pub const ALL: [RequestKind; 4] = [
+        RequestKind::Idempotent,
+        RequestKind::NonIdempotent,
+        RequestKind::Stream,
+        RequestKind::ResumableStream,
+    ];
 
-    /// The prefix of its route.
+    /// The path prefix of the route.
     pub fn prefix(self) -> &'static str {
         match self {
-            Asked::Safe => "/safe/",
-            Asked::Once => "/once/",
-            Asked::Stream => "/stream/",
-            Asked::Resumable => "/resumable/",
+            RequestKind::Idempotent => "/safe/",
+            RequestKind::NonIdempotent => "/once/",
+            RequestKind::Stream => "/stream/",
+            RequestKind::ResumableStream => "/resumable/",
         }
     }
 
-    /// Whether its answer is a stream.
+    /// Whether the response is a stream.
     pub fn is_stream(self) -> bool {
-        matches!(self, Asked::Stream | Asked::Resumable)
+        matches!(self, RequestKind::Stream | RequestKind::ResumableStream)
     }
 
-    /// Whether it may run more than once.
-    pub fn repeats(self) -> bool {
-        matches!(self, Asked::Safe | Asked::Resumable)
+    /// Whether the request may be executed more than once.
+    pub fn is_repeatable(self) -> bool {
+        matches!(self, RequestKind::Idempotent | RequestKind::ResumableStream)
     }
 }
 
-/// What a caller sent and got.
+/// A caller's request and the response to it.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     /// The request's id.
     pub id: CompactString,
-    /// Its kind.
-    pub asked: Asked,
-    /// The organisation whose key it bore.
+    /// The kind of request.
+    pub request_kind: RequestKind,
+    /// Index of the organisation whose API key was sent.
     pub org: usize,
-    /// Prompt tokens and most output tokens.
+    /// Number of prompt tokens, and maximum number of output tokens.
     pub tokens: (u64, u64),
-    /// The router that it was sent to.
+    /// Address of the router that the request was sent to.
     pub router: SocketAddr,
-    /// When it was sent.
-    pub sent: Instant,
-    /// When an answer came that says that its target leaves.
-    pub heard_leaving: Option<Instant>,
-    /// The answer's status; none if there was no answer.
+    /// When the request was sent.
+    pub sent_at: Instant,
+    /// When a response head arrived that announces that its target is leaving.
+    pub leaving_at: Option<Instant>,
+    /// The response's status; `None` if no response arrived.
     pub status: Option<u16>,
-    /// The proof of whose answer it is.
+    /// The value of [`SEAL_HEADER`].
     pub seal: Option<CompactString>,
-    /// The body as far as it came.
+    /// The part of the body that arrived.
     pub body: String,
-    /// Whether the body was whole.
-    pub whole: bool,
+    /// Whether the whole body arrived.
+    pub is_complete: bool,
 }
 
 impl Exchange {
-    /// The ids of the events that came.
+    /// The ids of the complete events in the body.
     pub fn events(&self) -> Vec<u64> {
         let complete = self.body.split_inclusive("\n\n").filter(|e| e.ends_with("\n\n"));
         let ids = complete.filter_map(|e| e.lines().find_map(|l| l.strip_prefix("id: ")));
         ids.filter_map(|id| id.parse().ok()).collect()
     }
 
-    /// Events of the whole answer.
+    /// Number of events in a complete response.
     pub fn expected_events(&self) -> u64 {
         self.tokens.1 / TOKENS_PER_EVENT
     }
 }
 
-/// What all callers share.
+/// State that all callers share.
 pub struct Callers {
-    /// Where to ask which routers to use.
+    /// Addresses of the routers' directories.
     pub directories: Vec<SocketAddr>,
-    /// The keys of organisations.
+    /// API keys, one for each organisation.
     pub keys: Vec<CompactString>,
-    /// Everything that was sent, and what came.
-    pub seen: RefCell<Vec<Exchange>>,
-    /// Set once callers are to end.
-    pub over: Cell<bool>,
+    /// All exchanges so far, in the order in which they ended.
+    pub exchange_log: RefCell<Vec<Exchange>>,
+    /// Set to make all callers stop.
+    pub stop_requested: Cell<bool>,
 }
 
-/// One caller, until `over`.
-pub async fn call_on(callers: Rc<Callers>, number: u32, seed: u64) {
+/// Sends requests of one caller, one after the other, until callers are stopped.
+pub async fn run_caller(callers: Rc<Callers>, number: u32, seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let mut open: Option<(SocketAddr, Conn)> = None;
     let mut sent = 0_u32;
-    while !callers.over.get() {
+    while !callers.stop_requested.get() {
         if open.is_none() {
             open = connect(&callers, &mut rng, number).await;
         }
@@ -131,14 +138,16 @@
         };
         sent += 1;
         let id = format_compact!("c{number}n{sent}");
-        let (exchange, keep) = ask(&callers, router, &mut conn, &mut rng, id).await;
-        callers.seen.borrow_mut().push(exchange);
-        // An open connection is used as long as the router keeps it.
-        open = keep.then_some((router, conn));
+        let (exchange, keep_alive) = send_request(&callers, router, &mut conn, &mut rng, id).await;
+        callers.exchange_log.borrow_mut().push(exchange);
+        // A connection is reused until the router closes it.
+        open = keep_alive.then_some((router, conn));
         sleep(Duration::from_millis(rng.u64(10..60))).await;
     }
 }
 
+/// Connects to a router that a directory lists for the caller's zone. Directories are tried in random
+/// order. The zone depends on whether `number` is even.
 pub(crate) async fn connect(
     callers: &Callers,
     rng: &mut Rng,
@@ -148,67 +157,68 @@
     let mut directories = callers.directories.clone();
     rng.shuffle(&mut directories);
     for directory in directories {
-        let asked = timeout(ENTRY, resolve(directory, zone)).await;
-        let Ok(Some(fronts)) = asked else { continue };
+        let resolved = timeout(DIRECTORY_TIMEOUT, resolve(directory, zone)).await;
+        let Ok(Some(fronts)) = resolved else { continue };
         let Some(front) = rng.choice(fronts) else { continue };
-        if let Ok(Ok(conn)) = timeout(ENTRY, Conn::dial(front, TIME_LEFT)).await {
+        if let Ok(Ok(conn)) = timeout(DIRECTORY_TIMEOUT, Conn::dial(front, REQUEST_TIMEOUT)).await {
             return Some((front, conn));
         }
     }
-    sleep(ENTRY_KEPT / 10).await;
+    sleep(DIRECTORY_TTL / 10).await;
     None
 }
 
-/// Asks one router which addresses to use.
+/// Requests the addresses of routers for a zone from one directory.
 async fn resolve(directory: SocketAddr, zone: &str) -> Option<Vec<SocketAddr>> {
-    let mut conn = Conn::dial(directory, ENTRY).await.ok()?;
-    let ask = format!("GET /resolve?name={HOST}&zone={zone} HTTP/1.1\r\nHost: entry\r\n\r\n");
-    conn.write(ask.as_bytes()).await.ok()?;
+    let mut conn = Conn::dial(directory, DIRECTORY_TIMEOUT).await.ok()?;
+    let request = format!("GET /resolve?name={HOST}&zone={zone} HTTP/1.1\r\nHost: entry\r\n\r\n");
+    conn.write(request.as_bytes()).await.ok()?;
     let head = conn.read_response(16 * 1024).await.ok()?;
     let body = conn.read_body(head.body, 64 * 1024).await.ok()??;
-    let answer: Value = serde_json::from_slice(&body).ok()?;
-    let addresses = answer["addresses"].as_array()?;
+    let reply: Value = serde_json::from_slice(&body).ok()?;
+    let addresses = reply["addresses"].as_array()?;
     Some(addresses.iter().filter_map(|a| a.as_str()?.parse().ok()).collect())
 }
 
-async fn ask(
+async fn send_request(
     callers: &Callers,
     router: SocketAddr,
     conn: &mut Conn,
     rng: &mut Rng,
     id: CompactString,
 ) -> (Exchange, bool) {
-    let asked = rng.choice(Asked::ALL).expect("there are kinds");
+    let request_kind = rng.choice(RequestKind::ALL).expect("there is at least one kind of request");
     let org = rng.usize(..callers.keys.len());
-    let tokens = if asked.is_stream() { (rng.u64(20..200), 2 * rng.u64(2..30)) } else { (0, 0) };
+    let tokens =
+        if request_kind.is_stream() { (rng.u64(20..200), 2 * rng.u64(2..30)) } else { (0, 0) };
     let mut exchange = Exchange {
         id,
-        asked,
+        request_kind,
         org,
         tokens,
         router,
-        sent: Instant::now(),
-        heard_leaving: None,
+        sent_at: Instant::now(),
+        leaving_at: None,
         status: None,
         seal: None,
         body: String::new(),
-        whole: false,
+        is_complete: false,
     };
     let names = names::headers();
-    let (prefix, id, key) = (asked.prefix(), &exchange.id, &callers.keys[org]);
+    let (prefix, id, key) = (request_kind.prefix(), &exchange.id, &callers.keys[org]);
     let bytes = format!(
         "GET {prefix}{id} HTTP/1.1\r\nHost: {HOST}\r\n{}: {id}\r\n{}: {}\r\nAuthorization: Bearer {key}\r\n{}: {},{}\r\n\r\n",
         names.request_id,
         names.time_left,
-        TIME_LEFT.as_millis(),
+        REQUEST_TIMEOUT.as_millis(),
         names.token_counts,
         tokens.0,
         tokens.1,
     );
-    let answered = async {
+    let exchanged = async {
         conn.write(bytes.as_bytes()).await.ok()?;
         let head = conn.read_response(64 * 1024).await.ok()?;
-        note_head(&mut exchange, &head);
+        record_head(&mut exchange, &head);
         let mut framing = head.body;
         loop {
             match conn.read_piece(&mut framing).await {
@@ -217,16 +227,16 @@
                 Err(_) => return None,
             }
         }
-        exchange.whole = true;
+        exchange.is_complete = true;
         Some(head.keep_alive)
     };
-    let keep = timeout(TIME_LEFT, answered).await.ok().flatten().unwrap_or(false);
-    (exchange, keep)
+    let keep_alive = timeout(REQUEST_TIMEOUT, exchanged).await.ok().flatten().unwrap_or(false);
+    (exchange, keep_alive)
 }
 
-fn note_head(exchange: &mut Exchange, head: &ResponseHead) {
+fn record_head(exchange: &mut Exchange, head: &ResponseHead) {
     exchange.status = Some(head.status);
-    exchange.seal = header(&head.headers, SEAL).map(CompactString::from);
+    exchange.seal = header(&head.headers, SEAL_HEADER).map(CompactString::from);
     let leaving = header(&head.headers, &names::headers().leaving);
-    exchange.heard_leaving = leaving.map(|_| Instant::now());
+    exchange.leaving_at = leaving.map(|_| Instant::now());
 }
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold, from what callers got and targets ran.
+//! Checks the invariants on the responses that callers got and the requests that targets ran.
 
 use std::collections::HashMap;
 
@@ -7,36 +7,38 @@
 
 use crate::callers::Exchange;
 
-/// Statuses that say: not run, and never will be.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+/// Statuses which state that the request has not run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Everything that did not hold, a line each.
-pub fn check(seen: &[Exchange], runs: &[ReceivedRequest], prepaid: &[u64]) -> Vec<String> {
-    let mut times: HashMap<&CompactString, u64> = HashMap::new();
-    runs.iter().for_each(|r| *times.entry(&r.id).or_default() += 1);
-    let mut found: Vec<String> = seen.iter().filter_map(check_answer).collect();
-    for e in seen.iter().filter(|e| !e.asked.repeats()) {
-        let n = times.get(&e.id).copied().unwrap_or(0);
+/// Returns one line for each violation: a wrong response, a request that ran too often or despite a
+/// refusal, or an organisation that used more than its prepaid tokens.
+pub fn check(exchanges: &[Exchange], runs: &[ReceivedRequest], prepaid: &[u64]) -> Vec<String> {
+    let mut run_counts: HashMap<&CompactString, u64> = HashMap::new();
+    runs.iter().for_each(|r| *run_counts.entry(&r.id).or_default() += 1);
+    let mut violations: Vec<String> = exchanges.iter().filter_map(check_response).collect();
+    for e in exchanges.iter().filter(|e| !e.request_kind.is_repeatable()) {
+        let n = run_counts.get(&e.id).copied().unwrap_or(0);
         if n > 1 {
-            found.push(format!("{}: ran {n} times, may run once", e.id));
+            violations.push(format!("{}: ran {n} times, may run once", e.id));
         }
-        if n > 0 && e.status.is_some_and(|s| NOT_RUN.contains(&s)) {
-            found.push(format!("{}: answered {:?} and ran", e.id, e.status));
+        if n > 0 && e.status.is_some_and(|s| NOT_RUN_STATUSES.contains(&s)) {
+            violations.push(format!("{}: answered {:?} and ran", e.id, e.status));
         }
     }
     for (org, prepaid) in prepaid.iter().enumerate() {
-        let ran = seen.iter().filter(|e| e.org == org && times.contains_key(&e.id));
+        let ran = exchanges.iter().filter(|e| e.org == org && run_counts.contains_key(&e.id));
         let used: u64 = ran.map(|e| e.tokens.0 + e.events().len() as u64 * TOKENS_PER_EVENT).sum();
         if used > *prepaid {
-            found.push(format!("organisation {org}: used {used} of {prepaid}"));
+            violations.push(format!("organisation {org}: used {used} of {prepaid}"));
         }
     }
-    found
+    violations
 }
 
-/// What is wrong with one answer.
-fn check_answer(e: &Exchange) -> Option<String> {
-    // Each request of these callers is sent once: none can be the cause of targets' ends.
+/// Returns the violation in one response, if any.
+fn check_response(e: &Exchange) -> Option<String> {
+    // These callers send each request once, so their requests cannot be the ones that crash targets
+    // and must never be quarantined.
     if e.status == Some(503) && e.body.contains("ends_targets") {
         return Some(format!("{}: held back as if it ended targets", e.id));
     }
@@ -48,15 +50,16 @@
     if owner != Some(e.id.as_str()) {
         return Some(format!("{}: success that belongs to {:?}", e.id, e.seal));
     }
-    if !e.asked.is_stream() {
-        let is_whole_text = e.body.ends_with(&format!(" to {}", e.id));
-        return (e.whole && !is_whole_text).then(|| format!("{}: body {:?}", e.id, e.body));
+    if !e.request_kind.is_stream() {
+        let has_expected_text = e.body.ends_with(&format!(" to {}", e.id));
+        return (e.is_complete && !has_expected_text)
+            .then(|| format!("{}: body {:?}", e.id, e.body));
     }
     let events = e.events();
     let in_order = events.iter().copied().eq(1..=events.len() as u64);
     if !in_order {
         return Some(format!("{}: events {events:?}", e.id));
     }
-    let is_short = e.whole && events.len() as u64 != e.expected_events();
-    is_short.then(|| format!("{}: {} events look whole", e.id, events.len()))
+    let is_truncated = e.is_complete && events.len() as u64 != e.expected_events();
+    is_truncated.then(|| format!("{}: {} events look whole", e.id, events.len()))
 }
--- a/soak/src/fatal.rs
+++ b/soak/src/fatal.rs
@@ -1,5 +1,5 @@
-//! A caller whose requests end every target that runs them, and who sends them again and again, each
-//! time under a new id and at any router.
+//! A caller whose requests crash every target that runs them. It repeats each request under a new
+//! id and through any router, and the check counts how many targets it crashes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,33 +11,38 @@
 use kingcupwall_platform::names;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::callers::{Callers, HOST, TIME_LEFT, connect};
+use crate::callers::{Callers, HOST, REQUEST_TIMEOUT, connect};
 
 /// Pause between two attempts.
-const PAUSE: Duration = Duration::from_millis(150);
-/// Sends of a request that may follow once it has ended so many targets that it counts as the
-/// cause.
-const SENDS_AFTER: usize = 3;
+const SEND_PAUSE: Duration = Duration::from_millis(150);
+/// How often a request may still run after it has crashed enough targets to be quarantined.
+const MAX_SENDS_AFTER_QUARANTINE: usize = 3;
 
-/// Sends one fatal request after the other for `each`; the last of `kinds` until all is over.
-pub async fn send_on(callers: Rc<Callers>, kinds: u32, each: Duration, seed: u64) {
+/// Sends each of `variants` different requests repeatedly for `time_per_variant`, and the last one
+/// until callers are stopped.
+pub async fn send_fatal_requests(
+    callers: Rc<Callers>,
+    variants: u32,
+    time_per_variant: Duration,
+    seed: u64,
+) {
     let mut rng = Rng::with_seed(seed);
     let began = Instant::now();
     let mut sent = 0_u32;
-    while !callers.over.get() {
-        let kind = (began.elapsed().as_secs_f64() / each.as_secs_f64()) as u32;
-        let path = format_compact!("/safe/fatal-{}", kind.min(kinds - 1));
+    while !callers.stop_requested.get() {
+        let variant = (began.elapsed().as_secs_f64() / time_per_variant.as_secs_f64()) as u32;
+        let path = format_compact!("/safe/fatal-{}", variant.min(variants - 1));
         if let Some((_, mut conn)) = connect(&callers, &mut rng, sent).await {
             let bytes = request(&path, sent, &callers.keys[0]);
             sent += 1;
-            // What becomes of it is seen at the targets.
-            let _ = timeout(TIME_LEFT, async {
+            // The outcome is checked at the targets.
+            let _ = timeout(REQUEST_TIMEOUT, async {
                 conn.write(&bytes).await?;
                 conn.wait_for_data().await
             })
             .await;
         }
-        sleep(PAUSE).await;
+        sleep(SEND_PAUSE).await;
     }
 }
 
@@ -48,7 +53,7 @@
          Authorization: Bearer {key}\r\nContent-Length: {}\r\n\r\n",
         names.request_id,
         names.time_left,
-        TIME_LEFT.as_millis(),
+        REQUEST_TIMEOUT.as_millis(),
         FATAL_BODY.len(),
     )
     .into_bytes();
@@ -60,20 +65,21 @@
 fn runs_by_path(runs: &[ReceivedRequest]) -> Vec<(CompactString, usize)> {
     let mut paths: Vec<_> = runs.iter().filter(|r| r.body == FATAL_BODY).collect();
     paths.sort_by(|a, b| a.target.cmp(&b.target));
-    let of_one = paths.chunk_by(|a, b| a.target == b.target);
-    of_one.map(|same| (same[0].target.clone(), same.len())).collect()
+    let by_path = paths.chunk_by(|a, b| a.target == b.target);
+    by_path.map(|same| (same[0].target.clone(), same.len())).collect()
 }
 
-/// What is wrong with the runs of fatal requests, from all runs before it was calm and all by now:
-/// in the calm every router hears of every target's end.
-pub fn check(before: &[ReceivedRequest], by_now: &[ReceivedRequest]) -> Vec<String> {
+/// Returns the fatal requests that crashed too many targets between `before` and `after`, the runs
+/// at the start and at the end of the recovery check. Without faults every router is informed of
+/// every crash of a target.
+pub fn check(before: &[ReceivedRequest], after: &[ReceivedRequest]) -> Vec<String> {
     let earlier = runs_by_path(before);
-    let wrong = |(path, runs): (CompactString, usize)| {
+    let excess = |(path, runs): (CompactString, usize)| {
         let before = earlier.iter().find(|(p, _)| *p == path).map_or(0, |(_, n)| *n);
-        let allowed = CRASHES_TO_QUARANTINE.saturating_sub(before) + SENDS_AFTER;
+        let allowed = CRASHES_TO_QUARANTINE.saturating_sub(before) + MAX_SENDS_AFTER_QUARANTINE;
         let more = runs - before;
         (more > allowed)
             .then(|| format!("calm again: {path} ended {more} more targets after {before}"))
     };
-    runs_by_path(by_now).into_iter().filter_map(wrong).collect()
+    runs_by_path(after).into_iter().filter_map(excess).collect()
 }
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy on the loopback that delays, resets, cuts one way or silences connections, and that may
-//! be narrow.
+//! A loopback proxy that can delay connections, reset them, stall them in one or both directions,
+//! and limit their bandwidth.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,54 +14,59 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 * 1024;
-/// How often held bytes look whether the link is back.
-const LOOK: Duration = Duration::from_millis(10);
+/// Maximum number of bytes that are forwarded at once.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Pause between two checks whether a stalled link forwards bytes again.
+const STALL_POLL: Duration = Duration::from_millis(10);
 
-/// How a link behaves.
+/// How a link treats bytes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Mode {
-    /// Passes everything on.
+pub enum LinkMode {
+    /// Forwards everything.
     #[default]
     Pass,
-    /// Holds every piece for so long.
+    /// Delays every chunk by this time.
     Delay(Duration),
-    /// Nothing arrives at the far end; what the far end sends does.
-    CutForth,
-    /// Nothing comes back.
-    CutBack,
-    /// Neither way; new connections open and stay silent.
-    Silent,
+    /// Holds bytes to the server; bytes to the client are forwarded.
+    StallForward,
+    /// Holds bytes to the client; bytes to the server are forwarded.
+    StallBackward,
+    /// Holds bytes in both directions. New connections are accepted but transfer nothing.
+    StallBoth,
 }
 
-/// A link between a router and whatever it calls.
+/// A link between a router and a server that it calls.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where to connect to.
+    /// The address that clients connect to.
     pub addr: SocketAddr,
-    to: SocketAddr,
-    mode: Rc<Cell<Mode>>,
-    /// Bytes a second that come back, over all connections; without one as many as there are.
-    rate: Option<u64>,
-    /// When the bytes that are on their way back have arrived.
+    upstream: SocketAddr,
+    mode: Rc<Cell<LinkMode>>,
+    /// Bandwidth towards clients in bytes a second, shared by all connections; unlimited if `None`.
+    return_bytes_per_s: Option<u64>,
+    /// When all bytes in transfer towards clients will have arrived.
     busy_until: Rc<Cell<Instant>>,
     resets: Rc<RefCell<watch::Sender<u64>>>,
     closed: Rc<watch::Sender<bool>>,
 }
 
 impl Proxy {
-    /// A proxy at a free port of `ip` for `to`, over which `rate` bytes a second come back.
+    /// Starts a proxy at a free port of `ip` for the server at `upstream`. Its bandwidth towards
+    /// clients is `return_bytes_per_s`.
     ///
     /// # Errors
-    /// Those of listening.
-    pub async fn start(ip: &str, to: SocketAddr, rate: Option<u64>) -> Result<Proxy> {
+    /// Fails if the port cannot be bound.
+    pub async fn start(
+        ip: &str,
+        upstream: SocketAddr,
+        return_bytes_per_s: Option<u64>,
+    ) -> Result<Proxy> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let proxy = Proxy {
             addr: listener.local_addr()?,
-            to,
+            upstream,
             mode: Rc::default(),
-            rate,
+            return_bytes_per_s,
             busy_until: Rc::new(Cell::new(Instant::now())),
             resets: Rc::new(RefCell::new(watch::Sender::new(0))),
             closed: Rc::new(watch::Sender::new(false)),
@@ -70,13 +75,13 @@
         spawn_local(async move {
             let mut closed = serving.closed.subscribe();
             let accept = async {
-                while let Ok((near, _)) = listener.accept().await {
-                    spawn_local(serving.clone().carry(near));
+                while let Ok((client, _)) = listener.accept().await {
+                    spawn_local(serving.clone().forward(client));
                 }
             };
             tokio::select! {
                 biased;
-                // `serving` keeps the sender: the channel cannot be closed.
+                // `serving` holds the sender, so the channel cannot close.
                 _ = closed.wait_for(|closed| *closed) => (),
                 () = accept => (),
             }
@@ -84,8 +89,9 @@
         Ok(proxy)
     }
 
-    /// Sets how the link behaves from now on. What was held arrives once it passes again.
-    pub fn set(&self, mode: Mode) {
+    /// Sets how the link treats bytes from now on. Held bytes are delivered once the link forwards
+    /// again.
+    pub fn set(&self, mode: LinkMode) {
         self.mode.set(mode);
     }
 
@@ -94,51 +100,60 @@
         self.resets.borrow().send_modify(|n| *n += 1);
     }
 
-    /// Stops listening: the process behind it has ended. Open connections end with the process.
+    /// Stops listening, because the process behind the proxy has ended. Open connections end with
+    /// that process.
     pub fn close(&self) {
         self.closed.send_replace(true);
     }
 
-    async fn carry(self, near: TcpStream) {
+    async fn forward(self, client: TcpStream) {
         let mut reset = self.resets.borrow().subscribe();
-        let Ok(far) = TcpStream::connect(self.to).await else { return };
-        let (mut near_r, mut near_w) = near.into_split();
-        let (mut far_r, mut far_w) = far.into_split();
+        let Ok(server) = TcpStream::connect(self.upstream).await else { return };
+        let (mut client_r, mut client_w) = client.into_split();
+        let (mut server_r, mut server_w) = server.into_split();
         let was_reset = tokio::select! {
-            () = self.pass(&mut near_r, &mut far_w, Mode::CutForth) => false,
-            () = self.pass(&mut far_r, &mut near_w, Mode::CutBack) => false,
+            () = self.copy_one_way(&mut client_r, &mut server_w, LinkMode::StallForward) => false,
+            () = self.copy_one_way(&mut server_r, &mut client_w, LinkMode::StallBackward) => false,
             _ = reset.changed() => true,
         };
         if was_reset {
-            // A socket that is already closed cannot be reset any more.
-            let _ = near_r.as_ref().set_zero_linger();
-            let _ = far_r.as_ref().set_zero_linger();
+            // A socket that is already closed can no longer be reset.
+            let _ = client_r.as_ref().set_zero_linger();
+            let _ = server_r.as_ref().set_zero_linger();
         }
     }
 
-    /// Passes bytes one way until that way ends. A half that ends ends the whole connection once
-    /// its last bytes have gone out.
-    async fn pass(&self, from: &mut OwnedReadHalf, to: &mut OwnedWriteHalf, cut: Mode) {
-        let mut buf = vec![0; CHUNK];
-        while let Ok(n) = from.read(&mut buf).await {
-            if let Mode::Delay(d) = self.mode.get() {
+    /// Copies bytes in one direction until it ends. The end of either direction ends the whole
+    /// connection once the last bytes have been written.
+    async fn copy_one_way(
+        &self,
+        reader: &mut OwnedReadHalf,
+        writer: &mut OwnedWriteHalf,
+        stall_mode: LinkMode,
+    ) {
+        let mut buf = vec![0; CHUNK_BYTES];
+        while let Ok(n) = reader.read(&mut buf).await {
+            if let LinkMode::Delay(d) = self.mode.get() {
                 sleep(d).await;
             }
-            if let Some(rate) = self.rate.filter(|_| cut == Mode::CutBack) {
+            if let Some(return_bytes_per_s) =
+                self.return_bytes_per_s.filter(|_| stall_mode == LinkMode::StallBackward)
+            {
                 let start = self.busy_until.get().max(Instant::now());
-                self.busy_until.set(start + Duration::from_secs_f64(n as f64 / rate as f64));
+                self.busy_until
+                    .set(start + Duration::from_secs_f64(n as f64 / return_bytes_per_s as f64));
                 sleep_until(self.busy_until.get()).await;
             }
-            while self.mode.get() == cut || self.mode.get() == Mode::Silent {
-                sleep(LOOK).await;
+            while self.mode.get() == stall_mode || self.mode.get() == LinkMode::StallBoth {
+                sleep(STALL_POLL).await;
             }
             if n == 0 {
-                // The far end reads the end only after everything before it.
-                let _ = to.shutdown().await;
-                sleep(LOOK).await;
+                // The receiver sees the end of the stream only after all bytes before it.
+                let _ = writer.shutdown().await;
+                sleep(STALL_POLL).await;
                 return;
             }
-            if to.write_all(&buf[..n]).await.is_err() {
+            if writer.write_all(&buf[..n]).await.is_err() {
                 return;
             }
         }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One seed from start to end.
+//! Runs one seed from start to end and checks the results.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -12,36 +12,38 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::callers::call_on;
+use crate::callers::run_caller;
 use crate::checks::check;
 use crate::fatal;
 use crate::notices;
-use crate::routers::GRACE_S;
-pub use crate::world::Setup;
-use crate::world::{PREPAID, World};
+use crate::routers::STOP_GRACE_S;
+pub use crate::testbed::Setup;
+use crate::testbed::{PREPAID_TOKENS, Testbed};
 use crate::zones;
 
-/// Time without faults before the last requests: the longest fault, and a stop by force.
-const SETTLE: Duration = Duration::from_secs(GRACE_S + 4);
-/// Time in which the last requests are counted.
-const CALM: Duration = Duration::from_secs(3);
-/// Requests that end targets, one after the other while faults go on.
-const FATAL_KINDS: u32 = 3;
-/// Pause between two looks at the ledgers.
-const AUDIT: Duration = Duration::from_millis(200);
+/// Time without faults before the recovery check. It covers the longest fault and a router that is
+/// killed at the end of its grace period.
+const SETTLE_TIME: Duration = Duration::from_secs(STOP_GRACE_S + 4);
+/// How long requests are counted for the recovery check.
+const RECOVERY_WINDOW: Duration = Duration::from_secs(3);
+/// Number of different requests that crash targets. They are sent one after the other while faults
+/// are injected.
+const FATAL_REQUESTS: u32 = 3;
+/// Pause between two audits of the ledgers.
+const AUDIT_PAUSE: Duration = Duration::from_millis(200);
 
-/// What came of it.
+/// The result of one seed.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The seed.
+    /// The seed of the faults and requests.
     pub seed: u64,
-    /// Requests by how they ended: whole successes, refusals, all.
+    /// Number of requests: complete responses with status 200, refusals with status 503, and all.
     pub counts: (usize, usize, usize),
-    /// Faults.
+    /// Number of injected faults.
     pub faults: usize,
-    /// Everything that did not hold.
+    /// One line for each violated invariant.
     pub violations: Vec<String>,
-    /// Where the routers' logs are; kept only if something did not hold.
+    /// Directory of the routers' logs. It is removed if there are no violations.
     pub logs: PathBuf,
 }
 
@@ -59,119 +61,144 @@
     }
 }
 
-/// Plays one seed.
+/// Runs one seed.
 ///
 /// # Errors
-/// Those of starting; what did not hold is in the report.
+/// Fails if the testbed cannot be started, if a background task panics, or if the logs cannot be
+/// removed. Violated invariants are returned in the report.
 pub async fn run(setup: &Setup) -> Result<Report> {
     let dir = std::env::temp_dir().join(format!("kingcupwall-soak-{}", std::process::id()));
     let logs = dir.join(setup.seed.to_string());
-    std::fs::create_dir_all(&logs).wrap_err("directory for logs")?;
-    let world = World::start(setup, &logs).await?;
-    spawn_local(world.clone().audit());
+    std::fs::create_dir_all(&logs)
+        .wrap_err("failed to create the directory for the routers' logs")?;
+    let testbed = Testbed::start(setup, &logs).await?;
+    spawn_local(testbed.clone().audit());
     for n in 0..setup.callers {
-        spawn_local(call_on(world.callers.clone(), n, setup.seed ^ u64::from(n + 1)));
+        spawn_local(run_caller(testbed.callers.clone(), n, setup.seed ^ u64::from(n + 1)));
     }
-    let each = setup.faults_for / FATAL_KINDS;
-    spawn_local(fatal::send_on(world.callers.clone(), FATAL_KINDS, each, setup.seed));
-    spawn_local(zones::send_bound(world.callers.clone(), setup.seed));
-    let (until, all) = (Instant::now() + setup.faults_for, world.clone());
-    let targets = move || all.targets.borrow().iter().map(|(t, _)| t.clone()).collect();
+    let time_per_request = setup.faults_for / FATAL_REQUESTS;
+    spawn_local(fatal::send_fatal_requests(
+        testbed.callers.clone(),
+        FATAL_REQUESTS,
+        time_per_request,
+        setup.seed,
+    ));
+    spawn_local(zones::send_bound_requests(testbed.callers.clone(), setup.seed));
+    let (until, owner) = (Instant::now() + setup.faults_for, testbed.clone());
+    let targets = move || owner.targets.borrow().iter().map(|(t, _)| t.clone()).collect();
     let emptied =
-        spawn_local(zones::empty_in_turn(world.store.clone(), targets, until, setup.seed));
-    let saying = spawn_local(world.clone().say_in_turn(until, setup.seed));
-    let faults = world.break_for(setup).await;
+        spawn_local(zones::empty_zones(testbed.store.clone(), targets, until, setup.seed));
+    let notices_sent = spawn_local(testbed.clone().send_notices(until, setup.seed));
+    let faults = testbed.inject_faults(setup).await;
     let emptied = emptied.await?;
-    saying.await?;
-    sleep(SETTLE).await;
-    let before = world.runs();
-    world.check_calm().await;
-    fatal::check(&before, &world.runs()).into_iter().for_each(|v| world.note(v));
-    zones::check(&world.all_targets(), &emptied).into_iter().for_each(|v| world.note(v));
-    world.check_notices();
-    world.callers.over.set(true);
-    for router in &world.routers {
+    notices_sent.await?;
+    sleep(SETTLE_TIME).await;
+    let before = testbed.runs();
+    testbed.check_recovery().await;
+    fatal::check(&before, &testbed.runs()).into_iter().for_each(|v| testbed.record_violation(v));
+    zones::check(&testbed.all_targets(), &emptied)
+        .into_iter()
+        .for_each(|v| testbed.record_violation(v));
+    testbed.check_notices();
+    testbed.callers.stop_requested.set(true);
+    for router in &testbed.routers {
         let mut router = router.lock().await;
-        if let Some(status) = router.crashed() {
-            world.note(format!("{} ended by itself: {status}", router.name));
+        if let Some(status) = router.unexpected_exit() {
+            testbed.record_violation(format!("{} ended by itself: {status}", router.name));
         }
         router.kill().await;
     }
-    let report = world.report(setup.seed, faults, logs);
+    let report = testbed.report(setup.seed, faults, logs);
     if report.violations.is_empty() {
         std::fs::remove_dir_all(&report.logs)?;
     }
     Ok(report)
 }
 
-impl World {
-    /// Looks at the ledgers all the while: what is promised must never exceed what is prepaid.
-    async fn audit(self: Rc<World>) {
-        while !self.callers.over.get() {
-            for org in 0..PREPAID.len() {
+impl Testbed {
+    /// Audits the ledgers until callers stop: the tokens committed for an organisation must never
+    /// exceed its prepaid tokens.
+    async fn audit(self: Rc<Testbed>) {
+        while !self.callers.stop_requested.get() {
+            for org in 0..PREPAID_TOKENS.len() {
                 let prepaid = self.prepaid.borrow()[org];
                 if let Some(committed) = self.committed(&format!("org-{org}")).await
                     && committed > prepaid
                 {
-                    self.note(format!("organisation {org}: {committed} promised of {prepaid}"));
+                    self.record_violation(format!(
+                        "organisation {org}: {committed} promised of {prepaid}"
+                    ));
                 }
             }
-            sleep(AUDIT).await;
+            sleep(AUDIT_PAUSE).await;
         }
     }
 
     async fn committed(&self, org: &str) -> Option<u64> {
-        // A partition that is silent is looked at the next time.
+        // The next audit reads a partition that did not answer.
         let page = self.store.scan("budgets", org).await.ok()?;
         let value = page.rows.first()?.value.clone()?;
         match Ledger::decode(&value) {
             Ok(ledger) => Some(ledger.committed().0),
             Err(e) => {
-                self.note(format!("{org}: the ledger cannot be read: {e}"));
+                self.record_violation(format!("{org}: the ledger cannot be read: {e}"));
                 None
             }
         }
     }
 
-    /// Once all faults are over, every router serves, and requests of the organisation that has
-    /// plenty are served.
-    async fn check_calm(&self) {
+    /// Checks that, after all faults, every router is ready and that most requests of the
+    /// organisation with ample prepaid tokens are served.
+    async fn check_recovery(&self) {
         for router in &self.routers {
             let router = router.lock().await;
-            if router.is_up() && !router.is_ready().await {
-                self.note(format!("calm again: {} is not ready", router.name));
+            if router.is_running() && !router.is_ready().await {
+                self.record_violation(format!("calm again: {} is not ready", router.name));
             }
         }
-        let before = self.callers.seen.borrow().len();
-        sleep(CALM).await;
-        let seen = self.callers.seen.borrow();
-        let rich: Vec<_> = seen[before..].iter().filter(|e| e.org == PREPAID.len() - 1).collect();
-        let served = rich.iter().filter(|e| e.status == Some(200) && e.whole).count();
-        if served * 2 <= rich.len() {
-            self.note(format!("calm again: {served} of {} requests served", rich.len()));
+        let before = self.callers.exchange_log.borrow().len();
+        sleep(RECOVERY_WINDOW).await;
+        let exchange_log = self.callers.exchange_log.borrow();
+        let well_funded: Vec<_> =
+            exchange_log[before..].iter().filter(|e| e.org == PREPAID_TOKENS.len() - 1).collect();
+        let served = well_funded.iter().filter(|e| e.status == Some(200) && e.is_complete).count();
+        if served * 2 <= well_funded.len() {
+            self.record_violation(format!(
+                "calm again: {served} of {} requests served",
+                well_funded.len()
+            ));
         }
     }
 
     fn check_notices(&self) {
-        let seen = notices::Seen {
-            exchanges: &self.callers.seen.borrow(),
-            routers: &self.router_harms.borrow(),
-            links: &self.link_harms.borrow(),
+        let observations = notices::Observations {
+            exchanges: &self.callers.exchange_log.borrow(),
+            routers: &self.router_disturbances.borrow(),
+            links: &self.link_disturbances.borrow(),
         };
-        notices::check(&self.all_targets(), &seen).into_iter().for_each(|v| self.note(v));
+        notices::check(&self.all_targets(), &observations)
+            .into_iter()
+            .for_each(|v| self.record_violation(v));
     }
 
-    /// All runs at all targets so far.
+    /// All runs at all targets so far, including removed targets.
     fn runs(&self) -> Vec<ReceivedRequest> {
         self.all_targets().iter().flat_map(StandinTarget::runs).collect()
     }
 
     fn report(&self, seed: u64, faults: usize, logs: PathBuf) -> Report {
-        let seen = self.callers.seen.borrow();
-        let mut violations = check(&seen, &self.runs(), &self.prepaid.borrow());
-        violations.extend(self.found.borrow().iter().cloned());
-        let whole = seen.iter().filter(|e| e.status == Some(200) && e.whole).count();
-        let refused = seen.iter().filter(|e| e.status == Some(503)).count();
-        Report { seed, counts: (whole, refused, seen.len()), faults, violations, logs }
+        let exchange_log = self.callers.exchange_log.borrow();
+        let mut violations = check(&exchange_log, &self.runs(), &self.prepaid.borrow());
+        violations.extend(self.recorded_violations.borrow().iter().cloned());
+        let complete_successes =
+            exchange_log.iter().filter(|e| e.status == Some(200) && e.is_complete).count();
+        let refused = exchange_log.iter().filter(|e| e.status == Some(503)).count();
+        Report {
+            seed,
+            counts: (complete_successes, refused, exchange_log.len()),
+            faults,
+            violations,
+            logs,
+        }
     }
 }
