--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `kingcupwall load`: open-loop load from several organisations.
+//! `kingcupwall load`: sends open-loop load from several organisations.
 
 use bpaf::Bpaf;
 use tokio::time::Instant;
@@ -7,9 +7,9 @@
 use crate::client::Caller;
 use crate::error::{Error, Kind, Result};
 use crate::ids::Millis;
-use crate::load::{Member, Shape, run as run_load, summarize};
+use crate::load::{LoadProfile, LoadSource, run as run_load, summarize};
 
-/// Send seeded open-loop load and print latencies
+/// Send seeded open-loop load and print outcomes and latencies
 ///
 /// Organisations are given as NAME:API_KEY:SHARE.
 ///
@@ -18,59 +18,63 @@
 #[derive(Bpaf)]
 #[bpaf(command("load"))]
 pub struct Args {
-    /// A router's address; repeatable
+    /// Address of a router, as IP:PORT; repeatable
     #[bpaf(argument("ADDR"), some("at least one --router is needed"))]
     router: Vec<String>,
-    /// NAME:API_KEY:SHARE; repeatable
+    /// Organisation with its API key and its weight in the load, as NAME:API_KEY:SHARE; repeatable
     #[bpaf(argument("ORG"), some("at least one --org is needed"))]
     org: Vec<String>,
-    /// The model service
+    /// Name of the model service
     #[bpaf(argument("NAME"))]
     model: String,
-    /// Arrivals a second
+    /// Mean arrivals per second
     #[bpaf(argument("N"), fallback(50.0))]
     rate: f64,
-    /// Requests in all
+    /// Total number of requests
     #[bpaf(argument("N"), fallback(500))]
     requests: usize,
-    /// Times the rate that the middle third comes at
+    /// Factor on the rate for the middle third of the requests
     #[bpaf(argument("N"), fallback(1.0))]
     burst: f64,
-    /// Answer tokens at most
+    /// Maximum output tokens of a request
     #[bpaf(argument("N"), fallback(64))]
     max_tokens: u64,
-    /// Bytes of prompt
+    /// Minimum length of a prompt in bytes
     #[bpaf(argument("N"), fallback(400))]
     prompt_bytes: usize,
-    /// Different shared beginnings of prompts; 0: none
+    /// Number of different prefixes that the prompts share; 0 for none
     #[bpaf(argument("N"), fallback(0))]
     prefixes: usize,
-    /// How long each caller goes on trying
+    /// Total time for a request and its retries
     #[bpaf(argument("TIME"), fallback(Millis(30000)))]
     patience: Millis,
-    /// Makes the load repeatable
+    /// Seed of the load
     #[bpaf(argument("N"), fallback(7))]
     seed: u64,
-    /// Print one JSON object
+    /// Print a JSON object
     json: bool,
 }
 
 impl Args {
-    fn members(&self) -> Result<Vec<Member>> {
-        let bad =
-            |o: &str| Error::new(Kind::BadRequest, format!("{o:?} is not NAME:API_KEY:SHARE"));
-        let member = |o: &String| {
-            let parts: Vec<&str> = o.split(':').collect();
-            let [name, key, share] = parts[..] else { return Err(bad(o)) };
-            let share = share.parse().map_err(|_| bad(o))?;
+    fn sources(&self) -> Result<Vec<LoadSource>> {
+        let invalid = |source_arg: &str| {
+            Error::new(
+                Kind::BadRequest,
+                format!("--org {source_arg:?} is not of the form NAME:API_KEY:SHARE"),
+            )
+        };
+        let source = |source_arg: &String| {
+            let parts: Vec<&str> = source_arg.split(':').collect();
+            let [name, key, share] = parts[..] else { return Err(invalid(source_arg)) };
+            let share = share.parse().map_err(|_| invalid(source_arg))?;
             let caller = Caller::new(self.router.clone(), key, None)?;
-            Ok(Member { caller, organisation: name.into(), share })
+            Ok(LoadSource { caller, organisation: name.into(), share })
         };
-        self.org.iter().map(member).collect()
+        self.org.iter().map(source).collect()
     }
 
-    fn shape(&self) -> Shape {
-        Shape {
+    fn profile(&self) -> LoadProfile {
+        LoadProfile {
             rate: self.rate,
             requests: self.requests,
             burst: self.burst,
@@ -78,7 +82,7 @@
             max_tokens: self.max_tokens,
             prompt_bytes: self.prompt_bytes,
             prefixes: self.prefixes,
-            patience: self.patience.duration(),
+            retry_timeout: self.patience.duration(),
             seed: self.seed,
             label: format!("load-{}-{}", self.seed, std::process::id()),
         }
@@ -88,13 +92,13 @@
 /// Runs the command.
 ///
 /// # Errors
-/// `BadRequest` for the arguments, `Io` when no client can be set up.
+/// `BadRequest` if an `--org` argument is malformed, `Io` if the HTTP client cannot be created.
 pub fn run(args: &Args) -> Result<()> {
-    let (members, shape) = (args.members()?, args.shape());
+    let (sources, profile) = (args.sources()?, args.profile());
     let summary = block_on(async {
-        let began = Instant::now();
-        let records = run_load(&members, &shape).await;
-        Ok(summarize(&records, began.elapsed()))
+        let started_at = Instant::now();
+        let records = run_load(&sources, &profile).await;
+        Ok(summarize(&records, started_at.elapsed()))
     })?;
     let value = serde_json::to_value(&summary)?;
     if args.json {
--- a/src/config/revision.rs
+++ b/src/config/revision.rs
@@ -58,7 +58,7 @@
 
 impl Default for Head {
     fn default() -> Head {
-        Head { revision: Revision(0), digest: Digest::from_number(0) }
+        Head { revision: Revision(0), digest: Digest::from_u128(0) }
     }
 }
 
@@ -71,7 +71,7 @@
 }
 
 fn section_digest(header: &str, body: &str) -> u128 {
-    Digest::of(format!("[{header}]\n{body}").as_bytes()).number()
+    Digest::of(format!("[{header}]\n{body}").as_bytes()).to_u128()
 }
 
 impl Document {
@@ -88,7 +88,7 @@
 
     /// Digest of the whole text, which does not depend on the order of the sections.
     pub fn digest(&self) -> Digest {
-        Digest::from_number(self.digest_sum)
+        Digest::from_u128(self.digest_sum)
     }
 
     /// The body of the section with this header.
--- a/src/router/boot.rs
+++ b/src/router/boot.rs
@@ -1,4 +1,4 @@
-//! Assembles a node over any platform, engine and mesh, and starts its tasks.
+//! Assembles a node over any platform, engine and peer client, and starts its tasks.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, RwLock};
@@ -40,8 +40,8 @@
     pub platform: P,
     /// Client for the targets.
     pub engine: E,
-    /// Links to the other routers.
-    pub mesh: M,
+    /// Client for requests to other routers.
+    pub peer_client: M,
     /// Source of the current time.
     pub clock: Clock,
     /// Address of the listener for callers.
@@ -76,7 +76,8 @@
     let micros = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros());
     let mut salt = [0; 16];
     getrandom::fill(&mut salt).expect("the random number generator of the system works");
-    let word = Digest::of(&[&salt[..], &micros.to_le_bytes(), &n.to_le_bytes()].concat()).word();
+    let word =
+        Digest::of(&[&salt[..], &micros.to_le_bytes(), &n.to_le_bytes()].concat()).first_u64();
     let name = format!("{instance}@{word:016x}");
     name.parse().expect("the settings validate the instance name")
 }
@@ -103,12 +104,12 @@
         revision: follower.head().revision,
         load: 0,
     };
-    let seed = Digest::of(session.incarnation.as_str().as_bytes()).word();
+    let seed = Digest::of(session.incarnation.as_str().as_bytes()).first_u64();
     let node = Arc::new(Node::new(NodeParts {
         clock: options.clock,
         platform: options.platform,
         engine: options.engine,
-        mesh: options.mesh,
+        peer_client: options.peer_client,
         cfg,
         follower,
         view: View::new(me, options.settings.dead_after),
@@ -132,7 +133,7 @@
     loop {
         let parts = SessionParts {
             platform: options.platform.clone(),
-            mesh: options.mesh.clone(),
+            peer_client: options.peer_client.clone(),
             incarnation: new_incarnation(&options.settings.instance),
             row: HolderRow {
                 zone: options.settings.zone.clone(),
--- a/src/standin/local_fleet.rs
+++ b/src/standin/local_fleet.rs
@@ -155,14 +155,14 @@
     pub async fn add_router(&mut self, zone: &ZoneId) -> usize {
         let n = self.members.len();
         let peer = format_compact!("peer-{n}");
-        let (at, platform, engine, mesh) = self.net.add_router(&peer, zone);
+        let (at, platform, engine, peer_client) = self.net.add_router(&peer, zone);
         let mut settings = router_settings(loopback(), &format!("r{n}"), zone);
         settings.heartbeat = Millis(200);
         let booted = boot(BootOptions {
             settings,
             platform,
             engine,
-            mesh,
+            peer_client,
             clock: self.clock,
             api: format_compact!("api-{n}"),
             peer,
@@ -411,7 +411,7 @@
                 match self.send_to(i, service, req).await {
                     Ok(a) => return Ok(LocalAnswer { attempts, ..a }),
                     Err(e) if e.kind == Kind::BudgetExhausted => return Err(e),
-                    Err(e) if e.kind != Kind::Io && !e.kind.answer().retryable => return Err(e),
+                    Err(e) if e.kind != Kind::Io && !e.kind.attrs().retryable => return Err(e),
                     Err(e) => last = e,
                 }
                 if attempts >= MAX_ATTEMPTS {
--- a/tests/test_api.rs
+++ b/tests/test_api.rs
@@ -138,7 +138,7 @@
         max_tokens: 400,
         key: name("k1"),
         priority: 5,
-        patience: Duration::from_secs(3),
+        retry_timeout: Duration::from_secs(3),
     };
     let got = caller.chat(&call, |_| {}).await;
     assert_eq!(got.is_ok(), complete, "{got:?}");
@@ -173,7 +173,7 @@
         max_tokens: 500,
         key: name("k1"),
         priority: 5,
-        patience: Duration::from_secs(20),
+        retry_timeout: Duration::from_secs(20),
     };
     let sent = tokio::spawn(async move { caller.chat(&call, |_| {}).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -189,9 +189,9 @@
 #[test]
 fn answer_kinds_distinct() {
     // Every error kind must have a distinct name and a status in the error range.
-    let mut names: Vec<&str> = Kind::ALL.iter().map(|k| k.answer().name).collect();
+    let mut names: Vec<&str> = Kind::ALL.iter().map(|k| k.attrs().name).collect();
     names.sort();
     names.dedup();
     assert_eq!(names.len(), Kind::ALL.len());
-    assert!(Kind::ALL.iter().all(|k| (400..600).contains(&k.answer().status)));
+    assert!(Kind::ALL.iter().all(|k| (400..600).contains(&k.attrs().status)));
 }
--- a/tests/test_gateway_notices.rs
+++ b/tests/test_gateway_notices.rs
@@ -98,7 +98,7 @@
         assert!(log.contains(expected), "{log}");
         let expected = "event=notice target=t1 id=q2 status=200 leaving=true retry_after=None";
         assert!(log.contains(expected), "{log}");
-        let page = fleet.router.gw.stats.page();
+        let page = fleet.router.gw.stats.to_openmetrics();
         assert!(page.contains(r#"kingcupwall_target_notices_total{reason="leaving"} 1"#), "{page}");
     });
 }
@@ -225,7 +225,7 @@
     });
 }
 
-/// Guards against callers that are told to retry while no target accepts requests.
+/// Guards against a `Retry-After` that ends before any target accepts requests again.
 #[test]
 fn refusal_has_retry_after_of_target() {
     run_local(async {
@@ -319,15 +319,16 @@
         let admission = async {
             let mut buf = [0; 256];
             let (n, from) = other.recv_from(&mut buf).await.unwrap();
-            let (_, word) = Topic::parse(&buf[..n]).unwrap();
-            let AdmissionMessage::Ask { number, .. } = ciborium::from_reader(word).unwrap() else {
+            let (_, payload) = Topic::parse(&buf[..n]).unwrap();
+            let AdmissionMessage::Ask { number, .. } = ciborium::from_reader(payload).unwrap()
+            else {
                 panic!()
             };
             gw.targets.all()[0].self_reported.apply_notice(notice, Instant::now());
-            let mut word = Vec::new();
+            let mut payload = Vec::new();
             let answer = AdmissionMessage::Answer { number, room_in_ms: None };
-            ciborium::into_writer(&answer, &mut word).unwrap();
-            other.send_to(&Topic::Cold.frame(&word), from).await.unwrap();
+            ciborium::into_writer(&answer, &mut payload).unwrap();
+            other.send_to(&Topic::Cold.frame(&payload), from).await.unwrap();
         };
         let call = Call::get("/once/a");
         let (got, ()) = tokio::join!(call.send(fleet.router.front), admission);
