--- a/src/cmd/gateway_demo.rs
+++ b/src/cmd/gateway_demo.rs
@@ -125,7 +125,6 @@
 
 /// Checks that no non-resumable request was executed twice, and that neither delivered nor committed
 /// tokens exceed the prepaid ones.
-
 async fn audit(
     platform: &LocalPlatform,
     targets: &[StandinTarget],
--- a/src/experiment/budget.rs
+++ b/src/experiment/budget.rs
@@ -171,7 +171,6 @@
 }
 
 /// Tracks all requests and their true cost.
-
 #[derive(Debug, Default)]
 struct Oracle {
     budgets: BTreeMap<BudgetId, OracleBudget>,
--- a/src/experiment/capacity.rs
+++ b/src/experiment/capacity.rs
@@ -173,7 +173,6 @@
 }
 
 /// Ignores all events.
-
 #[derive(Clone, Copy, Debug)]
 struct NullListener;
 
