--- a/src/membership/link.rs
+++ b/src/membership/link.rs
@@ -213,7 +213,7 @@
                 };
                 if let Ok(index) = waiting.binary_search_by(|(id, _)| id.cmp(&reply.id)) {
                     let (_, tx) = waiting.remove(index);
-                    // The requester may have timed out and dropped its receiver.
+                    // The call may have timed out and dropped its receiver.
                     let _ = tx.send(reply.body);
                 }
             }
