--- a/src/allowance/headroom.rs
+++ b/src/allowance/headroom.rs
@@ -6,10 +6,7 @@
 /// it stays charged although it may not have been spent. While much is left, refusals weigh more;
 /// near the end, the organisation could still have used the tokens in doubt. An opened limit has a
 /// steep slope so that requests held up before can catch up; a crash so long after the last write
-/// is rare. The mean score (`worth`) of 15 days of load and faults at three deployments was 0.681,
-/// 0.696 and 0.589 with slopes 1.5 and 1.1, 1.2 s and 4 requests, and is 0.709, 0.703 and 0.598
-/// with these values. On their quiet days it was 0.814, 0.771 and 0.739, and is 0.844, 0.811 and
-/// 0.799.
+/// is rare.
 const AMPLE: Headroom = Headroom {
     slope_factor: 4.0,
     grant_factor: 3.0,
--- a/src/allowance/manager.rs
+++ b/src/allowance/manager.rs
@@ -39,8 +39,7 @@
 
 /// Maximum time for which a request waits until a spending limit allows it. At the start of a store
 /// outage the limits of nearly spent budgets do not open at once. A refused caller would come back
-/// no sooner, and might be refused again. The mean score (`worth`) of 30 days was 0.695 with 1,000
-/// ms and 0.699 with 1,500 ms.
+/// no sooner, and might be refused again.
 const MAX_LIMIT_WAIT: Duration = Duration::from_millis(1_500);
 /// Minimum pause between two attempts of a request that waits for a spending limit: the resolution
 /// of the timer.
